--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
 LINT_VERSION := v2.15.0
+GOPLS_VERSION := v0.23.0
 TOOLS := $(CURDIR)/.tools/bin
 BIN := $(CURDIR)/bin
 # Tests that KNOWN-RED.txt lists, one at the beginning of each entry's line.
@@ -15,16 +16,20 @@
 	go vet work
 	go test -count=1 $(if $(RED),-skip '^($(RED))$$') work
 
-tools: $(TOOLS)/golangci-lint
+tools: $(TOOLS)/golangci-lint $(TOOLS)/gopls
 
 $(TOOLS)/golangci-lint:
 	@mkdir -p $(TOOLS)
 	GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 
-lint: tools
+$(TOOLS)/gopls:
+	@mkdir -p $(TOOLS)
+	GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
+lint: $(TOOLS)/golangci-lint
 	@for m in lib platform $(PROGRAMS); do (cd $$m && $(TOOLS)/golangci-lint run ./...) || exit 1; done
 
-format: tools
+format: $(TOOLS)/golangci-lint
 	@for m in lib platform $(PROGRAMS); do (cd $$m && $(TOOLS)/golangci-lint fmt ./...) || exit 1; done
 
 demo: build
