--- a/lib/bfnews/doc.go
+++ b/lib/bfnews/doc.go
@@ -1,6 +1,6 @@
-// Package bfnews has nodes tell each other what they hold of the platform's
-// store, so that one that the store turns away still follows the others.
+// Package bfnews replicates the contents of the platform's store between nodes by polling and
+// pushing, so that a node whose calls the store rejects stays up to date.
 //
-// Each node asks a random member now and then, and often while the store does
-// not answer it. Who hears of something newer than its own asks for it.
+// Each node polls a random member periodically, and more often while the store does not answer
+// it. A node that receives the version or revision of a peer with newer data fetches that data.
 package bfnews
--- a/lib/bfnews/members.go
+++ b/lib/bfnews/members.go
@@ -7,7 +7,7 @@
 	"bilberryflow.org/lib/bffleet"
 )
 
-// MembersDelta is what leads from the members as of one revision to those as of a later one.
+// MembersDelta holds the changes between the members at revision Base and those at Revision.
 type MembersDelta struct {
 	Base     uint64           `cbor:"1,keyasint"`
 	Revision uint64           `cbor:"2,keyasint"`
@@ -15,13 +15,13 @@
 	Gone     []string         `cbor:"4,keyasint,omitempty"`
 }
 
-// Fits reports whether the delta leads on from what is known as of a revision. One within
-// the delta does not: a row that came and went since the base is known there, and the
-// delta does not say that it is gone.
+// Fits reports whether the delta can be applied to members at the given revision. A
+// revision between Base and Revision does not qualify: it can contain a row that was added and
+// removed since Base, and the delta does not list that removal.
 func (d MembersDelta) Fits(revision uint64) bool { return d.Base == revision && revision < d.Revision }
 
-// membersDelta makes the delta between two rosters. A row that was written again has
-// another revision, so that it is told though it holds the same.
+// membersDelta computes the delta between two rosters. A row that was rewritten has another
+// revision, so it counts as changed even if its contents are the same.
 func membersDelta(from, to Roster) MembersDelta {
 	d := MembersDelta{Base: from.Revision, Revision: to.Revision}
 	left := make(map[string]bffleet.Member, len(from.Members))
--- a/lib/bfnews/news.go
+++ b/lib/bfnews/news.go
@@ -15,90 +15,91 @@
 	"bilberryflow.org/lib/bftraffic"
 )
 
-// Method is the name of the call between nodes.
+// Method is the name of the poll call between nodes.
 const Method = "news"
 
-// Roster is the list of members as of one revision of the store.
+// Roster is the list of members at one revision of the store.
 type Roster struct {
 	Revision uint64           `cbor:"1,keyasint"`
 	Members  []bffleet.Member `cbor:"2,keyasint"`
 }
 
-// State is what a node holds and takes from others.
+// State is the replicated state of a node.
 type State interface {
-	// Version is the version of the traffic configuration in force, 0 for none.
+	// Version returns the version of the traffic configuration in force, 0 for none.
 	Version() bftraffic.Version
-	// VersionAsOf is the store's revision as of which the version in force is the newest
-	// one, Revision that as of which the members are known; 0 for never.
+	// VersionAsOf returns the latest store revision at which the version in force is known to
+	// be the newest, and Revision the store revision of the member list; 0 for never.
 	VersionAsOf() uint64
 	Revision() uint64
-	// TakeAsOf takes another node's word that a version is the newest one as of a revision.
+	// ConfirmVersion records a peer's report that a version is the newest one at a store
+	// revision.
 	TakeAsOf(version bftraffic.Version, revision uint64)
-	// Snapshot is the traffic configuration in force, nil before the first.
+	// Snapshot returns the traffic configuration in force, nil before the first.
 	Snapshot() *bftraffic.Snapshot
-	// Recent is the configuration of a version that was in force lately, else nil.
+	// Recent returns the configuration of a version that was recently in force, or nil.
 	Recent(version bftraffic.Version) *bftraffic.Snapshot
-	// Roster lists the members.
+	// Roster returns the members.
 	Roster() Roster
-	// TakeSpec takes another node's configuration if it is newer.
+	// ApplySpec adopts a peer's configuration if it is newer.
 	TakeSpec(spec bftraffic.Spec)
-	// TakeDelta takes what another node's newer configuration changes, if it fits.
+	// ApplyDelta applies a delta to the configuration in force if its base version matches.
 	TakeDelta(delta bftraffic.Delta)
-	// TakeRoster takes another node's members if they are known as of a later revision,
-	// TakeMembers what changed among them if that fits.
+	// ApplyRoster adopts a peer's member list if its revision is newer; ApplyMembersDelta
+	// applies changes to the list if they apply to its revision.
 	TakeRoster(roster Roster)
 	TakeMembers(delta MembersDelta)
-	// Current reports whether what is held follows the store, by this node's own
-	// calls or by the word of one that does.
+	// Current reports whether the state follows the store, either by this node's own calls or
+	// by updates from a node that follows it.
 	Current() bool
 	// Follows reports whether this node's own calls follow the store now.
 	Follows() bool
 }
 
-// Comparer keeps something else that nodes know the same everywhere; its digest rides on
-// what they exchange anyway.
-type Comparer interface {
-	// Digest identifies what this node knows, 0 for nothing.
+// Reconciler keeps further state equal on all nodes. Its digest is piggybacked on the messages
+// that nodes exchange anyway.
+type Reconciler interface {
+	// Digest identifies this node's state, 0 if it is empty.
 	Digest() uint64
-	// Saw takes the digest of a peer.
+	// ObserveDigest receives the digest of a peer.
 	Saw(peer string, digest uint64)
 }
 
-// nothing is the Comparer of a node that has none.
-type nothing struct{}
+// noReconciler is the Reconciler of a node that has none.
+type noReconciler struct{}
 
-// Digest is that of knowing nothing.
-func (nothing) Digest() uint64 { return 0 }
+// Digest returns the digest of the empty state.
+func (noReconciler) Digest() uint64 { return 0 }
 
-// Saw compares nothing.
-func (nothing) Saw(string, uint64) {}
+// Saw ignores the digest.
+func (noReconciler) Saw(string, uint64) {}
 
-// question tells what the asking node holds.
-type question struct {
+// pollRequest states which data the polling node holds.
+type pollRequest struct {
 	Version  bftraffic.Version `json:"version"`
 	Revision uint64            `json:"revision"`
-	// Send asks for what is newer, and not merely whether something is.
+	// Send requests the newer data itself, not only its version and revision.
 	Send bool `json:"send,omitempty"`
-	// Peer is where the asking node takes calls.
+	// Peer is the polling node's address for calls.
 	Peer string `json:"peer"`
-	// Quarantine is the Comparer's digest.
+	// Quarantine is the Reconciler's digest.
 	Quarantine uint64 `json:"quarantine,omitempty"`
 }
 
-// reply tells what the answering node holds, and brings in CBOR what was asked for.
-type reply struct {
+// pollReply states which data the polled node holds, with the requested data in CBOR.
+type pollReply struct {
 	Version  bftraffic.Version `json:"version"`
 	Revision uint64            `json:"revision"`
-	// Delta leads from the asking node's version to Version; Spec is the whole, for
-	// one whose version the answering node does not remember.
+	// Delta leads from the polling node's version to Version. Spec is the full configuration,
+	// sent if the polled node no longer has the polling node's version.
 	Delta  []byte `json:"delta,omitempty"`
 	Spec   []byte `json:"spec,omitempty"`
 	Roster []byte `json:"roster,omitempty"`
-	// Quarantine is the Comparer's digest.
+	// Quarantine is the Reconciler's digest.
 	Quarantine uint64 `json:"quarantine,omitempty"`
 }
 
-// Exchange asks other nodes for news and answers them.
+// Exchange sends and answers polls and updates.
 type Exchange struct {
 	self       string
 	place      bffleet.Place
@@ -108,109 +109,110 @@
 	timer      *bftimer.Service
 	logger     *bflog.Logger
 	spawn      func(name string, fn func(ctx context.Context) error)
-	quarantine Comparer
-	// began is when the node started.
-	began time.Time
-	// first says that the whole fleet starts for the first time, meeting when this node
-	// looks who is there then.
-	first   bool
-	meeting time.Duration
-	heard   hearing
-	// stood is what was last reported; only the telling uses it.
-	stood   stood
-	planned atomic.Pointer[plan]
-	// encoded is the newest configuration that was sent whole.
+	quarantine Reconciler
+	started    time.Time
+	// firstStart is set if the whole fleet starts for the first time; firstStartDelay is how
+	// long this node then waits before it reads the member list.
+	firstStart      bool
+	firstStartDelay time.Duration
+	received        receiptTimes
+	// reported is the role that was last logged; only pushUpdates uses it.
+	reported   roleReport
+	cachedPlan atomic.Pointer[plan]
+	// encoded caches the newest configuration that was sent in full.
 	encoded atomic.Pointer[encodedSpec]
-	// changed wakes the telling, asking says that a teller is asked for the whole.
-	changed chan struct{}
-	asking  atomic.Bool
-	// introduced says that the relays were told who is there.
-	introduced atomic.Bool
-	// askingBack says that a node that put a question is asked back.
-	askingBack atomic.Bool
+	// changed wakes pushUpdates. fetching is set while full data is fetched from the sender of
+	// an update.
+	changed  chan struct{}
+	fetching atomic.Bool
+	// hinted is set once the hint of the first start was sent.
+	hinted atomic.Bool
+	// fetchingFromPoller is set while newer data is fetched from a node that polled this one.
+	fetchingFromPoller atomic.Bool
 }
 
-// Parts is what an Exchange works with.
+// Parts holds the dependencies of an Exchange.
 type Parts struct {
-	// Self is where the node takes calls from other nodes.
+	// Self is the node's address for calls from other nodes.
 	Self  string
 	Place bffleet.Place
-	// First says that the whole fleet starts for the first time.
+	// FirstStart is set if the whole fleet starts for the first time.
 	First  bool
 	State  State
 	Fleet  *bffleet.Fleet
 	Calls  *bfpeer.Calls
 	Timer  *bftimer.Service
 	Logger *bflog.Logger
-	// Spawn starts a goroutine of the node's group.
+	// Spawn starts a goroutine in the node's group.
 	Spawn func(name string, fn func(ctx context.Context) error)
-	// Quarantine is compared with other nodes beside the state, nil for nothing.
-	Quarantine Comparer
+	// Quarantine is reconciled alongside the state; nil for none.
+	Quarantine Reconciler
 }
 
-// New makes the exchange of a node that starts now.
+// New returns the exchange of a node that starts now.
 func New(parts Parts) *Exchange {
 	if parts.Quarantine == nil {
-		parts.Quarantine = nothing{}
+		parts.Quarantine = noReconciler{}
 	}
 	return &Exchange{
-		self: parts.Self, place: parts.Place, first: parts.First, state: parts.State, fleet: parts.Fleet,
+		self: parts.Self, place: parts.Place, firstStart: parts.First, state: parts.State, fleet: parts.Fleet,
 		calls: parts.Calls, timer: parts.Timer, logger: parts.Logger, spawn: parts.Spawn, quarantine: parts.Quarantine,
-		meeting: firstMeeting + time.Duration(rand.Float64()*float64(meetingSpread)),
-		changed: make(chan struct{}, 1), began: time.Now(),
+		firstStartDelay: firstStartDelay + time.Duration(rand.Float64()*float64(firstStartJitter)),
+		changed:         make(chan struct{}, 1), started: time.Now(),
 	}
 }
 
-// Methods are the calls that the exchange answers.
+// Methods returns the calls that the exchange serves.
 func (e *Exchange) Methods() bfpeer.Methods {
 	return bfpeer.Methods{
-		Method:     {Purpose: bfpeer.Versions, Handle: e.answer},
-		tellMethod: {Purpose: bfpeer.Versions, Handle: e.hear},
+		Method:     {Purpose: bfpeer.Versions, Handle: e.handlePoll},
+		pushMethod: {Purpose: bfpeer.Versions, Handle: e.handleUpdate},
 	}
 }
 
 const (
-	// calmInterval is the pause between questions while the store answers: a
-	// member that restarts while the store turns it away knows nobody, and is
-	// asked by someone within about that time.
-	calmInterval = 2 * time.Second
-	// cutInterval is the pause while the store does not answer. With it a version
-	// spreads from one node to all within about a second.
-	cutInterval   = 250 * time.Millisecond
-	intervalShare = 0.3
-	// callTimeout bounds one question; a member that does not answer in it is
-	// asked again by chance.
+	// connectedPollInterval is the time between polls while the store answers. A member that
+	// restarts while the store rejects its calls knows no other member, and is polled by one
+	// within about this time.
+	connectedPollInterval = 2 * time.Second
+	// disconnectedPollInterval is the time between polls while the store does not answer. It
+	// spreads a version from one node to all within about a second.
+	disconnectedPollInterval = 250 * time.Millisecond
+	pollJitter               = 0.3
+	// callTimeout bounds one call. A member that does not answer is retried only when the
+	// random choice selects it again.
 	callTimeout = time.Second
-	// versionLead and storeLead are how long a node that the store answers waits for
-	// what another one has already: mostly the store or a teller brings it in that
-	// time. A version is due everywhere within two seconds and costs a delta; of the
-	// members the whole list is sent, and their refusals tell of those that leave.
-	versionLead = 300 * time.Millisecond
-	storeLead   = time.Second
+	// versionFetchDelay and rosterFetchDelay are how long a node that the store answers waits
+	// before it fetches newer data from a peer: usually the store or an update delivers it in
+	// that time. A version must reach every node within two seconds and costs only a delta;
+	// members are sent as a full list, and a member that has left rejects requests in the
+	// meantime.
+	versionFetchDelay = 300 * time.Millisecond
+	rosterFetchDelay  = time.Second
 )
 
-// Run asks until ctx ends.
+// Run polls until ctx ends.
 func (e *Exchange) Run(ctx context.Context) error {
-	e.spawn("tell others", e.tellOthers)
-	e.spawn("await a version", e.awaitVersion)
+	e.spawn("push updates", e.pushUpdates)
+	e.spawn("fetch first version", e.fetchFirstVersion)
 	for {
-		interval := calmInterval
+		interval := connectedPollInterval
 		if !e.state.Current() {
-			interval = cutInterval
+			interval = disconnectedPollInterval
 		}
-		if e.timer.Wait(ctx, e.timer.Jittered(interval, intervalShare)()) != nil {
+		if e.timer.Wait(ctx, e.timer.Jittered(interval, pollJitter)()) != nil {
 			return nil
 		}
-		if peer := e.anyPeer(); peer != "" {
-			e.spawn("ask for news", func(ctx context.Context) error {
-				e.ask(ctx, peer)
+		if peer := e.randomPeer(); peer != "" {
+			e.spawn("poll a peer", func(ctx context.Context) error {
+				e.pollAndFetch(ctx, peer)
 				return nil
 			})
 		}
 	}
 }
 
-func (e *Exchange) anyPeer() string {
+func (e *Exchange) randomPeer() string {
 	members := e.fleet.Members()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	for _, m := range members {
@@ -221,144 +223,142 @@
 	return ""
 }
 
-// ask asks one node and takes what it brings.
-func (e *Exchange) ask(ctx context.Context, peer string) {
+// pollAndFetch polls one node, and fetches its newer data after a delay.
+func (e *Exchange) pollAndFetch(ctx context.Context, peer string) {
 	send := !e.state.Current()
-	told, ok := e.put(ctx, peer, send)
-	if !ok || send || !e.behind(told.Version, told.Revision) {
+	reply, ok := e.poll(ctx, peer, send)
+	if !ok || send || !e.behind(reply.Version, reply.Revision) {
 		return
 	}
-	if e.timer.Wait(ctx, e.lead(told.Version)) == nil && e.behind(told.Version, told.Revision) {
-		e.put(ctx, peer, true)
+	if e.timer.Wait(ctx, e.fetchDelay(reply.Version)) == nil && e.behind(reply.Version, reply.Revision) {
+		e.poll(ctx, peer, true)
 	}
 }
 
-// lead is how long to wait for what another node has already.
-func (e *Exchange) lead(version bftraffic.Version) time.Duration {
+// fetchDelay returns how long to wait before data is fetched that a peer has already.
+func (e *Exchange) fetchDelay(version bftraffic.Version) time.Duration {
 	if version > e.state.Version() {
-		return versionLead
+		return versionFetchDelay
 	}
-	return storeLead
+	return rosterFetchDelay
 }
 
-// put puts one question; ok is false where no answer came, and another node is
-// asked next time.
-func (e *Exchange) put(ctx context.Context, peer string, send bool) (told reply, ok bool) {
+// poll sends one poll and applies the reply; ok is false if there was no reply.
+func (e *Exchange) poll(ctx context.Context, peer string, send bool) (reply pollReply, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	held := e.state.Version()
-	asked := question{Version: held, Revision: e.state.Revision(), Send: send, Peer: e.self, Quarantine: e.quarantine.Digest()}
-	if err := e.calls.Call(ctx, peer, Method, asked, &told); err != nil {
-		return reply{}, false
+	before := e.state.Version()
+	request := pollRequest{Version: before, Revision: e.state.Revision(), Send: send, Peer: e.self, Quarantine: e.quarantine.Digest()}
+	if err := e.calls.Call(ctx, peer, Method, request, &reply); err != nil {
+		return pollReply{}, false
 	}
-	e.quarantine.Saw(peer, told.Quarantine)
-	e.take(told)
-	if e.state.Version() > held {
-		e.hint()
+	e.quarantine.Saw(peer, reply.Quarantine)
+	e.apply(reply)
+	if e.state.Version() > before {
+		e.sendHint()
 	}
-	return told, true
+	return reply, true
 }
 
-// VersionAt asks a node for the version in force there.
+// VersionAt requests the version in force on another node.
 func (e *Exchange) VersionAt(ctx context.Context, peer string) (bftraffic.Version, error) {
-	var told reply
-	asked := question{Version: e.state.Version(), Revision: e.state.Revision(), Peer: e.self, Quarantine: e.quarantine.Digest()}
-	err := e.calls.Call(ctx, peer, Method, asked, &told)
-	return told.Version, err
+	var reply pollReply
+	request := pollRequest{Version: e.state.Version(), Revision: e.state.Revision(), Peer: e.self, Quarantine: e.quarantine.Digest()}
+	err := e.calls.Call(ctx, peer, Method, request, &reply)
+	return reply.Version, err
 }
 
-// behind reports whether another node holds something newer.
+// behind reports whether a peer with the given version and revision has newer data.
 func (e *Exchange) behind(version bftraffic.Version, revision uint64) bool {
 	return version > e.state.Version() || revision > e.state.Revision()
 }
 
-func (e *Exchange) take(brought reply) {
+func (e *Exchange) apply(reply pollReply) {
 	var spec bftraffic.Spec
-	if len(brought.Spec) > 0 && bfcodec.Unmarshal(brought.Spec, "configuration", &spec) == nil {
+	if len(reply.Spec) > 0 && bfcodec.Unmarshal(reply.Spec, "configuration", &spec) == nil {
 		e.state.TakeSpec(spec)
 	}
-	e.takeDelta(brought.Delta)
+	e.applyDelta(reply.Delta)
 	var roster Roster
-	if len(brought.Roster) > 0 && bfcodec.Unmarshal(brought.Roster, "roster", &roster) == nil {
+	if len(reply.Roster) > 0 && bfcodec.Unmarshal(reply.Roster, "roster", &roster) == nil {
 		e.state.TakeRoster(roster)
 	}
 }
 
-// answer answers a question, and asks back where the asking node knows more.
-func (e *Exchange) answer(_ context.Context, params json.RawMessage) (any, error) {
-	var asked question
-	if err := json.Unmarshal(params, &asked); err != nil {
+// handlePoll answers a poll, and fetches from the polling node if that has newer data.
+func (e *Exchange) handlePoll(_ context.Context, params json.RawMessage) (any, error) {
+	var request pollRequest
+	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, err
 	}
-	if asked.Peer != "" {
-		e.quarantine.Saw(asked.Peer, asked.Quarantine)
+	if request.Peer != "" {
+		e.quarantine.Saw(request.Peer, request.Quarantine)
 	}
-	if e.behind(asked.Version, asked.Revision) && e.askingBack.CompareAndSwap(false, true) {
-		e.spawn("ask back", func(ctx context.Context) error {
-			defer e.askingBack.Store(false)
-			e.askBack(ctx, asked)
+	if e.behind(request.Version, request.Revision) && e.fetchingFromPoller.CompareAndSwap(false, true) {
+		e.spawn("fetch from poller", func(ctx context.Context) error {
+			defer e.fetchingFromPoller.Store(false)
+			e.fetchFromPoller(ctx, request)
 			return nil
 		})
 	}
-	return e.reply(asked)
+	return e.buildReply(request)
 }
 
-// askBack asks the node that put a question for what it knows more.
+// fetchFromPoller fetches newer data from the node that polled this one.
 //
-// A store that holds this node's calls without a word leaves it with an old
-// version while it takes itself for current; where the members it knows are in the
-// same state, only the question of one that it doesn't know shows that.
-func (e *Exchange) askBack(ctx context.Context, asked question) {
-	if e.state.Current() && e.timer.Wait(ctx, e.lead(asked.Version)) != nil {
+// A store that accepts this node's calls but never completes them leaves it with an old version
+// although it considers itself current. If all members it knows are in the same state, only a
+// poll by a node that it does not know reveals that.
+func (e *Exchange) fetchFromPoller(ctx context.Context, request pollRequest) {
+	if e.state.Current() && e.timer.Wait(ctx, e.fetchDelay(request.Version)) != nil {
 		return
 	}
-	if e.behind(asked.Version, asked.Revision) {
-		e.put(ctx, asked.Peer, true)
+	if e.behind(request.Version, request.Revision) {
+		e.poll(ctx, request.Peer, true)
 	}
 }
 
-func (e *Exchange) reply(asked question) (reply, error) {
-	r := reply{Version: e.state.Version(), Revision: e.state.Revision(), Quarantine: e.quarantine.Digest()}
-	if !asked.Send {
-		return r, nil
+func (e *Exchange) buildReply(request pollRequest) (pollReply, error) {
+	reply := pollReply{Version: e.state.Version(), Revision: e.state.Revision(), Quarantine: e.quarantine.Digest()}
+	if !request.Send {
+		return reply, nil
 	}
-	err := e.addConfiguration(&r, asked.Version)
+	err := e.addConfiguration(&reply, request.Version)
 	if err != nil {
-		return r, err
+		return reply, err
 	}
-	if roster := e.state.Roster(); roster.Revision > asked.Revision {
-		r.Roster, err = bfcodec.Marshal(roster)
+	if roster := e.state.Roster(); roster.Revision > request.Revision {
+		reply.Roster, err = bfcodec.Marshal(roster)
 	}
-	return r, err
+	return reply, err
 }
 
-// addConfiguration has the reply bring what is newer than a version: a delta where
-// the version is remembered, since the whole has a hundred bytes a route and takes a
-// slow link a fifth of a second.
-func (e *Exchange) addConfiguration(r *reply, held bftraffic.Version) (err error) {
+// addConfiguration adds what is newer than version held to the reply. It prefers a delta,
+// because the full configuration takes about a hundred bytes per route.
+func (e *Exchange) addConfiguration(reply *pollReply, held bftraffic.Version) (err error) {
 	snapshot := e.state.Snapshot()
 	if snapshot == nil || snapshot.Version() <= held {
 		return nil
 	}
 	if base := e.state.Recent(held); base != nil {
-		r.Delta, err = bfcodec.Marshal(bftraffic.DeltaOf(base, snapshot))
+		reply.Delta, err = bfcodec.Marshal(bftraffic.DeltaOf(base, snapshot))
 		return err
 	}
-	r.Spec, err = e.encode(snapshot)
+	reply.Spec, err = e.encode(snapshot)
 	return err
 }
 
-// encodedSpec is a configuration as it is sent whole.
+// encodedSpec is the full configuration of a version in CBOR.
 type encodedSpec struct {
 	version bftraffic.Version
 	data    []byte
 }
 
-// encode writes a configuration. A relay is asked for the same one by all members of its
-// domain when a fleet starts, and each has a hundred kilobytes.
+// encode returns the full configuration in CBOR. The result is cached because all members of a
+// domain request the same one from a relay when a fleet starts.
 func (e *Exchange) encode(snapshot *bftraffic.Snapshot) ([]byte, error) {
-	if held := e.encoded.Load(); held != nil && held.version == snapshot.Version() {
-		return held.data, nil
+	if cached := e.encoded.Load(); cached != nil && cached.version == snapshot.Version() {
+		return cached.data, nil
 	}
 	data, err := bfcodec.Marshal(snapshot.Spec())
 	if err == nil {
--- a/lib/bfnews/news_test.go
+++ b/lib/bfnews/news_test.go
@@ -22,13 +22,13 @@
 	"bilberryflow.org/lib/bftraffic"
 )
 
-// holding is a State in memory.
-type holding struct {
+// memoryState is a State in memory.
+type memoryState struct {
 	mu      sync.Mutex
 	traffic *bftraffic.Holder
-	// wholes counts the whole configurations that were taken, deltas the rest.
-	wholes, deltas int
-	// memberDeltas counts the changes of members that were taken.
+	// specs and deltas count the full configurations and the deltas that were applied.
+	specs, deltas int
+	// memberDeltas counts the member deltas that were applied.
 	memberDeltas int
 	roster       Roster
 	current      bool
@@ -36,56 +36,56 @@
 	address      string
 }
 
-func (h *holding) Version() bftraffic.Version { return h.traffic.Version() }
+func (h *memoryState) Version() bftraffic.Version { return h.traffic.Version() }
 
-func (h *holding) Revision() uint64 {
+func (h *memoryState) Revision() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.roster.Revision
 }
 
-func (h *holding) Snapshot() *bftraffic.Snapshot { return h.traffic.Current() }
+func (h *memoryState) Snapshot() *bftraffic.Snapshot { return h.traffic.Current() }
 
-func (h *holding) Recent(version bftraffic.Version) *bftraffic.Snapshot {
+func (h *memoryState) Recent(version bftraffic.Version) *bftraffic.Snapshot {
 	return h.traffic.Recent(version)
 }
 
-func (h *holding) Roster() Roster {
+func (h *memoryState) Roster() Roster {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.roster
 }
 
-func (h *holding) TakeSpec(spec bftraffic.Spec) {
+func (h *memoryState) TakeSpec(spec bftraffic.Spec) {
 	snapshot, err := bftraffic.NewSnapshot(spec)
 	if err != nil {
 		panic(err)
 	}
 	if h.traffic.Adopt(snapshot) {
-		h.count(&h.wholes)
+		h.count(&h.specs)
 	}
 }
 
-func (h *holding) TakeDelta(delta bftraffic.Delta) {
+func (h *memoryState) TakeDelta(delta bftraffic.Delta) {
 	snapshot, err := h.traffic.Current().Apply(delta)
 	if err == nil && h.traffic.Adopt(snapshot) {
 		h.count(&h.deltas)
 	}
 }
 
-func (h *holding) count(what *int) {
+func (h *memoryState) count(counter *int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	*what++
+	*counter++
 }
 
-func (h *holding) counts() (wholes, deltas int) {
+func (h *memoryState) counts() (specs, deltas int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.wholes, h.deltas
+	return h.specs, h.deltas
 }
 
-func (h *holding) TakeRoster(roster Roster) {
+func (h *memoryState) TakeRoster(roster Roster) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if roster.Revision > h.roster.Revision {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (h *holding) TakeMembers(delta MembersDelta) {
+func (h *memoryState) TakeMembers(delta MembersDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if delta.Fits(h.roster.Revision) {
@@ -104,26 +104,26 @@
 	}
 }
 
-func (h *holding) Current() bool {
+func (h *memoryState) Current() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current
 }
 
-func (h *holding) setCurrent(current bool) {
+func (h *memoryState) setCurrent(current bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.current = current
 }
 
-func (h *holding) Follows() bool { return h.Current() }
+func (h *memoryState) Follows() bool { return h.Current() }
 
-func (h *holding) VersionAsOf() uint64 { return 0 }
+func (h *memoryState) VersionAsOf() uint64 { return 0 }
 
-func (h *holding) TakeAsOf(bftraffic.Version, uint64) {}
+func (h *memoryState) TakeAsOf(bftraffic.Version, uint64) {}
 
-// configuration is one with a route of each name.
-func configuration(version bftraffic.Version, names ...string) bftraffic.Spec {
+// testSpec returns a configuration with one route per name.
+func testSpec(version bftraffic.Version, names ...string) bftraffic.Spec {
 	spec := bftraffic.Spec{Version: version, Services: []bftraffic.ServiceSpec{{Name: "portal"}}}
 	for _, name := range names {
 		spec.Routes = append(spec.Routes, bftraffic.RouteSpec{
@@ -134,20 +134,20 @@
 	return spec
 }
 
-// start runs a node's exchange; it returns its state and its peer address.
-func start(t *testing.T, group *bfgroup.Group, timer *bftimer.Service, current bool) (*holding, string) {
+// start runs a node's exchange and returns its state and its peer address.
+func start(t *testing.T, group *bfgroup.Group, timer *bftimer.Service, current bool) (*memoryState, string) {
 	t.Helper()
 	state, address, _ := startExchange(t, group, timer, current)
 	return state, address
 }
 
-func startExchange(t *testing.T, group *bfgroup.Group, timer *bftimer.Service, current bool) (*holding, string, *Exchange) {
+func startExchange(t *testing.T, group *bfgroup.Group, timer *bftimer.Service, current bool) (*memoryState, string, *Exchange) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := &holding{
+	state := &memoryState{
 		traffic: bftraffic.NewHolder(nil), current: current, address: listener.Addr().String(),
 		fleet: bffleet.New(bffleet.Place{Domain: "nord"}),
 	}
@@ -165,19 +165,19 @@
 	return state, address, exchange
 }
 
-// The store turns away a node that has just started: it has no configuration and
-// knows no member. The others know it from before. Within a few seconds it must
-// hold what they hold, or its callers get nothing but refusals.
-func TestNodeThatTheStoreTurnsAwayHearsFromOthers(t *testing.T) {
+// The store rejects the calls of a node that has just started without a configuration or
+// members, while the others have both. Guards against a node that rejects requests for more
+// than a few seconds.
+func TestRejectedNodeIsUpdatedByPeers(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
-	cut, cutAddress := start(t, group, timer, false)
-	roster := Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "in-cut", Peer: cutAddress}}}
-	spec := configuration(7, "r")
-	var others []*holding
+	rejected, rejectedAddress := start(t, group, timer, false)
+	roster := Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "in-cut", Peer: rejectedAddress}}}
+	spec := testSpec(7, "r")
+	var others []*memoryState
 	for i := range 4 {
 		state, address := start(t, group, timer, true)
 		roster.Members = append(roster.Members, bffleet.Member{Inbound: fmt.Sprint("in-", i), Peer: address})
@@ -188,26 +188,26 @@
 		state.TakeRoster(roster)
 	}
 	deadline := time.Now().Add(15 * time.Second)
-	for cut.Version() != 7 || cut.Revision() != 9 {
+	for rejected.Version() != 7 || rejected.Revision() != 9 {
 		if time.Now().After(deadline) {
-			t.Fatalf("the cut node holds version %d and revision %d", cut.Version(), cut.Revision())
+			t.Fatalf("the rejected node has version %d and revision %d", rejected.Version(), rejected.Revision())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.Equal(cut.Snapshot().Spec(), spec)
-	is.Equal(len(cut.Roster().Members), 5)
+	is.Equal(rejected.Snapshot().Spec(), spec)
+	is.Equal(len(rejected.Roster().Members), 5)
 }
 
-// The store still holds a node's call and has forgotten about it: the node believes
-// that it hears of every change. A member that has a newer version tells it.
-func TestNodeWhoseFeedIsForgottenHearsFromOthers(t *testing.T) {
+// The store has dropped a node's pending call, so the node considers itself current. A member
+// with a newer version must bring it up to date.
+func TestNodeWithDroppedCallIsUpdatedByPeers(t *testing.T) {
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	stale, staleAddress := start(t, group, timer, true)
 	fresh, freshAddress := start(t, group, timer, true)
-	spec := configuration(7)
+	spec := testSpec(7)
 	roster := Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}, {Inbound: "b", Peer: freshAddress}}}
 	stale.TakeRoster(roster)
 	fresh.TakeRoster(roster)
@@ -215,17 +215,16 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for stale.Version() != 7 {
 		if time.Now().After(deadline) {
-			t.Fatal("the node stays at its old version")
+			t.Fatal("the node still has its old version")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A caller is treated by an old version for as long as the store holds the node's
-// calls without a word. The node takes itself for current and knows only members
-// that are in the same state, so that its own questions bring nothing. One that it
-// doesn't know asks it, with a newer version: the node has to ask back.
-func TestNodeWhoseFeedIsForgottenAsksBack(t *testing.T) {
+// The store never completes the node's calls, and all members that the node knows are in the
+// same state, so its own polls find nothing. A member that it does not know polls it with a
+// newer version, which the node must fetch.
+func TestNodeWithDroppedCallFetchesFromPoller(t *testing.T) {
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
@@ -234,30 +233,30 @@
 	fresh, freshAddress := start(t, group, timer, true)
 	stale.TakeRoster(Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}}})
 	fresh.TakeRoster(Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}, {Inbound: "b", Peer: freshAddress}}})
-	fresh.TakeSpec(configuration(7))
-	await(t, "the node holds the new version", func() bool { return stale.Version() == 7 })
+	fresh.TakeSpec(testSpec(7))
+	waitFor(t, "the node has the new version", func() bool { return stale.Version() == 7 })
 }
 
-func TestNothingNewCostsNothing(t *testing.T) {
+func TestReplyContainsOnlyNewerData(t *testing.T) {
 	is := is.New(t)
-	state := &holding{traffic: bftraffic.NewHolder(nil), fleet: bffleet.New(bffleet.Place{Domain: "nord"})}
-	state.TakeSpec(configuration(7))
+	state := &memoryState{traffic: bftraffic.NewHolder(nil), fleet: bffleet.New(bffleet.Place{Domain: "nord"})}
+	state.TakeSpec(testSpec(7))
 	e := New(Parts{Self: "a", State: state, Fleet: state.fleet})
-	r, err := e.reply(question{Version: 7, Send: true})
+	r, err := e.buildReply(pollRequest{Version: 7, Send: true})
 	is.NoErr(err)
-	is.Equal(r, reply{Version: 7})
-	r, err = e.reply(question{Version: 6})
+	is.Equal(r, pollReply{Version: 7})
+	r, err = e.buildReply(pollRequest{Version: 6})
 	is.NoErr(err)
-	is.Equal(r, reply{Version: 7}) // not asked for
-	r, err = e.reply(question{Version: 6, Send: true})
+	is.Equal(r, pollReply{Version: 7}) // without Send only the version
+	r, err = e.buildReply(pollRequest{Version: 6, Send: true})
 	is.NoErr(err)
 	is.True(len(r.Spec) > 0)
-	state.TakeSpec(configuration(9, "r"))
-	r, err = e.reply(question{Version: 7, Send: true})
+	state.TakeSpec(testSpec(9, "r"))
+	r, err = e.buildReply(pollRequest{Version: 7, Send: true})
 	is.NoErr(err)
-	is.True(len(r.Spec) == 0 && len(r.Delta) > 0) // it remembers what the other one holds
-	e.take(reply{Delta: []byte("damaged")})
-	e.take(reply{Spec: []byte("damaged"), Roster: []byte("damaged")})
+	is.True(len(r.Spec) == 0 && len(r.Delta) > 0) // a delta, since version 7 is still remembered
+	e.apply(pollReply{Delta: []byte("damaged")})
+	e.apply(pollReply{Spec: []byte("damaged"), Roster: []byte("damaged")})
 	is.Equal(state.Version(), bftraffic.Version(9))
 }
 
@@ -269,9 +268,8 @@
 	return all
 }
 
-// Who reads the store follows from the members alone, in whatever order they are known:
-// the relays of each domain are those with the fastest links, and the sources two of them
-// in different domains.
+// Every node must compute the same plan from the members, in whatever order it lists them: the
+// relays of a domain have its fastest links, and the two sources are in different domains.
 func TestPlanOfAFleet(t *testing.T) {
 	is := is.New(t)
 	all := append(append(members("nord", 30), members("sued", 3)...), members("west", 1)...)
@@ -280,32 +278,32 @@
 	is.Equal(len(p.relays), 2*relaysPerDomain+1)
 	is.Equal(p.sources, sourcesPerFleet)
 	is.Equal([]string{p.relays[0].Inbound, p.relays[1].Inbound}, []string{"nord-17", "sued-1"})
-	is.Equal(p.standing("nord-17"), source)
-	is.Equal(p.standing("west-0"), relay)
+	is.Equal(p.roleOf("nord-17"), source)
+	is.Equal(p.roleOf("west-0"), relay)
 	is.Equal(p.domain[0].Inbound, "nord-17")
 	is.Equal(p.rank(p.domain[1].Inbound), 0) // a relay
 	is.Equal(p.rank(p.domain[relaysPerDomain+3].Inbound), 3)
-	is.Equal(len(p.told("nord-17")), 29+3) // its domain, and the relays of the others
-	is.Equal(len(p.told(p.domain[1].Inbound)), 29)
+	is.Equal(len(p.downstream("nord-17")), 29+3) // its domain, and the relays of the others
+	is.Equal(len(p.downstream(p.domain[1].Inbound)), 29)
 	slices.Reverse(all)
 	is.Equal(makePlan("nord", all).relays, p.relays)
 	is.Equal(makePlan("nord", nil).sources, 0)
 	alone := makePlan("nord", members("nord", 3))
-	is.Equal([]int{alone.sources, len(alone.relays)}, []int{2, 2}) // no other domain is there
+	is.Equal([]int{alone.sources, len(alone.relays)}, []int{2, 2}) // there is no other domain
 }
 
-// domain is a failure domain of running nodes that know each other.
-type domain struct {
-	states    map[string]*holding
+// testDomain is a failure domain of running nodes that know each other.
+type testDomain struct {
+	states    map[string]*memoryState
 	exchanges map[string]*Exchange
 	groups    map[string]*bfgroup.Group
 	members   []bffleet.Member
 	plan      *plan
 }
 
-func newDomain(t *testing.T, timer *bftimer.Service, nodes int) *domain {
+func newDomain(t *testing.T, timer *bftimer.Service, nodes int) *testDomain {
 	t.Helper()
-	d := &domain{states: map[string]*holding{}, exchanges: map[string]*Exchange{}, groups: map[string]*bfgroup.Group{}}
+	d := &testDomain{states: map[string]*memoryState{}, exchanges: map[string]*Exchange{}, groups: map[string]*bfgroup.Group{}}
 	for range nodes {
 		group := bfgroup.New(context.Background())
 		t.Cleanup(group.Cancel)
@@ -316,13 +314,13 @@
 	d.plan = makePlan("nord", slices.Clone(d.members))
 	for _, state := range d.states {
 		state.TakeRoster(Roster{Revision: 1, Members: d.members})
-		state.TakeSpec(configuration(7, "r"))
+		state.TakeSpec(testSpec(7, "r"))
 	}
 	return d
 }
 
-// reading lists who reads the store.
-func (d *domain) reading() (all []string) {
+// readers lists the nodes that read the store.
+func (d *testDomain) readers() (all []string) {
 	for _, m := range d.plan.domain {
 		if d.exchanges[m.Inbound].Reads() {
 			all = append(all, m.Inbound)
@@ -331,8 +329,8 @@
 	return all
 }
 
-// hold reports whether all nodes hold a version.
-func (d *domain) hold(version bftraffic.Version) bool {
+// hasVersion reports whether all nodes have a version in force.
+func (d *testDomain) hasVersion(version bftraffic.Version) bool {
 	for _, state := range d.states {
 		if state.Version() != version {
 			return false
@@ -341,9 +339,9 @@
 	return true
 }
 
-// Whatever rows change between two rosters, the delta leads from one to the other; who
-// holds another state does not take it, or a row that came and went would stay.
-func TestMembersDeltaLeadsOn(t *testing.T) {
+// A delta between two rosters must lead from one to the other, whichever rows change. A node at
+// another revision must not apply it, or a row that was added and removed would remain.
+func TestMembersDeltaAppliesToItsBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := map[string]bffleet.Member{}
 		var states []Roster
@@ -374,23 +372,23 @@
 	})
 }
 
-// One target of a domain leaves and another one comes. All members hear of it within a
-// moment, and none has to ask for the whole list.
-func TestMembersAreToldByWhatChanged(t *testing.T) {
+// A member is replaced. All members must receive the change promptly, and as a delta instead of
+// the full list.
+func TestMemberChangesArePushedAsDelta(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 4)
-	await(t, "the sources alone read", func() bool { return len(d.reading()) == sourcesPerFleet })
+	waitFor(t, "only the sources read the store", func() bool { return len(d.readers()) == sourcesPerFleet })
 	last := d.states[d.plan.domain[3].Inbound]
-	await(t, "the last one hears", d.exchanges[last.address].HearsFresh)
+	waitFor(t, "the last follower receives updates", d.exchanges[last.address].HearsFresh)
 	source := d.plan.relays[0].Inbound
 	next := append(slices.Clone(d.members), bffleet.Member{Inbound: "new", Domain: "nord"})
 	d.states[source].TakeRoster(Roster{Revision: 5, Members: next})
 	d.exchanges[source].Changed()
-	await(t, "all know the new one", func() bool {
+	waitFor(t, "all nodes have the new member", func() bool {
 		for _, state := range d.states {
 			if state.Revision() != 5 {
 				return false
@@ -403,10 +401,10 @@
 	is.Equal(last.memberDeltas, 1)
 }
 
-// The sources hear a version from the store. The others do not read it themselves and
-// must hold it within a second, by what changed alone. Then the store turns the sources
-// away: the others ask their neighbours, and do not all turn to the store.
-func TestSourcesTellTheOthers(t *testing.T) {
+// The sources receive a version from the store. The others, which do not read the store, must
+// receive it as a delta. Then the store rejects the sources' calls: the others must poll their
+// peers instead of all reading the store.
+func TestSourcesUpdateTheOthers(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
@@ -414,31 +412,31 @@
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 4)
 	sources := []string{d.plan.relays[0].Inbound, d.plan.relays[1].Inbound}
-	await(t, "the sources alone read", func() bool { return slices.Equal(d.reading(), sources) })
-	next := configuration(9, "r", "s")
+	waitFor(t, "only the sources read the store", func() bool { return slices.Equal(d.readers(), sources) })
+	next := testSpec(9, "r", "s")
 	next.Routes[0].Rank = 1
 	for _, address := range sources {
 		d.states[address].TakeSpec(next)
 		d.exchanges[address].Changed()
 	}
-	await(t, "all hold the version", func() bool { return d.hold(9) })
+	waitFor(t, "all nodes have the version", func() bool { return d.hasVersion(9) })
 	for address, state := range d.states {
-		wholes, _ := state.counts()
-		is.Equal(wholes, map[bool]int{true: 2, false: 1}[slices.Contains(sources, address)]) // the first one, and what sources read
+		specs, _ := state.counts()
+		is.Equal(specs, map[bool]int{true: 2, false: 1}[slices.Contains(sources, address)]) // the initial one, and for a source the one it read
 	}
 	last := d.plan.domain[3].Inbound
 	is.True(d.exchanges[last].HearsFresh())
 	for _, address := range sources {
 		d.states[address].setCurrent(false)
 	}
-	await(t, "the others know that nobody follows the store", func() bool { return !d.exchanges[last].HearsFresh() })
-	time.Sleep(silence)
-	is.Equal(d.reading(), sources)
+	waitFor(t, "the others detect that no node follows the store", func() bool { return !d.exchanges[last].HearsFresh() })
+	time.Sleep(receiveTimeout)
+	is.Equal(d.readers(), sources)
 }
 
-// Both nodes that read for a domain are killed. One of the others has to read within two
-// seconds, and the rest hear from it: the store would else get the calls of all, twice.
-func TestOneDeputyReadsForTheOthers(t *testing.T) {
+// Both sources of a domain are killed. One follower must read the store within two seconds and
+// update the rest; otherwise the calls of all followers would reach the store.
+func TestOneFollowerReplacesLostRelays(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
@@ -446,71 +444,71 @@
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 5)
 	sources := []string{d.plan.relays[0].Inbound, d.plan.relays[1].Inbound}
-	await(t, "the sources alone read", func() bool { return slices.Equal(d.reading(), sources) })
+	waitFor(t, "only the sources read the store", func() bool { return slices.Equal(d.readers(), sources) })
 	last := d.exchanges[d.plan.domain[4].Inbound]
-	await(t, "the last one hears", last.HearsFresh)
+	waitFor(t, "the last follower receives updates", last.HearsFresh)
 	for _, address := range sources {
 		d.groups[address].Cancel()
 	}
 	began := time.Now()
-	deputy := d.exchanges[d.plan.domain[2].Inbound]
-	await(t, "the first one left reads", deputy.Reads)
+	replacement := d.exchanges[d.plan.domain[2].Inbound]
+	waitFor(t, "the first remaining follower reads the store", replacement.Reads)
 	is.True(time.Since(began) < 2*time.Second)
-	for time.Since(began) < 2*silence+mostDeputySteps*deputyStep {
+	for time.Since(began) < 2*receiveTimeout+maxStaggerSteps*followerStagger {
 		is.True(!last.Reads())
 		time.Sleep(20 * time.Millisecond)
 	}
 	is.True(last.HearsFresh())
 }
 
-// A relay's sources fall silent, since its domain is cut off from theirs. It reads the
-// store itself, and tells its domain as before.
-func TestRelayReadsWhereItsSourcesAreSilent(t *testing.T) {
+// A relay's domain is partitioned from the sources. The relay must read the store itself and
+// keep its domain up to date.
+func TestRelayReadsStoreWithoutSources(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 4)
-	far := members("sued", 2)
-	for i := range far {
-		far[i].LinkMbps = 100
+	remote := members("sued", 2)
+	for i := range remote {
+		remote[i].LinkMbps = 100
 	}
 	for _, state := range d.states {
-		state.TakeRoster(Roster{Revision: 2, Members: append(far, d.members...)})
+		state.TakeRoster(Roster{Revision: 2, Members: append(remote, d.members...)})
 	}
 	relays := d.plan.domain[:relaysPerDomain]
-	await(t, "a relay reads", func() bool { return d.exchanges[relays[0].Inbound].Reads() || d.exchanges[relays[1].Inbound].Reads() })
-	await(t, "the others hear it", d.exchanges[d.plan.domain[3].Inbound].HearsFresh)
+	waitFor(t, "a relay reads the store", func() bool { return d.exchanges[relays[0].Inbound].Reads() || d.exchanges[relays[1].Inbound].Reads() })
+	waitFor(t, "the others receive its updates", d.exchanges[d.plan.domain[3].Inbound].HearsFresh)
 	is.True(!d.exchanges[d.plan.domain[3].Inbound].Reads())
 }
 
-// A fleet of nodes starts for the first time; its table holds a row for each of them once
-// their targets have spoken. One of them looks who is there. All must know each other
-// soon, and hold the version that the sources read, without looking on their own.
-func TestFirstStartCostsFewLooks(t *testing.T) {
+// A fleet starts for the first time, and one node reads the member list. Guards against every
+// node reading the store: all must receive the members from that node and the version from the
+// sources.
+func TestFirstStartReadsStoreRarely(t *testing.T) {
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	const nodes = 6
-	d := &domain{states: map[string]*holding{}, exchanges: map[string]*Exchange{}}
+	d := &testDomain{states: map[string]*memoryState{}, exchanges: map[string]*Exchange{}}
 	for range nodes {
 		state, address, exchange := startExchange(t, group, timer, false)
-		exchange.first = true
-		exchange.meeting = time.Hour
+		exchange.firstStart = true
+		exchange.firstStartDelay = time.Hour
 		d.states[address], d.exchanges[address] = state, exchange
 		d.members = append(d.members, bffleet.Member{Inbound: address, Peer: address, Domain: "nord"})
 	}
 	d.plan = makePlan("nord", slices.Clone(d.members))
-	if len(d.reading()) > 0 {
-		t.Fatal("somebody looks at once")
+	if len(d.readers()) > 0 {
+		t.Fatal("a node reads the store at once")
 	}
-	looking := d.plan.domain[nodes-1].Inbound
-	d.exchanges[looking].meeting = 0
-	d.states[looking].TakeRoster(Roster{Revision: 3, Members: d.members})
-	d.exchanges[looking].Changed()
-	await(t, "all know each other", func() bool {
+	reader := d.plan.domain[nodes-1].Inbound
+	d.exchanges[reader].firstStartDelay = 0
+	d.states[reader].TakeRoster(Roster{Revision: 3, Members: d.members})
+	d.exchanges[reader].Changed()
+	waitFor(t, "all nodes have the member list", func() bool {
 		for _, state := range d.states {
 			if state.Revision() != 3 {
 				return false
@@ -519,36 +517,34 @@
 		return true
 	})
 	first := d.plan.relays[0].Inbound
-	await(t, "a source reads the versions", d.exchanges[first].ReadsVersions)
-	d.states[first].TakeSpec(configuration(7, "r"))
+	waitFor(t, "a source reads the versions", d.exchanges[first].ReadsVersions)
+	d.states[first].TakeSpec(testSpec(7, "r"))
 	d.exchanges[first].Changed()
-	await(t, "all hold the version", func() bool { return d.hold(7) })
+	waitFor(t, "all nodes have the version", func() bool { return d.hasVersion(7) })
 }
 
-// The store forgot the calls of the sources: all members hold an old version and take
-// themselves for current. One of them learns of a newer version from elsewhere. All must
-// hold it well within the two seconds of a change, and not each when it happens to ask the
-// right node.
-func TestFleetWhoseSourcesAreForgottenIsHinted(t *testing.T) {
+// The store has dropped the calls of the sources, so all members have an old version and
+// consider themselves current. When one of them receives a newer version, all must have it
+// within the two seconds allowed for a change.
+func TestHintReachesFleetWithDroppedSources(t *testing.T) {
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 4)
-	fresh, freshAddress := start(t, group, timer, true) // nobody knows it
-	fresh.TakeSpec(configuration(9, "r", "s"))
-	await(t, "the sources alone read", func() bool { return len(d.reading()) == sourcesPerFleet })
+	fresh, freshAddress := start(t, group, timer, true) // not in any member list
+	fresh.TakeSpec(testSpec(9, "r", "s"))
+	waitFor(t, "only the sources read the store", func() bool { return len(d.readers()) == sourcesPerFleet })
 	began := time.Now()
-	d.exchanges[d.plan.domain[3].Inbound].put(context.Background(), freshAddress, true)
-	await(t, "all hold the version", func() bool { return d.hold(9) })
+	d.exchanges[d.plan.domain[3].Inbound].poll(context.Background(), freshAddress, true)
+	waitFor(t, "all nodes have the version", func() bool { return d.hasVersion(9) })
 	if took := time.Since(began); took > time.Second {
-		t.Fatalf("it took %v", took)
+		t.Fatalf("the last node had the version after %v", took)
 	}
 }
 
-// A node is started again. It looks at once who is there and what is in force, since its
-// callers wait; then others are about to tell it of changes, so it does not follow the
-// store too. If none is heard it reads again.
+// A node restarts in a running fleet. It reads the store at once, then relies on the relays for
+// changes and must read again if it receives none.
 func TestStartingNodeWaitsForItsRelays(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
@@ -563,13 +559,13 @@
 	}
 	state.TakeRoster(Roster{Revision: 1, Members: append(all, bffleet.Member{Inbound: address, Peer: address, Domain: "nord"})})
 	is.True(!exchange.Reads())
-	is.True(exchange.ReadsVersions()) // its row was there: its target is
-	await(t, "it reads itself", exchange.Reads)
+	is.True(exchange.ReadsVersions()) // its row existed at the start, so its target is running
+	waitFor(t, "the node reads the store", exchange.Reads)
 }
 
-// A node is new to a fleet and finds the others in the store. They bring it the version
-// in force, and it reads the store only where none does.
-func TestNewNodeIsBroughtTheVersion(t *testing.T) {
+// A new node finds the other members in the store. It must receive the version in force from
+// them, and read the store only if none delivers it.
+func TestNewNodeReceivesVersionFromPeers(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
@@ -579,18 +575,18 @@
 	state, _, exchange := startExchange(t, group, timer, true)
 	state.TakeRoster(Roster{Revision: 1, Members: d.members})
 	is.True(!exchange.ReadsVersions())
-	await(t, "it holds the version", func() bool { return state.Version() == 7 })
-	alone, _, stranded := startExchange(t, group, timer, true)
-	alone.TakeRoster(Roster{Revision: 1, Members: members("nord", 3)}) // nobody answers
-	await(t, "it reads itself", stranded.ReadsVersions)
+	waitFor(t, "the node has the version", func() bool { return state.Version() == 7 })
+	isolatedState, _, isolated := startExchange(t, group, timer, true)
+	isolatedState.TakeRoster(Roster{Revision: 1, Members: members("nord", 3)}) // none of these answers
+	waitFor(t, "the node reads the store", isolated.ReadsVersions)
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatal("not in time: ", what)
+			t.Fatal("timed out waiting until ", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/lib/bfnews/plan.go
+++ b/lib/bfnews/plan.go
@@ -9,31 +9,29 @@
 )
 
 const (
-	// relaysPerDomain is how many members of a failure domain tell the others. With two,
-	// the loss of one is not noticed by anybody else.
+	// relaysPerDomain is how many members of a failure domain send updates to the rest of it.
+	// With two, the loss of one goes unnoticed.
 	relaysPerDomain = 2
-	// sourcesPerFleet is how many of the relays of all domains read the store while it
-	// answers them. Each change costs each reader a call: with two readers in each of
-	// five domains a calm day of 195 instances had 2,027 calls, 0.068 of what the day
-	// was worth.
+	// sourcesPerFleet is how many relays read the store, counted over all domains. Every change
+	// costs each reader a call.
 	sourcesPerFleet = 2
 )
 
-// standing is where a node stands among those that read the store for each other.
-type standing int
+// role is a node's part in the distribution of updates.
+type role int
 
 const (
-	// follower nodes hear from the relays of their domain.
-	follower standing = iota
-	// relay nodes hear from the sources, and tell their domain.
+	// follower nodes receive updates from the relays of their domain.
+	follower role = iota
+	// relay nodes receive updates from the sources and forward them to their domain.
 	relay
-	// source nodes read the store, and tell the relays of all domains.
+	// source nodes read the store and send updates to the relays of all domains.
 	source
 )
 
-// String is the name in logs.
-func (s standing) String() string {
-	switch s {
+// String returns the role's name for logs.
+func (r role) String() string {
+	switch r {
 	case source:
 		return "source"
 	case relay:
@@ -44,31 +42,31 @@
 	return "unknown"
 }
 
-// plan says who reads the store and who tells whom. All nodes that know the same
-// members make the same plan without asking each other.
+// plan determines which nodes read the store and which nodes each node updates. Nodes with the
+// same member list compute the same plan without coordination.
 type plan struct {
-	// generation is the fleet's, from whose members the plan was made.
+	// generation is the fleet's generation that the plan was computed from.
 	generation uint64
 	size       int
-	// domain are the members of the node's own domain, the relays first.
+	// domain lists the members of the node's own domain, relays first.
 	domain []bffleet.Member
-	// relays are those of all domains, the sources first.
+	// relays lists the relays of all domains, sources first.
 	relays []bffleet.Member
-	// sources is how many of the relays are sources.
+	// sources is the number of relays that are sources.
 	sources int
 }
 
-// makePlan makes the plan of a node in a domain.
+// makePlan computes the plan of a node in the given domain.
 func makePlan(domain string, members []bffleet.Member) *plan {
 	p := &plan{size: len(members)}
 	slices.SortFunc(members, order)
-	taken := map[string]int{}
+	relaysByDomain := map[string]int{}
 	for _, m := range members {
 		if m.Domain == domain {
 			p.domain = append(p.domain, m)
 		}
-		if taken[m.Domain] < relaysPerDomain {
-			taken[m.Domain]++
+		if relaysByDomain[m.Domain] < relaysPerDomain {
+			relaysByDomain[m.Domain]++
 			p.relays = append(p.relays, m)
 		}
 	}
@@ -76,13 +74,13 @@
 	return p
 }
 
-// order puts the fastest links first, and equals by a hash.
+// order sorts by descending link speed, and by a hash for equal speeds.
 func order(a, b bffleet.Member) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(hash(a.Inbound), hash(b.Inbound)), cmp.Compare(a.Inbound, b.Inbound))
 }
 
-// chooseSources puts the sources first: the first relay, and the next one of another
-// domain where there is one. A domain that is cut off takes one of them at most.
+// chooseSources moves the sources to the front: the first relay, then the next one in another
+// domain if there is one. A domain that is partitioned then isolates at most one source.
 func (p *plan) chooseSources() {
 	p.sources = min(sourcesPerFleet, len(p.relays))
 	for at := 1; at < p.sources; at++ {
@@ -96,8 +94,8 @@
 	}
 }
 
-// standing is that of a node.
-func (p *plan) standing(inbound string) standing {
+// roleOf returns the role of a node.
+func (p *plan) roleOf(inbound string) role {
 	at := slices.IndexFunc(p.relays, func(m bffleet.Member) bool { return m.Inbound == inbound })
 	switch {
 	case at < 0:
@@ -108,7 +106,7 @@
 	return relay
 }
 
-// rank is a follower's place among those of its domain, 0 for the first after the relays.
+// rank returns a follower's position in its domain, 0 for the first after the relays.
 func (p *plan) rank(inbound string) int {
 	at := slices.IndexFunc(p.domain, func(m bffleet.Member) bool { return m.Inbound == inbound })
 	if at < 0 {
@@ -117,10 +115,10 @@
 	return max(at-relaysPerDomain, 0)
 }
 
-// told are those whom a node tells, itself left out.
-func (p *plan) told(inbound string) []bffleet.Member {
+// downstream returns the members that a node updates, without the node itself.
+func (p *plan) downstream(inbound string) []bffleet.Member {
 	all := slices.Clone(p.domain)
-	if p.standing(inbound) == source {
+	if p.roleOf(inbound) == source {
 		for _, m := range p.relays {
 			if !slices.Contains(all, m) {
 				all = append(all, m)
@@ -130,8 +128,9 @@
 	return slices.DeleteFunc(all, func(m bffleet.Member) bool { return m.Inbound == inbound })
 }
 
-// guides are those whom a node of the domain asks first: its relays, and the sources.
-func (p *plan) guides(inbound string) []bffleet.Member {
+// upstream returns the members from which a node of the domain fetches first: its relays and
+// the sources, without the node itself.
+func (p *plan) upstream(inbound string) []bffleet.Member {
 	all := slices.Clone(p.domain[:min(relaysPerDomain, len(p.domain))])
 	for _, m := range p.relays[:p.sources] {
 		if !slices.Contains(all, m) {
@@ -147,18 +146,18 @@
 	return h.Sum64()
 }
 
-// audience are the members that hear first of what a node learned: the relays of its domain
-// and the sources, and those whom it tells where it is one of these itself. A follower
-// passes on only what it learned itself.
-func (p *plan) audience(inbound string, own bool) []bffleet.Member {
-	if p.size == 0 || !own && p.standing(inbound) == follower {
+// recipients returns the members that first receive a record from a node: the relays of its
+// domain and the sources, and for a relay or source also the members that it updates. A
+// follower forwards only records of its own.
+func (p *plan) recipients(inbound string, own bool) []bffleet.Member {
+	if p.size == 0 || !own && p.roleOf(inbound) == follower {
 		return nil
 	}
-	all := p.guides(inbound)
-	if p.standing(inbound) == follower {
+	all := p.upstream(inbound)
+	if p.roleOf(inbound) == follower {
 		return all
 	}
-	for _, m := range p.told(inbound) {
+	for _, m := range p.downstream(inbound) {
 		if !slices.Contains(all, m) {
 			all = append(all, m)
 		}
--- a/lib/bfnews/reading.go
+++ b/lib/bfnews/reading.go
@@ -8,133 +8,136 @@
 )
 
 const (
-	// tellInterval is how often a node that others hear from tells them what it holds,
-	// and silence how long they wait for that before they read the store themselves.
-	// Twice lost or late is chance, three times is not; a version is due within two seconds.
-	tellInterval = 400 * time.Millisecond
-	silence      = 1200 * time.Millisecond
-	// deputyStep is how much longer each follower of a domain waits than the one before
-	// it, and mostDeputySteps for how many that counts. The first to read tells the
-	// others: where both relays of a domain are killed, one of 39 reads and not all.
-	deputyStep      = 300 * time.Millisecond
-	mostDeputySteps = 4
-	// firstMeeting is how long a node waits at the first start of a fleet until it looks
-	// who is there, and meetingSpread by how much more at most. All write their rows
-	// within about a second and a half of each other. The first ones that look tell the
-	// relays, and those everybody else. Where each looked at once and again after two
-	// seconds, 195 nodes made 930 calls before the first request came.
-	firstMeeting  = 2 * time.Second
-	meetingSpread = 2 * time.Second
-	// firstVersionPatience is how long a node waits then for the first version.
-	firstVersionPatience = 5 * time.Second
-	// versionPatience is how long a node that is new to the fleet waits for another one
-	// to bring the version in force. Its target takes some seconds to warm up.
-	versionPatience = 500 * time.Millisecond
-	// strandedAfter is from when on a node without a version that knows no member reads
-	// it, whatever it waits for.
-	strandedAfter = 150 * time.Millisecond
-	// versionPause is the pause between its questions for a version.
-	versionPause = 50 * time.Millisecond
+	// pushInterval is the time between the periodic updates of a relay or source.
+	// receiveTimeout is how long others wait for one before they read the store themselves: it
+	// tolerates two lost or late updates, and stays below the two seconds allowed for a
+	// version.
+	pushInterval   = 400 * time.Millisecond
+	receiveTimeout = 1200 * time.Millisecond
+	// followerStagger is how much longer each follower of a domain waits than the one before
+	// it, for at most maxStaggerSteps steps. The first to read the store updates the others, so
+	// that the loss of both relays does not make every follower read.
+	followerStagger = 300 * time.Millisecond
+	maxStaggerSteps = 4
+	// firstStartDelay is how long a node waits at the first start of a fleet before it reads
+	// the member list, plus a random part of firstStartJitter. The nodes write their rows
+	// within about 1.5 s of each other; the first that read the list inform the relays, which
+	// update the rest.
+	firstStartDelay  = 2 * time.Second
+	firstStartJitter = 2 * time.Second
+	// firstStartVersionTimeout is how long a node waits for the first version at the first
+	// start of a fleet.
+	firstStartVersionTimeout = 5 * time.Second
+	// versionTimeout is how long a node that is new to the fleet waits for the version in force
+	// from a peer. Its own target takes longer to warm up.
+	versionTimeout = 500 * time.Millisecond
+	// isolatedVersionTimeout is how long a node that knows no member waits before it reads its
+	// first version.
+	isolatedVersionTimeout = 150 * time.Millisecond
+	// versionRetryInterval is the time between polls for the first version.
+	versionRetryInterval = 50 * time.Millisecond
 )
 
-// hearing is when a node last heard from others, each as how long after its start in
-// nanoseconds; 0 for never. It is not a time of day, which may jump back and have one
-// that is silent pass for one that was just heard.
-type hearing struct {
-	// any is from whoever tells it, fresh from one that reads the store or hears one that
-	// does, reader from one that reads it.
+// receiptTimes holds when a node last received updates, in nanoseconds since its start; 0 for
+// never. The time is monotonic: if the wall clock jumped back, a silent sender would appear
+// active.
+type receiptTimes struct {
+	// any is from any sender, fresh from one that reads the store or receives updates from such
+	// a node, reader from one that reads the store.
 	any, fresh, reader atomic.Int64
 }
 
-// Reads reports whether this node is to read the store itself.
+// Reads reports whether this node should read the store itself.
 //
-// What follows from silence is counted from the first question at the earliest: a node
-// that starts has just read the store when it learns from whom it will hear.
+// A timeout starts at the first call at the earliest: a node that starts has just read the
+// store when it determines from which nodes it receives updates.
 func (e *Exchange) Reads() bool {
 	p := e.plan()
 	if p.size == 0 {
-		return !e.first || e.age() > int64(e.meeting)
+		return !e.firstStart || e.uptime() > int64(e.firstStartDelay)
 	}
-	switch p.standing(e.place.Inbound) {
+	switch p.roleOf(e.place.Inbound) {
 	case source:
 		return true
 	case relay:
-		return e.misses(&e.heard.reader, silence)
+		return e.timedOut(&e.received.reader, receiveTimeout)
 	}
-	steps := min(p.rank(e.place.Inbound), mostDeputySteps)
-	return e.misses(&e.heard.any, silence+time.Duration(steps)*deputyStep)
+	steps := min(p.rank(e.place.Inbound), maxStaggerSteps)
+	return e.timedOut(&e.received.any, receiveTimeout+time.Duration(steps)*followerStagger)
 }
 
-// ReadsVersions reports whether this node is to read the store's versions itself.
+// ReadsVersions reports whether this node should read the store's versions itself.
 //
-// A node that is started again beside its target reads its first version at once: it
-// serves 25 ms after its start so, and where all are started again no other has one. A
-// new one, whose target is about to start, is brought it by another node.
+// A node that restarts beside its running target reads its first version at once, to serve
+// without delay; if all nodes restart, no peer has a version. A new node, whose target is still
+// starting, receives the version from a peer.
 func (e *Exchange) ReadsVersions() bool {
 	if e.state.Version() > 0 {
 		return e.Reads()
 	}
 	p := e.plan()
-	_, known := e.fleet.Member(e.place.Inbound)
+	_, isMember := e.fleet.Member(e.place.Inbound)
 	switch {
-	case e.first:
-		return p.size > 0 && p.standing(e.place.Inbound) == source || e.age() > int64(firstVersionPatience)
+	case e.firstStart:
+		return p.size > 0 && p.roleOf(e.place.Inbound) == source || e.uptime() > int64(firstStartVersionTimeout)
 	case p.size == 0:
-		return e.age() > int64(strandedAfter)
+		return e.uptime() > int64(isolatedVersionTimeout)
 	}
-	return known || e.age() > int64(versionPatience)
+	return isMember || e.uptime() > int64(versionTimeout)
 }
 
-// misses reports whether nothing was heard for a time.
-func (e *Exchange) misses(heard *atomic.Int64, length time.Duration) bool {
-	heard.CompareAndSwap(0, e.age())
-	return e.age()-heard.Load() >= int64(length)
+// timedOut reports whether nothing was received for at least timeout.
+func (e *Exchange) timedOut(received *atomic.Int64, timeout time.Duration) bool {
+	received.CompareAndSwap(0, e.uptime())
+	return e.uptime()-received.Load() >= int64(timeout)
 }
 
-// HearsFresh reports whether one that follows the store told something lately.
-func (e *Exchange) HearsFresh() bool { return e.hears(&e.heard.fresh) }
+// HearsFresh reports whether an update from a node that follows the store arrived within the
+// receive timeout.
+func (e *Exchange) HearsFresh() bool { return e.receivedRecently(&e.received.fresh) }
 
-func (e *Exchange) hears(heard *atomic.Int64) bool {
-	told := heard.Load()
-	return told > 0 && e.age()-told < int64(silence)
+func (e *Exchange) receivedRecently(received *atomic.Int64) bool {
+	last := received.Load()
+	return last > 0 && e.uptime()-last < int64(receiveTimeout)
 }
 
-// age is how long the exchange has been there, in nanoseconds of the steady clock.
-func (e *Exchange) age() int64 { return max(int64(e.timer.Now().Sub(e.began)), 1) }
+// uptime returns the monotonic time since the start in nanoseconds, at least 1.
+func (e *Exchange) uptime() int64 { return max(int64(e.timer.Now().Sub(e.started)), 1) }
 
-// plan is the one of the members that are known now.
+// plan returns the plan for the members known now.
 func (e *Exchange) plan() *plan {
 	generation := e.fleet.Generation()
-	if held := e.planned.Load(); held != nil && held.generation == generation {
-		return held
+	if cached := e.cachedPlan.Load(); cached != nil && cached.generation == generation {
+		return cached
 	}
 	made := makePlan(e.place.Domain, e.fleet.Members())
 	made.generation = generation
-	e.planned.Store(made)
+	e.cachedPlan.Store(made)
 	return made
 }
 
-// awaitVersion asks for the first version until there is one, where the node knows
-// others and is new to them.
-func (e *Exchange) awaitVersion(ctx context.Context) error {
+// fetchFirstVersion polls the upstream nodes until the node has its first version, if it is new
+// to a running fleet.
+func (e *Exchange) fetchFirstVersion(ctx context.Context) error {
 	for e.state.Version() == 0 {
-		if guides := e.plan().guides(e.place.Inbound); len(guides) > 0 && e.asksForVersion() {
-			e.put(ctx, guides[rand.IntN(len(guides))].Peer, true)
+		if upstream := e.plan().upstream(e.place.Inbound); len(upstream) > 0 && e.fetchesVersion() {
+			e.poll(ctx, upstream[rand.IntN(len(upstream))].Peer, true)
 		}
-		if e.timer.Wait(ctx, versionPause) != nil {
+		if e.timer.Wait(ctx, versionRetryInterval) != nil {
 			return nil
 		}
 	}
 	return nil
 }
 
-// asksForVersion reports whether other nodes are asked for the first version.
-func (e *Exchange) asksForVersion() bool {
-	_, known := e.fleet.Member(e.place.Inbound)
-	return !e.first && (!known || e.age() > int64(versionPatience))
+// fetchesVersion reports whether the first version is fetched from other nodes.
+func (e *Exchange) fetchesVersion() bool {
+	_, isMember := e.fleet.Member(e.place.Inbound)
+	return !e.firstStart && (!isMember || e.uptime() > int64(versionTimeout))
 }
 
-// Writer is where the node takes calls that writes rows for all, "" where no member is known.
+// Writer returns the peer address of the node that writes rows for all nodes, "" if no
+// member is known.
 func (e *Exchange) Writer() string {
 	p := e.plan()
 	if len(p.relays) == 0 {
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -11,32 +11,33 @@
 	"bilberryflow.org/lib/bftraffic"
 )
 
-// tellMethod is the name of the call by which nodes tell those who hear from them.
-const tellMethod = "tell"
+// pushMethod is the name of the call that sends an update.
+const pushMethod = "tell"
 
-// tale is what a node tells: what it holds and, after a change, how that came of what
-// it held before.
-type tale struct {
+// update states which data the sender holds and, after a change, what changed since its
+// previous update.
+type update struct {
 	Version  bftraffic.Version `json:"version"`
 	Revision uint64            `json:"revision"`
-	// AsOf is the store's revision as of which the version is the newest one.
+	// AsOf is the store revision at which the version is the newest one.
 	AsOf uint64 `json:"as_of,omitempty"`
 	Peer string `json:"peer"`
-	// Delta is a bftraffic.Delta in CBOR, Members a MembersDelta; empty where nothing changed.
+	// Delta is a bftraffic.Delta in CBOR, Members a MembersDelta; empty if nothing changed.
 	Delta   []byte `json:"delta,omitempty"`
 	Members []byte `json:"members,omitempty"`
-	// Fresh says that the teller follows the store, Reader that its own calls do and not
-	// those of another node that it hears. Two that the store turns away would else take
-	// each other's word for it.
+	// Fresh is set if the sender follows the store. Reader is set if it does so by its own
+	// calls and not through updates from another node; without it, two nodes that the store
+	// rejects would each consider the other fresh.
 	Fresh  bool `json:"fresh,omitempty"`
 	Reader bool `json:"reader,omitempty"`
-	// Hint says that the teller is none to hear from, and only learned something.
+	// Hint is set on an update from a node that is not a regular sender and only has newer
+	// data.
 	Hint bool `json:"hint,omitempty"`
-	// Quarantine is the Comparer's digest.
+	// Quarantine is the Reconciler's digest.
 	Quarantine uint64 `json:"quarantine,omitempty"`
 }
 
-// Changed has the node tell at once those who hear from it.
+// Changed triggers an immediate update to the downstream nodes.
 func (e *Exchange) Changed() {
 	select {
 	case e.changed <- struct{}{}:
@@ -44,92 +45,93 @@
 	}
 }
 
-// tellOthers tells those who hear from this node, also while the store does not answer
-// it: they are to ask other nodes then, and not the store each on its own.
-func (e *Exchange) tellOthers(ctx context.Context) error {
-	var last told
+// pushUpdates sends updates to the downstream nodes. It continues while the store does not
+// answer this node, so that they poll their peers instead of each reading the store.
+func (e *Exchange) pushUpdates(ctx context.Context) error {
+	var last sentState
 	for ctx.Err() == nil {
-		waited, cancel := context.WithTimeout(ctx, tellInterval)
+		timeout, cancel := context.WithTimeout(ctx, pushInterval)
 		select {
 		case <-e.changed:
-		case <-waited.Done():
+		case <-timeout.Done():
 		}
 		cancel()
 		p := e.plan()
 		reads := e.Reads()
-		e.report(p, reads)
-		if p.size == 0 || !reads && p.standing(e.place.Inbound) == follower {
+		e.logRole(p, reads)
+		if p.size == 0 || !reads && p.roleOf(e.place.Inbound) == follower {
 			continue
 		}
-		e.introduce()
-		t := e.tale(reads && e.state.Follows())
-		now := e.holds(last)
-		e.tell(p.told(e.place.Inbound), t.after(last, now))
+		e.sendFirstHint()
+		u := e.newUpdate(reads && e.state.Follows())
+		now := e.currentState(last)
+		e.push(p.downstream(e.place.Inbound), u.withChanges(last, now))
 		last = now
 	}
 	return nil
 }
 
-// report tells the log when the node's standing changes, or whether it reads the store.
-func (e *Exchange) report(p *plan, reads bool) {
-	now := stood{standing: p.standing(e.place.Inbound), reads: reads, met: p.size > 0}
-	if now == e.stood || !now.met {
+// logRole logs a change of the node's role or of whether it reads the store.
+func (e *Exchange) logRole(p *plan, reads bool) {
+	now := roleReport{role: p.roleOf(e.place.Inbound), reads: reads, hasMembers: p.size > 0}
+	if now == e.reported || !now.hasMembers {
 		return
 	}
-	e.stood = now
-	e.logger.Emit(bflog.StandingChanged, slog.String("standing", now.standing.String()), slog.Bool("reads_store", reads),
+	e.reported = now
+	e.logger.Emit(bflog.StandingChanged, slog.String("standing", now.role.String()), slog.Bool("reads_store", reads),
 		slog.Int("members", p.size), slog.Bool("hears_fresh", e.HearsFresh()))
 }
 
-// stood is what was last reported.
-type stood struct {
-	standing   standing
-	reads, met bool
+// roleReport is a role as it was last logged.
+type roleReport struct {
+	role              role
+	reads, hasMembers bool
 }
 
-// tale makes what is told; reader says that the node's own calls follow the store.
+// newUpdate returns an update without changes; reader is set if the node's own calls follow the
+// store.
 //
-// The revision is read before the version: taken the other way round, a change in between
-// would have an old version pass for the newest as of the change.
-func (e *Exchange) tale(reader bool) tale {
-	t := tale{AsOf: e.state.VersionAsOf(), Peer: e.self, Quarantine: e.quarantine.Digest(), Reader: reader, Fresh: reader || e.hears(&e.heard.reader)}
-	t.Version, t.Revision = e.state.Version(), e.state.Revision()
-	return t
+// VersionAsOf is read before the version: in the reverse order, a change in between would mark
+// an old version as the newest at the revision of the change.
+func (e *Exchange) newUpdate(reader bool) update {
+	u := update{AsOf: e.state.VersionAsOf(), Peer: e.self, Quarantine: e.quarantine.Digest(), Reader: reader, Fresh: reader || e.receivedRecently(&e.received.reader)}
+	u.Version, u.Revision = e.state.Version(), e.state.Revision()
+	return u
 }
 
-// told is what a node held when it last told others.
-type told struct {
+// sentState is the state that the last update was based on.
+type sentState struct {
 	snapshot *bftraffic.Snapshot
 	roster   Roster
 }
 
-// holds is what the node holds now; the members are copied where they have changed.
-func (e *Exchange) holds(last told) told {
-	now := told{snapshot: e.state.Snapshot(), roster: last.roster}
+// currentState returns the state held now; it copies the members only if they changed.
+func (e *Exchange) currentState(last sentState) sentState {
+	now := sentState{snapshot: e.state.Snapshot(), roster: last.roster}
 	if e.state.Revision() != last.roster.Revision {
 		now.roster = e.state.Roster()
 	}
 	return now
 }
 
-// after adds what changed since others were told last. They ask for what they miss.
-//
-// A list of all 195 members has 25 kB. Told whole to each member of a domain at each
-// change, it was sent 7,200 times on a calm day on which 150 rows changed.
-func (t tale) after(last, now told) tale {
+// withChanges adds the changes between two states. Updates carry deltas because the full member
+// list, sent to every member of a domain at each change, would dominate the traffic; a receiver
+// that cannot apply a delta fetches the full data.
+func (u update) withChanges(last, now sentState) update {
 	if last.snapshot != nil && now.snapshot != nil && now.snapshot.Version() != last.snapshot.Version() {
-		t.Version = now.snapshot.Version()
-		t.Delta = encoded(bftraffic.DeltaOf(last.snapshot, now.snapshot))
+		u.Version = now.snapshot.Version()
+		u.Delta = marshalOrNil(bftraffic.DeltaOf(last.snapshot, now.snapshot))
 	}
 	if last.roster.Revision > 0 && now.roster.Revision != last.roster.Revision {
-		t.Revision = now.roster.Revision
-		t.Members = encoded(membersDelta(last.roster, now.roster))
+		u.Revision = now.roster.Revision
+		u.Members = marshalOrNil(membersDelta(last.roster, now.roster))
 	}
-	return t
+	return u
 }
 
-// encoded is a message in CBOR, empty where it can't be written: the others ask then.
-func encoded(message any) []byte {
+// marshalOrNil encodes a message in CBOR. On failure it returns nil, and receivers fetch the
+// full data instead.
+func marshalOrNil(message any) []byte {
 	data, err := bfcodec.Marshal(message)
 	if err != nil {
 		return nil
@@ -137,108 +139,111 @@
 	return data
 }
 
-func (e *Exchange) tell(members []bffleet.Member, t tale) {
+func (e *Exchange) push(members []bffleet.Member, u update) {
 	for _, m := range members {
-		e.tellOne(t, m.Peer)
+		e.pushTo(u, m.Peer)
 	}
 }
 
-func (e *Exchange) tellOne(t tale, peer string) {
-	e.spawn("tell", func(ctx context.Context) error {
+func (e *Exchange) pushTo(u update, peer string) {
+	e.spawn("push update", func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		var nothing struct{}
-		// A member that does not hear it hears the next one, or reads itself.
-		_ = e.calls.Call(ctx, peer, tellMethod, t, &nothing)
+		var empty struct{}
+		// A member that misses this update gets the next one, or reads the store after the
+		// timeout.
+		_ = e.calls.Call(ctx, peer, pushMethod, u, &empty)
 		return nil
 	})
 }
 
-// hint tells the relays of the domain and the sources what came from elsewhere.
+// sendHint informs the upstream nodes of data that came from another source.
 //
-// A store that forgot the sources' calls leaves the fleet with an old version: they take
-// themselves for current, and the others hear them. Whoever first learns better asks on
-// behalf of all; each on its own asks once in two seconds.
-func (e *Exchange) hint() {
+// If the store has dropped the calls of the sources, they consider themselves current with an
+// old version, and so do the nodes that receive their updates. The hint makes the upstream
+// nodes fetch the new data on behalf of all; periodic polls alone would take seconds to spread
+// it.
+func (e *Exchange) sendHint() {
 	p := e.plan()
-	if p.size == 0 || p.standing(e.place.Inbound) != follower {
+	if p.size == 0 || p.roleOf(e.place.Inbound) != follower {
 		return
 	}
-	e.tell(p.guides(e.place.Inbound), tale{Version: e.state.Version(), Revision: e.state.Revision(), Peer: e.self, Hint: true})
+	e.push(p.upstream(e.place.Inbound), update{Version: e.state.Version(), Revision: e.state.Revision(), Peer: e.self, Hint: true})
 }
 
-// introduce tells the relays and the sources, at the first start of a fleet, who is
-// there: they may not have looked yet.
-func (e *Exchange) introduce() {
-	if e.first && e.heard.any.Load() == 0 && e.introduced.CompareAndSwap(false, true) {
-		e.hint()
+// sendFirstHint informs the upstream nodes of the member list at the first start of a fleet,
+// since they may not have read it yet.
+func (e *Exchange) sendFirstHint() {
+	if e.firstStart && e.received.any.Load() == 0 && e.hinted.CompareAndSwap(false, true) {
+		e.sendHint()
 	}
 }
 
-// note remembers from what kind of node this one heard.
-func (e *Exchange) note(t tale) {
-	if t.Hint {
+// recordReceipt records when an update of each kind last arrived.
+func (e *Exchange) recordReceipt(u update) {
+	if u.Hint {
 		return
 	}
-	age := e.age()
-	e.heard.any.Store(age)
-	if t.Fresh {
-		e.heard.fresh.Store(age)
+	age := e.uptime()
+	e.received.any.Store(age)
+	if u.Fresh {
+		e.received.fresh.Store(age)
 	}
-	if t.Reader {
-		e.heard.reader.Store(age)
+	if u.Reader {
+		e.received.reader.Store(age)
 	}
 }
 
-// hear takes what another node tells.
-func (e *Exchange) hear(_ context.Context, params json.RawMessage) (any, error) {
-	var t tale
-	if err := json.Unmarshal(params, &t); err != nil {
+// handleUpdate applies an update, and fetches the full data if this node is still behind.
+func (e *Exchange) handleUpdate(_ context.Context, params json.RawMessage) (any, error) {
+	var u update
+	if err := json.Unmarshal(params, &u); err != nil {
 		return nil, err
 	}
-	e.note(t)
-	if !t.Hint {
-		e.quarantine.Saw(t.Peer, t.Quarantine)
-	}
-	e.takeDelta(t.Delta)
-	e.takeMembers(t.Members)
-	e.state.TakeAsOf(t.Version, t.AsOf)
-	if e.behind(t.Version, t.Revision) && e.asking.CompareAndSwap(false, true) {
-		e.spawn("ask a teller", func(ctx context.Context) error {
-			defer e.asking.Store(false)
-			e.put(ctx, t.Peer, true)
+	e.recordReceipt(u)
+	if !u.Hint {
+		e.quarantine.Saw(u.Peer, u.Quarantine)
+	}
+	e.applyDelta(u.Delta)
+	e.applyMembersDelta(u.Members)
+	e.state.TakeAsOf(u.Version, u.AsOf)
+	if e.behind(u.Version, u.Revision) && e.fetching.CompareAndSwap(false, true) {
+		e.spawn("fetch update", func(ctx context.Context) error {
+			defer e.fetching.Store(false)
+			e.poll(ctx, u.Peer, true)
 			return nil
 		})
 	}
 	return struct{}{}, nil
 }
 
-// takeDelta takes an encoded delta, if there is one. One that does not fit is made
-// good by asking.
-func (e *Exchange) takeDelta(encoded []byte) {
+// applyDelta applies an encoded delta, if there is one. If it does not apply, the node stays
+// behind and fetches the full data.
+func (e *Exchange) applyDelta(data []byte) {
 	var delta bftraffic.Delta
-	if len(encoded) > 0 && bfcodec.Unmarshal(encoded, "delta", &delta) == nil {
+	if len(data) > 0 && bfcodec.Unmarshal(data, "delta", &delta) == nil {
 		e.state.TakeDelta(delta)
 	}
 }
 
-// takeMembers takes encoded changes of the members, if there are any.
-func (e *Exchange) takeMembers(encoded []byte) {
+// applyMembersDelta applies an encoded delta of the members, if there is one.
+func (e *Exchange) applyMembersDelta(data []byte) {
 	var delta MembersDelta
-	if len(encoded) > 0 && bfcodec.Unmarshal(encoded, "members", &delta) == nil {
+	if len(data) > 0 && bfcodec.Unmarshal(data, "members", &delta) == nil {
 		e.state.TakeMembers(delta)
 	}
 }
 
-// IsFirstSource reports whether this node is the first of those that read the store for all.
+// IsFirstSource reports whether this node is the first of the sources.
 func (e *Exchange) IsFirstSource() bool {
 	p := e.plan()
 	return len(p.relays) > 0 && p.relays[0].Inbound == e.place.Inbound
 }
 
-// Audience are the peers that hear first of what this node learned, itself or from another.
+// Audience returns the peers that first receive a record from this node. If own is false, the
+// record came from another node.
 func (e *Exchange) Audience(own bool) (peers []string) {
-	for _, m := range e.plan().audience(e.place.Inbound, own) {
+	for _, m := range e.plan().recipients(e.place.Inbound, own) {
 		peers = append(peers, m.Peer)
 	}
 	return peers
