--- a/lib/bfroster/doc.go
+++ b/lib/bfroster/doc.go
@@ -1,6 +1,6 @@
-// Package bfroster holds what is known of the fleet's members.
+// Package bfroster holds the known state of the fleet's members.
 //
-// Row is the knowledge of one member, and Compare says which of two rows is the
-// later one. Order is the immutable view of the members present, sorted by Key,
-// that other parts read; a new one shares with the one before what did not change.
+// Row is the state of one member, and Compare determines which of two rows of a member is
+// newer. Order is an immutable view of the present members, sorted by Key; a new Order shares
+// its unchanged parts with the previous one.
 package bfroster
--- a/lib/bfroster/member.go
+++ b/lib/bfroster/member.go
@@ -6,37 +6,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a row in an Order.
+// Member is an entry of an Order: a row with its key.
 type Member struct {
 	row Row
 	key Key
-	// lost members are of a domain that is out of reach as a whole.
+	// lost is set if the member's whole domain is unreachable.
 	lost bool
 }
 
-// NewMember makes the member of a row; lost says that its whole domain is out of reach.
+// NewMember returns the member of a row; lost states that its whole domain is unreachable.
 func NewMember(row Row, lost bool) *Member { return &Member{row: row, key: row.Key(), lost: lost} }
 
-// CompareMembers orders members by their keys.
+// CompareMembers returns the order of two members by their keys.
 func CompareMembers(a, b *Member) int { return a.key.Compare(b.key) }
 
-// Row is what the fleet knows of the member; it must not be changed.
+// Row returns the member's row, which must not be modified.
 func (m *Member) Row() *Row { return &m.row }
 
-// Key is the member's place in the order.
+// Key returns the member's sort key.
 func (m *Member) Key() Key { return m.key }
 
 // Alive reports whether neither the member nor its whole domain is suspected.
 func (m *Member) Alive() bool { return m.row.State == Alive && !m.lost }
 
-// Lost reports whether the member's domain is out of reach as a whole.
+// Lost reports whether the member's whole domain is unreachable.
 func (m *Member) Lost() bool { return m.lost }
 
-// Fingerprint is the member's part in the digest of a view.
+// Fingerprint returns the member's contribution to the digest of a view.
 //
-// State is not in it: a suspicion soon ends as a death, which takes the row out
-// of the digest, or as a refutation, which has another sequence. To repair the
-// suspicions on their way would cost more than they do.
+// It excludes State: a suspicion soon ends either with the member's death, which removes the
+// row from the digest, or with a refutation, which has a new sequence number. Reconciling
+// suspicions in transit would cost more than it gains.
 func (m *Member) Fingerprint() uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[0:], m.key.Hash)
@@ -45,7 +45,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-func (m *Member) countAlive() int {
+func (m *Member) aliveCount() int {
 	if m.Alive() {
 		return 1
 	}
--- a/lib/bfroster/order.go
+++ b/lib/bfroster/order.go
@@ -6,25 +6,25 @@
 	"sort"
 )
 
-// Group is the members of one service in one domain.
+// Group holds the members of one service in one failure domain.
 type Group struct {
 	region, domain string
 	members        []*Member
 }
 
-// Region is the region of the group's domain.
+// Region returns the region of the group's domain.
 func (g Group) Region() string { return g.region }
 
-// Domain is the failure domain that the group's members share.
+// Domain returns the failure domain of the group's members.
 func (g Group) Domain() string { return g.domain }
 
-// Members are in the order of their keys.
+// Members returns the members in key order.
 func (g Group) Members() []*Member { return g.members }
 
-// Order is one immutable view of the members that are Alive or Suspect, sorted by key.
+// Order is an immutable view of the members that are Alive or Suspect, sorted by key.
 //
-// Nodes that hold slightly different views still agree on which of two members
-// comes first, since the key depends on the member alone.
+// The key depends on the member alone, so nodes with different views agree on the relative
+// order of two members.
 type Order struct {
 	members  []*Member
 	ranks    map[uint64]int32
@@ -33,7 +33,7 @@
 	digest   uint64
 }
 
-// NewOrder makes the order of rows; rows that are Dead or Left are not in it.
+// NewOrder returns the order of rows, without those that are Dead or Left.
 func NewOrder(rows []Row) *Order {
 	members := make([]*Member, 0, len(rows))
 	for _, row := range rows {
@@ -45,7 +45,7 @@
 	return buildOrder(members, 0)
 }
 
-// buildOrder takes over members, which are sorted.
+// buildOrder returns the order of sorted members and takes ownership of the slice.
 func buildOrder(members []*Member, digest uint64) *Order {
 	o := &Order{members: members, ranks: ranksOf(members), services: map[string][]Group{}, digest: digest}
 	for _, m := range members {
@@ -67,7 +67,8 @@
 	return ranks
 }
 
-// addToGroup relies on members coming domain by domain.
+// addToGroup appends a member to the last group, or to a new one if the domain differs. Members
+// must be added in key order.
 func addToGroup(groups []Group, m *Member) []Group {
 	last := len(groups) - 1
 	if last < 0 || groups[last].domain != m.row.Domain || groups[last].region != m.row.Region {
@@ -78,62 +79,63 @@
 	return groups
 }
 
-// Change is what became of an Order's members.
+// Change describes the difference between an Order and its successor.
 type Change struct {
-	// Sorted lists the members present by key; an Order copies it.
+	// Sorted lists the present members by key; the Order copies it.
 	Sorted []*Member
-	// Touched holds by hash the members that changed, nil for those no longer present.
+	// Changed maps the hash of each changed member to the member, or to nil if it is no longer
+	// present.
 	Touched map[uint64]*Member
-	// Moved says that members came or went.
+	// MembershipChanged is set if members were added or removed.
 	Moved bool
-	// Digest identifies the view.
+	// Digest identifies the new view.
 	Digest uint64
 }
 
-// Next is the order after some members changed.
+// Next returns the order after a change.
 //
-// It shares with o what did not change: built from nothing at 25,000 members,
-// an order costs some 30,000 allocations, for each row of a mass loss.
+// It shares the unchanged parts with o: rebuilding an order of a large fleet for every row of a
+// mass failure would cost an allocation or more per member each time.
 func (o *Order) Next(c Change) *Order {
 	next := &Order{members: slices.Clone(c.Sorted), ranks: o.ranks, services: maps.Clone(o.services), digest: c.Digest}
 	next.alive = o.alive
 	if c.Moved {
 		next.ranks = ranksOf(next.members)
 	}
-	changed := map[string]bool{}
+	changedServices := map[string]bool{}
 	for hash, member := range c.Touched {
 		if rank, found := o.RankOf(hash); found {
-			next.alive -= o.members[rank].countAlive()
-			changed[o.members[rank].row.Service] = true
+			next.alive -= o.members[rank].aliveCount()
+			changedServices[o.members[rank].row.Service] = true
 		}
 		if member != nil {
-			next.alive += member.countAlive()
-			changed[member.row.Service] = true
+			next.alive += member.aliveCount()
+			changedServices[member.row.Service] = true
 		}
 	}
-	delete(changed, "")
-	next.regroup(changed, c.Touched)
+	delete(changedServices, "")
+	next.regroup(changedServices, c.Touched)
 	return next
 }
 
-// regroup lists the members of changed services again.
-func (o *Order) regroup(changed map[string]bool, touched map[uint64]*Member) {
+// regroup rebuilds the groups of the changed services.
+func (o *Order) regroup(services map[string]bool, members map[uint64]*Member) {
 	lists := map[string][]*Member{}
-	for service := range changed {
+	for service := range services {
 		for _, group := range o.services[service] {
 			for _, m := range group.members {
-				if _, replaced := touched[m.key.Hash]; !replaced {
+				if _, replaced := members[m.key.Hash]; !replaced {
 					lists[service] = append(lists[service], m)
 				}
 			}
 		}
 	}
-	for _, m := range touched {
+	for _, m := range members {
 		if m != nil && m.row.Service != "" {
 			lists[m.row.Service] = append(lists[m.row.Service], m)
 		}
 	}
-	for service := range changed {
+	for service := range services {
 		delete(o.services, service)
 		slices.SortFunc(lists[service], CompareMembers)
 		for _, m := range lists[service] {
@@ -142,34 +144,36 @@
 	}
 }
 
-// Len is how many members the order has.
+// Len returns the number of members.
 func (o *Order) Len() int { return len(o.members) }
 
-// Alive is how many members are not suspected.
+// Alive returns the number of members that are not suspected.
 func (o *Order) Alive() int { return o.alive }
 
 // Digest identifies the view.
 func (o *Order) Digest() uint64 { return o.digest }
 
-// At is the member of a rank.
+// At returns the member at a rank.
 func (o *Order) At(rank int) *Member { return o.members[rank] }
 
-// Rank finds a member's place by its ID.
+// Rank returns the rank of the member with the given ID.
 func (o *Order) Rank(id string) (int, bool) {
 	rank, found := o.RankOf(HashID(id))
 	return rank, found && o.members[rank].row.ID == id
 }
 
-// RankOf finds a member's place by the hash of its ID.
+// RankOf returns the rank of the member whose ID has the given hash.
 func (o *Order) RankOf(hash uint64) (int, bool) {
 	rank, found := o.ranks[hash]
 	return int(rank), found
 }
 
-// Search is the rank of the first member whose key is at least key.
+// Search returns the rank of the first member whose key is at least key, or Len if there is
+// none.
 func (o *Order) Search(key Key) int {
 	return sort.Search(len(o.members), func(i int) bool { return o.members[i].key.Compare(key) >= 0 })
 }
 
-// Targets lists the members of a service, grouped by domain; the groups must not be changed.
+// Targets returns the members of a service grouped by failure domain; callers must not modify
+// the groups.
 func (o *Order) Targets(service string) []Group { return o.services[service] }
--- a/lib/bfroster/order_test.go
+++ b/lib/bfroster/order_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed to make the tests deterministic.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -31,9 +31,9 @@
 	})
 }
 
-// Nodes cut the order at the ends of keys, domains and regions. No key may lie
-// between an end and what follows it, or its member would be told of nothing.
-func TestNoKeyLiesBetweenAnEndAndWhatFollows(t *testing.T) {
+// Nodes split the order at the ends of keys, domains and regions. Guards against a key between
+// an end and the next range, whose member would receive no messages.
+func TestRangeEndsLeaveNoGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k, o := keyGen().Draw(t, "k"), keyGen().Draw(t, "o")
 		inRegion := o.Region == k.Region
@@ -44,19 +44,19 @@
 		}{
 			"key": {k.After(), o == k}, "domain": {k.DomainEnd(), inDomain}, "region": {k.RegionEnd(), inRegion},
 		} {
-			behind := o.Compare(k) > 0 && !want.inside
-			if got := o.Compare(want.end) >= 0; got != behind {
-				t.Fatalf("%+v behind the end of the %s of %+v: %v", o, name, k, got)
+			after := o.Compare(k) > 0 && !want.inside
+			if got := o.Compare(want.end) >= 0; got != after {
+				t.Fatalf("%+v is after the end of the %s of %+v: %v", o, name, k, got)
 			}
 		}
 		if start := k.DomainStart(); start.Compare(k) > 0 || inDomain && start.Compare(o) > 0 {
-			t.Fatalf("%+v starts behind its domain's keys", start)
+			t.Fatalf("domain start %+v is after a key of the domain", start)
 		}
 	})
 }
 
-// Two nodes merge the same rows in different orders. They agree only if Compare
-// is a total order that finds no two different rows equal.
+// Nodes merge the same rows in different sequences, and converge only if Compare is a total
+// order that treats no two different rows as equal.
 func TestCompareIsATotalOrder(t *testing.T) {
 	rows := rapid.Custom(func(t *rapid.T) Row {
 		return Row{
@@ -67,21 +67,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := rows.Draw(t, "a"), rows.Draw(t, "b"), rows.Draw(t, "c")
 		if Compare(a, b) != -Compare(b, a) || (Compare(a, b) == 0) != (a == b) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("not antisymmetric: %v and %v", a, b)
 		}
 		if Compare(a, b) <= 0 && Compare(b, c) <= 0 && Compare(a, c) > 0 {
-			t.Fatalf("%v, %v and %v", a, b, c)
+			t.Fatalf("not transitive: %v, %v and %v", a, b, c)
 		}
 	})
 }
 
-// Members change their state, service and domain, come and go. The order that
-// shares with the one before must be the one made anew from all rows.
-func TestNextIsTheOrderMadeAnew(t *testing.T) {
+// Members change state, service and domain, join and leave. An order built incrementally must
+// equal one built from all rows.
+func TestNextEqualsRebuiltOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows, order := map[uint64]Row{}, NewOrder(nil)
 		for range rapid.IntRange(1, 12).Draw(t, "orders") {
-			touched := map[uint64]*Member{}
+			changed := map[uint64]*Member{}
 			for range rapid.IntRange(1, 6).Draw(t, "rows") {
 				row := Row{
 					ID: fmt.Sprint(rapid.IntRange(0, 15).Draw(t, "member")), State: State(rapid.IntRange(0, 3).Draw(t, "state")),
@@ -89,25 +89,25 @@
 					Service: rapid.SampledFrom([]string{"", "portal-core", "asset-vault"}).Draw(t, "service"),
 				}
 				rows[HashID(row.ID)] = row
-				touched[HashID(row.ID)] = nil
+				changed[HashID(row.ID)] = nil
 			}
-			order = order.Next(changeTo(rows, touched))
+			order = order.Next(changeTo(rows, changed))
 			compareOrders(t, order, NewOrder(slices.Collect(maps.Values(rows))))
 		}
 	})
 }
 
-// changeTo is the change to rows; the lists hold the same members.
-func changeTo(rows map[uint64]Row, touched map[uint64]*Member) Change {
-	change := Change{Touched: touched, Moved: true}
+// changeTo returns the change that leads to rows; Sorted and touched share the members.
+func changeTo(rows map[uint64]Row, changed map[uint64]*Member) Change {
+	change := Change{Touched: changed, Moved: true}
 	for hash, row := range rows {
 		if !row.State.Present() {
 			continue
 		}
 		member := NewMember(row, false)
 		change.Sorted = append(change.Sorted, member)
-		if _, found := touched[hash]; found {
-			touched[hash] = member
+		if _, found := changed[hash]; found {
+			changed[hash] = member
 		}
 	}
 	slices.SortFunc(change.Sorted, CompareMembers)
@@ -132,7 +132,7 @@
 	}
 }
 
-// describe lists a service's groups with their members.
+// describe formats a service's groups with their members.
 func describe(o *Order, service string) string {
 	var text string
 	for _, g := range o.Targets(service) {
--- a/lib/bfroster/row.go
+++ b/lib/bfroster/row.go
@@ -7,10 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what the fleet believes of a member; within one sequence number the larger value wins.
+// State is a member's liveness state; among rows with the same sequence number the larger state
+// takes precedence.
 type State uint8
 
-// The states of a member.
+// Liveness states of a member.
 const (
 	Alive State = iota
 	Suspect
@@ -18,16 +19,16 @@
 	Left
 )
 
-// String is the form of pages and logs.
+// String returns the name used on status pages and in logs.
 func (s State) String() string { return nameOf(int(s), "alive", "suspect", "dead", "left") }
 
-// Present reports whether a member in the state still belongs to the Order.
+// Present reports whether a member in this state is included in an Order.
 func (s State) Present() bool { return s == Alive || s == Suspect }
 
-// TargetState is what a member's node says of its target.
+// TargetState is the state of a member's target as reported by its node.
 type TargetState uint8
 
-// The states of a target.
+// States of a target.
 const (
 	TargetNone TargetState = iota
 	TargetCold
@@ -36,7 +37,7 @@
 	TargetSilent
 )
 
-// String is the form of pages and logs.
+// String returns the name used on status pages and in logs.
 func (s TargetState) String() string {
 	return nameOf(int(s), "none", "cold", "ready", "leaving", "silent")
 }
@@ -48,22 +49,23 @@
 	return fmt.Sprintf("unknown(%d)", i)
 }
 
-// Row is what the fleet knows of one member.
+// Row is the replicated state of one member.
 //
-// Only the member itself changes its row, and within one incarnation only
-// Sequence, State, Target and Slots; others may only raise State. So two rows
-// with the same incarnation and sequence differ in State alone.
+// Only the member itself changes its row, and within one incarnation only Sequence, State,
+// Target and Slots; other members may only raise State. Two rows with the same incarnation and
+// sequence therefore differ in State alone.
 type Row struct {
 	// ID is the instance's name.
 	ID      string `cbor:"1,keyasint"`
 	Region  string `cbor:"2,keyasint,omitempty"`
 	Domain  string `cbor:"3,keyasint,omitempty"`
 	Service string `cbor:"4,keyasint,omitempty"`
-	// Peer is the address for other nodes.
+	// Peer is the address for calls from other nodes.
 	Peer string `cbor:"5,keyasint"`
 	// Inbound is the HTTP address of the target's guard.
 	Inbound string `cbor:"6,keyasint,omitempty"`
-	// Incarnation is when the process started or last refuted its death, in microseconds since 1970.
+	// Incarnation is when the process started or last refuted its death, in microseconds since
+	// 1970.
 	Incarnation uint64      `cbor:"7,keyasint"`
 	Sequence    uint64      `cbor:"8,keyasint,omitempty"`
 	State       State       `cbor:"9,keyasint,omitempty"`
@@ -71,19 +73,19 @@
 	Slots       uint32      `cbor:"11,keyasint,omitempty"`
 }
 
-// HashID is the 64-bit hash by which messages name a member.
+// HashID returns the 64-bit hash that identifies a member in messages.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Key is the row's place in the Order.
+// Key returns the row's sort key in an Order.
 func (r Row) Key() Key { return Key{Region: r.Region, Domain: r.Domain, Hash: HashID(r.ID)} }
 
-// DomainKey is the first key of the row's domain, which also names the domain.
+// DomainKey returns the smallest key of the row's domain, which also identifies the domain.
 func (r Row) DomainKey() Key { return Key{Region: r.Region, Domain: r.Domain} }
 
-// Compare orders two rows of one member; the larger one is the later knowledge.
+// Compare orders two rows of one member; the larger one is newer.
 //
-// The content after State only decides between rows that can't both exist; it
-// keeps merging commutative even so, and the fleet agrees on one of them.
+// The fields after State only decide between rows that cannot both be valid. Comparing them
+// keeps merging commutative, so that all nodes select the same row.
 func Compare(a, b Row) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
@@ -99,27 +101,27 @@
 	)
 }
 
-// RowError reports a row that can't be of a member.
+// RowError reports an invalid field of a row.
 type RowError struct {
 	ID     string
 	Field  string
 	Reason string
 }
 
-// Error names the member, the field and the reason.
+// Error returns the member, the field and the reason.
 func (e *RowError) Error() string { return fmt.Sprintf("row of %q: %s %s", e.ID, e.Field, e.Reason) }
 
 const (
-	// MaxText bounds each text of a row.
+	// MaxText is the maximum length of each string field of a row in bytes.
 	MaxText = 96
-	// MaxSequence bounds sequences and epochs.
+	// MaxSequence is the largest valid sequence number and epoch.
 	MaxSequence = 1 << 60
-	// maxIncarnation leaves a member room to refute: a broken row with the
-	// largest number could never be outdone, and its member would stay dead.
+	// maxIncarnation leaves a member room to refute its death: no refutation could exceed a
+	// corrupt row with the largest number, and the member would stay dead.
 	maxIncarnation = 1 << 60
 )
 
-// Check refuses a row that can't be of a member.
+// Check returns a RowError for the first invalid field, or nil.
 func (r Row) Check() error {
 	texts := []struct{ field, value string }{
 		{"id", r.ID}, {"region", r.Region}, {"domain", r.Domain},
