--- a/lib/bfannounce/doc.go
+++ b/lib/bfannounce/doc.go
@@ -1,4 +1,4 @@
-// Package bfannounce is what a target and the node beside it tell each other:
-// the target announces itself and repeats that as its heartbeat, and the node
-// answers how much of the target's work is still in flight.
+// Package bfannounce implements the protocol between a target and the node beside it: the
+// target announces itself periodically as its heartbeat, and the node answers with the number
+// of the target's requests in flight.
 package bfannounce
