--- a/lib/bfpresence/doc.go
+++ b/lib/bfpresence/doc.go
@@ -1,3 +1,3 @@
-// Package bfpresence keeps this node's row in the table of members true: the row
-// is there while the node's target takes work.
+// Package bfpresence reconciles this node's row in the members table with the state of its
+// target: the row exists while the target accepts work.
 package bfpresence
--- a/lib/bfpresence/presence.go
+++ b/lib/bfpresence/presence.go
@@ -14,35 +14,37 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Parts is what a Presence works with.
+// Parts holds the dependencies of a Presence.
 type Parts struct {
 	Table string
 	Key   string
 	Rows  bfstore.Rows
-	// Together writes the row together with those of other nodes; nil, or an error other
-	// than ConflictError, has the node write it alone.
+	// WriteBatched writes the row in a batch with rows of other nodes. If it is nil or returns
+	// an error other than ConflictError, the node writes the row directly.
 	Together func(ctx context.Context, write bfstore.RowWrite) (uint64, error)
 	Timer    *bftimer.Service
 	Logger   *bflog.Logger
 	Metrics  *bfmetric.Registry
 }
 
-// Presence keeps one row true.
+// Presence reconciles one row with its desired value.
 type Presence struct {
 	parts  Parts
 	writes *bfmetric.Counter
 	wake   chan struct{}
 
 	mu sync.Mutex
-	// decided says that it is known what the row should be.
-	decided bool
-	want    []byte
-	// seen says that the table was read, and have what it held.
-	seen bool
-	have bfstore.Entry
+	// hasDesired is set once SetDesired was called; a nil desired means that the row should not
+	// exist.
+	hasDesired bool
+	desired    []byte
+	// hasObserved is set once the row was read from the table; observed is its last known
+	// state.
+	hasObserved bool
+	observed    bfstore.Entry
 }
 
-// New makes a presence that leaves the row alone until Want.
+// New returns a presence that does not write the row before SetDesired and Observe are called.
 func New(parts Parts) *Presence {
 	return &Presence{
 		parts: parts, wake: make(chan struct{}, 1),
@@ -50,26 +52,26 @@
 	}
 }
 
-// Want sets what the row should hold; nil has it removed.
+// Want sets the desired value of the row; nil removes it.
 func (p *Presence) Want(value []byte) {
 	p.mu.Lock()
-	p.decided, p.want = true, value
+	p.hasDesired, p.desired = true, value
 	p.mu.Unlock()
-	p.poke()
+	p.notify()
 }
 
-// Seen takes what the table holds for the row; Removed where it holds nothing.
+// Seen receives the row's state in the table; Removed is set if it does not exist.
 func (p *Presence) Seen(entry bfstore.Entry) {
 	p.mu.Lock()
-	stale := p.seen && entry.Revision < p.have.Revision
+	stale := p.hasObserved && entry.Revision < p.observed.Revision
 	if !stale {
-		p.seen, p.have = true, entry
+		p.hasObserved, p.observed = true, entry
 	}
 	p.mu.Unlock()
-	p.poke()
+	p.notify()
 }
 
-func (p *Presence) poke() {
+func (p *Presence) notify() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -77,21 +79,21 @@
 }
 
 const (
-	// firstPause and lastPause bound the pause after a failed write. Entries are
-	// due within two seconds of the store's return.
-	firstPause = 150 * time.Millisecond
-	lastPause  = time.Second
-	pauseShare = 0.3
+	// minBackoff and maxBackoff bound the pause after a failed write. A row must be written
+	// within two seconds of the store's recovery.
+	minBackoff    = 150 * time.Millisecond
+	maxBackoff    = time.Second
+	backoffJitter = 0.3
 )
 
-// Run writes the row whenever it is not what it should be, until ctx ends.
+// Run writes the row whenever it differs from its desired value, until ctx ends.
 func (p *Presence) Run(ctx context.Context) error {
-	pause := firstPause
+	backoff := minBackoff
 	for {
-		err := p.settle(ctx)
+		err := p.reconcile(ctx)
 		switch {
 		case err == nil:
-			pause = firstPause
+			backoff = minBackoff
 			select {
 			case <-p.wake:
 			case <-ctx.Done():
@@ -102,68 +104,69 @@
 			return nil
 		}
 		p.parts.Logger.Emit(bflog.AnnounceError, bflog.Err(err))
-		if p.parts.Timer.Wait(ctx, p.parts.Timer.Jittered(pause, pauseShare)()) != nil {
+		if p.parts.Timer.Wait(ctx, p.parts.Timer.Jittered(backoff, backoffJitter)()) != nil {
 			return nil
 		}
-		pause = min(2*pause, lastPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// Settled reports whether the row is what it should be.
+// Settled reports whether no write of the row is pending.
 func (p *Presence) Settled() bool {
-	_, _, due := p.due()
-	return !due
+	_, _, pending := p.pendingWrite()
+	return !pending
 }
 
-// due is the write that is to be made, if one is.
-func (p *Presence) due() (want []byte, have bfstore.Entry, due bool) {
+// pendingWrite returns the desired value and the last known state of the row; pending is set if
+// they differ.
+func (p *Presence) pendingWrite() (desired []byte, observed bfstore.Entry, pending bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.decided || !p.seen {
+	if !p.hasDesired || !p.hasObserved {
 		return nil, bfstore.Entry{}, false
 	}
-	if p.want == nil {
-		return nil, p.have, !p.have.Removed
+	if p.desired == nil {
+		return nil, p.observed, !p.observed.Removed
 	}
-	return p.want, p.have, p.have.Removed || !bytes.Equal(p.have.Value, p.want)
+	return p.desired, p.observed, p.observed.Removed || !bytes.Equal(p.observed.Value, p.desired)
 }
 
-func (p *Presence) settle(ctx context.Context) error {
-	want, have, due := p.due()
-	if !due {
+func (p *Presence) reconcile(ctx context.Context) error {
+	desired, observed, pending := p.pendingWrite()
+	if !pending {
 		return nil
 	}
-	written, err := p.write(ctx, want, have)
+	written, err := p.write(ctx, desired, observed)
 	var conflict *bfstore.ConflictError
 	if errors.As(err, &conflict) {
-		// The row is another one by now; the table's follower brings it.
+		// The row has changed in the meantime; the table's follower will report its new state.
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	p.parts.Logger.Emit(bflog.Announced, slog.Bool("present", want != nil), slog.Uint64("revision", written.Revision))
+	p.parts.Logger.Emit(bflog.Announced, slog.Bool("present", desired != nil), slog.Uint64("revision", written.Revision))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if written.Revision >= p.have.Revision {
-		p.have = written
+	if written.Revision >= p.observed.Revision {
+		p.observed = written
 	}
 	return nil
 }
 
-// write makes the row what it should be.
-func (p *Presence) write(ctx context.Context, want []byte, have bfstore.Entry) (bfstore.Entry, error) {
-	write := bfstore.RowWrite{Key: p.parts.Key, Value: want, Remove: want == nil, Revision: have.Revision}
-	if have.Removed {
+// write conditionally writes or removes the row.
+func (p *Presence) write(ctx context.Context, desired []byte, observed bfstore.Entry) (bfstore.Entry, error) {
+	write := bfstore.RowWrite{Key: p.parts.Key, Value: desired, Remove: desired == nil, Revision: observed.Revision}
+	if observed.Removed {
 		write.Revision = 0
 	}
 	revision, err := p.commit(ctx, write)
-	return bfstore.Entry{Key: write.Key, Value: want, Revision: revision, Removed: write.Remove}, err
+	return bfstore.Entry{Key: write.Key, Value: desired, Revision: revision, Removed: write.Remove}, err
 }
 
-// commit makes the write with others, or alone where that fails. The node that gathers
-// may have made it and its answer was lost: then the write alone is a conflict, and the
-// follower of the table brings what is there.
+// commit makes the write in a batch, or directly if that fails. If the batching node made the
+// write but its reply was lost, the direct write fails with a conflict, and the table's
+// follower reports the row.
 func (p *Presence) commit(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	if p.parts.Together != nil {
 		revision, err := p.parts.Together(ctx, write)
--- a/lib/bfpresence/presence_test.go
+++ b/lib/bfpresence/presence_test.go
@@ -16,19 +16,19 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// store counts writes and can be down, or perform a write and lose its answer.
+// store counts writes. It can be down, or make a write and lose its reply.
 type store struct {
 	*bfstore.MemoryRows
-	mu     sync.Mutex
-	down   bool
-	lost   bool
-	writes int
+	mu        sync.Mutex
+	down      bool
+	loseReply bool
+	writes    int
 }
 
-func (s *store) set(down, lost bool) {
+func (s *store) set(down, loseReply bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down, s.lost = down, lost
+	s.down, s.loseReply = down, loseReply
 }
 
 func (s *store) count() int {
@@ -40,13 +40,13 @@
 func (s *store) write(perform func() error) error {
 	s.mu.Lock()
 	s.writes++
-	down, lost := s.down, s.lost
+	down, loseReply := s.down, s.loseReply
 	s.mu.Unlock()
 	if down {
 		return &bfstore.UnavailableError{Reason: "test"}
 	}
 	err := perform()
-	if lost {
+	if loseReply {
 		return &bfstore.UnknownError{Reason: "test"}
 	}
 	return err
@@ -60,7 +60,7 @@
 	return revision, err
 }
 
-// row is the row as it stands, "" where there is none.
+// row returns the row, with Removed set if it does not exist.
 func (s *store) row() bfstore.Entry {
 	entries, _, _ := s.List(context.Background(), "members")
 	if len(entries) == 0 {
@@ -69,7 +69,7 @@
 	return entries[0]
 }
 
-func under(t *testing.T, fn func(is *is.I, s *store, p *Presence)) {
+func runPresence(t *testing.T, fn func(is *is.I, s *store, p *Presence)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{MemoryRows: bfstore.NewMemoryRows()}
@@ -87,10 +87,10 @@
 }
 
 func TestOneWriteForEachChange(t *testing.T) {
-	under(t, func(is *is.I, s *store, p *Presence) {
+	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		p.Want([]byte("here"))
 		synctest.Wait()
-		is.Equal(s.count(), 0) // what the table holds is not known yet
+		is.Equal(s.count(), 0) // the table has not been read yet
 		p.Seen(s.row())
 		synctest.Wait()
 		is.Equal(string(s.row().Value), "here")
@@ -106,24 +106,24 @@
 	})
 }
 
-// A node starts beside a target that runs; its row still stands from before.
+// A node restarts beside a running target while its row still exists. It must not write.
 func TestRestartWritesNothing(t *testing.T) {
-	under(t, func(is *is.I, s *store, p *Presence) {
+	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		_, err := s.MemoryRows.Put(context.Background(), "members", "self", []byte("here"), 0)
 		is.NoErr(err)
 		p.Seen(s.row())
 		synctest.Wait()
-		is.True(!s.row().Removed) // nothing was decided, so nothing is removed
+		is.True(!s.row().Removed) // no desired value is set, so nothing is removed
 		p.Want([]byte("here"))
 		synctest.Wait()
 		is.Equal(s.count(), 0)
 	})
 }
 
-// The store is away when the target becomes ready, and returns. The row is due
-// within two seconds of that.
-func TestStoreAway(t *testing.T) {
-	under(t, func(is *is.I, s *store, p *Presence) {
+// The store is down when the target becomes ready. The row must be written within two seconds
+// of its recovery.
+func TestStoreOutage(t *testing.T) {
+	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		p.Seen(s.row())
 		s.set(true, false)
 		p.Want([]byte("here"))
@@ -135,28 +135,29 @@
 	})
 }
 
-// A write takes effect and its answer is lost; then the target leaves. The row
-// must go, though the node never learned its revision from the write.
-func TestLostAnswerThenDeparture(t *testing.T) {
-	under(t, func(is *is.I, s *store, p *Presence) {
+// The reply to a successful write is lost, then the target leaves. The row must be removed
+// although the node never received its revision.
+func TestLostReplyThenRemoval(t *testing.T) {
+	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		p.Seen(s.row())
 		s.set(false, true)
 		p.Want([]byte("here"))
 		synctest.Wait()
 		s.set(false, false)
 		p.Want(nil)
-		p.Seen(s.row()) // the table's follower brings the row
+		p.Seen(s.row()) // as reported by the table's follower
 		time.Sleep(2 * time.Second)
 		is.True(s.row().Removed)
-		// The store performs the lost write once more, later; its condition no longer holds.
+		// The store makes the lost write a second time; its condition no longer holds.
 		_, err := s.MemoryRows.Put(context.Background(), "members", "self", []byte("late"), 1)
 		is.True(err != nil)
 	})
 }
 
-// Someone takes the node for gone and removes its row while its target works.
-func TestRowRemovedByOthersComesBack(t *testing.T) {
-	under(t, func(is *is.I, s *store, p *Presence) {
+// Another node considers this one dead and removes its row while its target works. The row must
+// be restored.
+func TestRowRemovedByPeerIsRestored(t *testing.T) {
+	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		p.Seen(s.row())
 		p.Want([]byte("here"))
 		synctest.Wait()
@@ -167,10 +168,10 @@
 	})
 }
 
-// The table's follower brings a state of the row from before this node's own
-// write. Taken for the present one, the row would be written again and again.
-func TestOldStateOfTheRowIsPassedOver(t *testing.T) {
-	under(t, func(is *is.I, s *store, p *Presence) {
+// The table's follower reports a state of the row from before this node's own write. It must be
+// ignored, or the row would be written again and again.
+func TestStaleObservationIsIgnored(t *testing.T) {
+	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		before := s.row()
 		p.Seen(before)
 		p.Want([]byte("here"))
@@ -182,10 +183,10 @@
 	})
 }
 
-// The node that writes rows for all is gone, or does not say how the write ended: it may
-// have been made. The row is written alone, and neither twice nor not at all.
-func TestRowIsWrittenAloneWhereNobodyGathers(t *testing.T) {
-	for _, made := range []bool{false, true} {
+// The batching node has failed, or does not report whether it made the write. The row must be
+// written exactly once.
+func TestFailedBatchFallsBackToDirectWrite(t *testing.T) {
+	for _, performed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			s := &store{MemoryRows: bfstore.NewMemoryRows()}
@@ -193,8 +194,8 @@
 			p := New(Parts{
 				Table: "members", Key: "self", Rows: s, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 				Together: func(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
-					if made {
-						// The second time it is a conflict: the first was made.
+					if performed {
+						// The second attempt is a conflict, since the first was made.
 						_, _ = s.MemoryRows.Write(ctx, "members", write)
 					}
 					return 0, context.DeadlineExceeded
