--- a/lib/bfrumor/doc.go
+++ b/lib/bfrumor/doc.go
@@ -1,7 +1,7 @@
-// Package bfrumor has nodes tell each other of requests under which targets end. What a
-// node learns itself goes at once to those who hear first, and they pass on what is new to
-// them; nodes that find by a digest that they know different things compare all they know.
+// Package bfrumor replicates between nodes the records of requests under which targets crashed.
+// A node sends its own new records at once to its first recipients, and these forward records
+// that are new to them. Nodes whose digests differ exchange all their records.
 //
-// The digest rides on messages that nodes exchange anyway, so that nothing is sent for it
-// while nothing is known.
+// The digest is piggybacked on messages that nodes exchange anyway, so that an empty set of
+// records causes no traffic.
 package bfrumor
--- a/lib/bfrumor/exchange.go
+++ b/lib/bfrumor/exchange.go
@@ -17,79 +17,80 @@
 const Method = "quarantine"
 
 const (
-	// callTimeout bounds one call; who does not hear it compares later.
+	// callTimeout bounds one call; a peer that misses it is repaired by comparison later.
 	callTimeout = time.Second
-	// gatherPause is the pause after telling others, in which what comes next gathers: many
-	// targets may end within milliseconds. It grows by peerPause for each peer that was
-	// told, so that the calls of a node that tells hundreds do not pile up.
-	gatherPause = 20 * time.Millisecond
-	peerPause   = time.Millisecond
-	// settlePause is how long a differing digest is given to agree by what is on its way.
-	settlePause = 100 * time.Millisecond
-	// comparePause is the least time between two comparisons that a node begins.
-	comparePause = time.Second
-	// sweepInterval is how often what matters no more is forgotten.
+	// batchPause is the pause after sending records, in which further records are batched,
+	// since many targets may crash within milliseconds. It grows by peerPause per peer, so that
+	// calls to hundreds of peers do not pile up.
+	batchPause = 20 * time.Millisecond
+	peerPause  = time.Millisecond
+	// convergeDelay is how long digests may differ because of messages in transit.
+	convergeDelay = 100 * time.Millisecond
+	// minCompareInterval is the minimum time between two comparisons that a node starts.
+	minCompareInterval = time.Second
+	// sweepInterval is the time between removals of expired records.
 	sweepInterval = time.Minute
 )
 
-// Caller makes calls to peers; it is the part of bfpeer.Calls that an Exchange needs.
+// Caller makes calls to peers; it is the subset of bfpeer.Calls that an Exchange needs.
 type Caller interface {
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Parts is what an Exchange works with.
+// Parts holds the dependencies of an Exchange.
 type Parts struct {
-	// Self is where the node takes calls.
+	// Self is the node's address for calls.
 	Self  string
 	Book  *bfquarantine.Book
 	Calls Caller
-	// Audience gives the peers that are told at once of what this node learned itself, or
-	// heard from another.
+	// Recipients returns the peers that records are sent to at once; own is set for this node's
+	// own records, and unset for those received from another node.
 	Audience func(own bool) []string
 	Timer    *bftimer.Service
-	// Spawn starts a goroutine of the node's group.
+	// Spawn starts a goroutine in the node's group.
 	Spawn func(name string, fn func(ctx context.Context) error)
 }
 
-// Exchange keeps a node's book the same as those of others.
+// Exchange keeps the records of a node's book equal to those of other nodes.
 type Exchange struct {
 	parts     Parts
 	comparing atomic.Bool
-	// wake has the telling look for what was heard.
+	// wake signals Run that records were received.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// heard are the records that others told and that were new here.
-	heard []bfquarantine.Record
+	// received holds records from other nodes that were new to this one and are to be
+	// forwarded.
+	received []bfquarantine.Record
 }
 
-// New makes the exchange of a node.
+// New returns the exchange of a node.
 func New(parts Parts) *Exchange { return &Exchange{parts: parts, wake: make(chan struct{}, 1)} }
 
-// message is a call: what its sender tells.
+// message is the request of a call.
 type message struct {
 	Peer string `json:"peer"`
 	// Records are bfquarantine.Records in CBOR.
 	Records []byte `json:"records,omitempty"`
-	// Compare says that Records are all that the sender knows, and asks for all that is
-	// known here.
+	// Compare states that Records are all records of the sender, and requests all records of
+	// the receiver.
 	Compare bool `json:"compare,omitempty"`
 }
 
-// reply is what the called node tells of its own.
+// reply is the response to a message; Records is set if Compare was.
 type reply struct {
 	Records []byte `json:"records,omitempty"`
 }
 
-// Methods are the calls that the exchange answers.
+// Methods returns the calls that the exchange serves.
 func (e *Exchange) Methods() bfpeer.Methods {
-	return bfpeer.Methods{Method: {Purpose: bfpeer.Repair, Handle: e.answer}}
+	return bfpeer.Methods{Method: {Purpose: bfpeer.Repair, Handle: e.handle}}
 }
 
-// Digest identifies what this node knows; it goes with messages to other nodes.
+// Digest identifies this node's records; it is piggybacked on messages to other nodes.
 func (e *Exchange) Digest() uint64 { return e.parts.Book.View().Digest() }
 
-// Run tells others until ctx ends.
+// Run sends and forwards new records until ctx ends.
 func (e *Exchange) Run(ctx context.Context) error {
 	sweep := e.parts.Timer.Every(func() time.Duration { return sweepInterval }, e.parts.Book.Sweep)
 	defer sweep.Stop()
@@ -100,24 +101,25 @@
 		case <-e.parts.Book.Changed():
 		case <-e.wake:
 		}
-		told := e.tell(e.parts.Audience(true), e.parts.Book.TakeNews(e.parts.Timer.Now()))
-		told += e.tell(e.parts.Audience(false), e.takeHeard())
-		if e.parts.Timer.Wait(ctx, gatherPause+time.Duration(told)*peerPause) != nil {
+		sent := e.send(e.parts.Audience(true), e.parts.Book.TakeNews(e.parts.Timer.Now()))
+		sent += e.send(e.parts.Audience(false), e.takeReceived())
+		if e.parts.Timer.Wait(ctx, batchPause+time.Duration(sent)*peerPause) != nil {
 			return nil
 		}
 	}
 }
 
-func (e *Exchange) takeHeard() []bfquarantine.Record {
+func (e *Exchange) takeReceived() []bfquarantine.Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	heard := e.heard
-	e.heard = nil
-	return heard
+	received := e.received
+	e.received = nil
+	return received
 }
 
-// tell tells peers, and returns how many; one that does not hear it finds another digest later.
-func (e *Exchange) tell(peers []string, records []bfquarantine.Record) (told int) {
+// send sends records to peers and returns the number of peers. Failed calls are not retried:
+// the peer's digest will differ, and a comparison repairs it.
+func (e *Exchange) send(peers []string, records []bfquarantine.Record) (sent int) {
 	if len(records) == 0 {
 		return 0
 	}
@@ -126,58 +128,58 @@
 		return 0
 	}
 	for _, peer := range peers {
-		e.parts.Spawn("tell of crashes", func(ctx context.Context) error {
-			var nothing reply
-			_ = e.call(ctx, peer, message{Peer: e.parts.Self, Records: data}, &nothing)
+		e.parts.Spawn("send crash records", func(ctx context.Context) error {
+			var ignored reply
+			_ = e.call(ctx, peer, message{Peer: e.parts.Self, Records: data}, &ignored)
 			return nil
 		})
 	}
 	return len(peers)
 }
 
-func (e *Exchange) call(ctx context.Context, peer string, m message, told *reply) error {
+func (e *Exchange) call(ctx context.Context, peer string, m message, result *reply) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return e.parts.Calls.Call(ctx, peer, Method, m, told)
+	return e.parts.Calls.Call(ctx, peer, Method, m, result)
 }
 
-// answer takes what another node tells.
-func (e *Exchange) answer(_ context.Context, params json.RawMessage) (any, error) {
-	var told message
-	if err := json.Unmarshal(params, &told); err != nil {
+// handle merges the records of another node's message.
+func (e *Exchange) handle(_ context.Context, params json.RawMessage) (any, error) {
+	var m message
+	if err := json.Unmarshal(params, &m); err != nil {
 		return nil, err
 	}
-	if err := e.take(told.Records); err != nil {
+	if err := e.merge(m.Records); err != nil {
 		return nil, err
 	}
-	if !told.Compare {
+	if !m.Compare {
 		return reply{}, nil
 	}
 	data, err := bfcodec.Marshal(e.parts.Book.Records(e.parts.Timer.Now()))
 	return reply{Records: data}, err
 }
 
-// take merges what another node told, and passes on what is new here.
-func (e *Exchange) take(data []byte) error {
+// merge decodes and merges records from another node.
+func (e *Exchange) merge(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
 	var records []bfquarantine.Record
-	if err := bfcodec.Unmarshal(data, "records of crashes", &records); err != nil {
+	if err := bfcodec.Unmarshal(data, "crash records", &records); err != nil {
 		return err
 	}
 	e.Take(records)
 	return nil
 }
 
-// Take merges records, and has others hear of what is new here.
+// Take adds records to the book and forwards those that are new to this node.
 func (e *Exchange) Take(records []bfquarantine.Record) {
-	learned := e.parts.Book.Merge(records, e.parts.Timer.Now())
-	if len(learned) == 0 {
+	added := e.parts.Book.Merge(records, e.parts.Timer.Now())
+	if len(added) == 0 {
 		return
 	}
 	e.mu.Lock()
-	e.heard = append(e.heard, learned...)
+	e.received = append(e.received, added...)
 	e.mu.Unlock()
 	select {
 	case e.wake <- struct{}{}:
@@ -185,22 +187,22 @@
 	}
 }
 
-// Saw takes the digest that a peer told, and has both compare what they know where it differs.
+// Saw receives the digest of a peer, and starts a comparison with the peer if it
+// still differs after convergeDelay.
 //
-// A node that was started anew, or was cut off while others learned something, knows
-// nothing of it and can't ask for it.
+// A node that restarted or was partitioned lacks records that it cannot know of otherwise.
 func (e *Exchange) Saw(peer string, digest uint64) {
 	if digest == e.Digest() || !e.comparing.CompareAndSwap(false, true) {
 		return
 	}
-	e.parts.Spawn("compare crashes", func(ctx context.Context) error {
+	e.parts.Spawn("compare crash records", func(ctx context.Context) error {
 		defer e.comparing.Store(false)
-		if e.parts.Timer.Wait(ctx, settlePause) != nil || digest == e.Digest() {
+		if e.parts.Timer.Wait(ctx, convergeDelay) != nil || digest == e.Digest() {
 			return nil
 		}
 		e.compare(ctx, peer)
-		// It ends with the node.
-		_ = e.parts.Timer.Wait(ctx, comparePause)
+		// An error means that the node stops.
+		_ = e.parts.Timer.Wait(ctx, minCompareInterval)
 		return nil
 	})
 }
@@ -210,9 +212,9 @@
 	if err != nil {
 		return
 	}
-	var told reply
-	if e.call(ctx, peer, message{Peer: e.parts.Self, Records: data, Compare: true}, &told) == nil {
-		// What can't be read is asked for again at the next digest.
-		_ = e.take(told.Records)
+	var response reply
+	if e.call(ctx, peer, message{Peer: e.parts.Self, Records: data, Compare: true}, &response) == nil {
+		// Unreadable records are requested again after the next differing digest.
+		_ = e.merge(response.Records)
 	}
 }
--- a/lib/bfrumor/exchange_test.go
+++ b/lib/bfrumor/exchange_test.go
@@ -19,7 +19,7 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// fleet is some exchanges that call each other in memory.
+// fleet is a set of exchanges that call each other in memory.
 type fleet struct {
 	*is.I
 	group *bfgroup.Group
@@ -28,26 +28,26 @@
 
 	mu    sync.Mutex
 	nodes map[string]*Exchange
-	// cut are the nodes that nobody reaches and that reach nobody.
-	cut map[string]bool
+	// partitioned holds the nodes that cannot reach any other.
+	partitioned map[string]bool
 }
 
-// from is a node's way to the others.
-type from struct {
+// caller is the Caller of one node.
+type caller struct {
 	fleet *fleet
 	name  string
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("node is partitioned")
 
-func (f from) Call(ctx context.Context, address, method string, params, result any) error {
+func (f caller) Call(ctx context.Context, address, method string, params, result any) error {
 	f.fleet.calls.Add(1)
 	f.fleet.mu.Lock()
 	to := f.fleet.nodes[address]
-	cut := f.fleet.cut[f.name] || f.fleet.cut[address] || to == nil
+	unreachable := f.fleet.partitioned[f.name] || f.fleet.partitioned[address] || to == nil
 	f.fleet.mu.Unlock()
-	if cut {
-		return errCut
+	if unreachable {
+		return errPartitioned
 	}
 	data, err := json.Marshal(params)
 	if err != nil {
@@ -65,19 +65,20 @@
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{I: is.New(t), group: bfgroup.New(context.Background()), timer: bftimer.New(1), nodes: map[string]*Exchange{}, cut: map[string]bool{}}
+	f := &fleet{I: is.New(t), group: bfgroup.New(context.Background()), timer: bftimer.New(1), nodes: map[string]*Exchange{}, partitioned: map[string]bool{}}
 	f.group.Go("timer", f.timer.Run)
 	t.Cleanup(f.group.Cancel)
 	return f
 }
 
-// start starts a node that tells audience; relays pass on what they hear.
-func (f *fleet) start(name string, relay bool, audience ...string) *Exchange {
+// start runs a node that sends its own records to recipients; a relay also forwards records
+// that it receives.
+func (f *fleet) start(name string, relay bool, recipients ...string) *Exchange {
 	e := New(Parts{
-		Self: name, Book: bfquarantine.New(name), Calls: from{f, name}, Timer: f.timer, Spawn: f.group.Go,
+		Self: name, Book: bfquarantine.New(name), Calls: caller{f, name}, Timer: f.timer, Spawn: f.group.Go,
 		Audience: func(own bool) []string {
 			if own || relay {
-				return audience
+				return recipients
 			}
 			return nil
 		},
@@ -98,7 +99,7 @@
 func (f *fleet) eventually(what string, holds func() bool) {
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
-			f.Fail() // what
+			f.Fail() // condition not met in time
 			panic(what)
 		}
 	}
@@ -106,8 +107,8 @@
 
 func holds(e *Exchange) bool { return e.parts.Book.View().Holds() }
 
-// Guards against nodes that each saw one end of a target, and none of which knows of three.
-func TestEndsSeenByDifferentNodesAddUp(t *testing.T) {
+// Guards against crashes that were each observed by a different node not being added up.
+func TestCrashesSeenByDifferentNodesAddUp(t *testing.T) {
 	f := newFleet(t)
 	relay := f.start("relay", true, "a", "b", "c", "d")
 	var others []*Exchange
@@ -115,9 +116,9 @@
 		others = append(others, f.start(name, false, "relay"))
 	}
 	for i, e := range others[:3] {
-		f.crash(e, fmt.Sprint("end ", i))
+		f.crash(e, fmt.Sprint("crash ", i))
 	}
-	f.eventually("all hold it", func() bool {
+	f.eventually("all nodes hold the request back", func() bool {
 		for _, e := range others {
 			if !holds(e) {
 				return false
@@ -125,37 +126,38 @@
 		}
 		return holds(relay)
 	})
-	time.Sleep(5 * gatherPause)
+	time.Sleep(5 * batchPause)
 	called := f.calls.Load()
-	time.Sleep(5 * gatherPause)
-	f.Equal(f.calls.Load(), called) // what everybody knows is passed on no more
+	time.Sleep(5 * batchPause)
+	f.Equal(f.calls.Load(), called) // records that every node holds are not forwarded any more
 }
 
-// Guards against a node that was started anew, or was cut off, running what others hold.
-func TestNodeThatMissedItComparesByTheDigest(t *testing.T) {
+// Guards against a node that restarted or was partitioned running requests that others hold
+// back.
+func TestNodeWithMissedRecordsIsRepaired(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("a", true, "b")
 	b := f.start("b", true, "a")
 	f.mu.Lock()
-	f.cut["b"] = true
+	f.partitioned["b"] = true
 	f.mu.Unlock()
 	for i := range 3 {
-		f.crash(a, fmt.Sprint("end ", i))
+		f.crash(a, fmt.Sprint("crash ", i))
 	}
-	f.eventually("told in vain", func() bool { return f.calls.Load() > 0 })
+	f.eventually("a call failed", func() bool { return f.calls.Load() > 0 })
 	f.True(!holds(b))
 	f.mu.Lock()
-	f.cut["b"] = false
+	f.partitioned["b"] = false
 	f.mu.Unlock()
 	b.Saw("a", a.Digest())
 	f.eventually("compared", func() bool { return holds(b) })
-	anew := f.start("c", true)
-	a.Saw("c", anew.Digest()) // it is the other that finds the difference
-	f.eventually("brought", func() bool { return holds(anew) })
+	restarted := f.start("c", true)
+	a.Saw("c", restarted.Digest()) // the other node detects the difference
+	f.eventually("the restarted node has the records", func() bool { return holds(restarted) })
 }
 
-// Guards against nodes comparing again and again.
-func TestComparingIsRare(t *testing.T) {
+// Guards against continual comparisons.
+func TestComparisonsAreRateLimited(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("a", true)
 	f.start("b", true)
@@ -168,19 +170,19 @@
 	f.Equal(f.calls.Load(), int32(1))
 }
 
-// Guards against damaged messages being taken for news.
+// Guards against damaged messages being merged.
 func TestDamagedMessages(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("a", true)
 	for _, params := range []string{"", "[]", `{"records":"AAAA"}`, `{"records":7}`, `{"records":"oWFhAQ==","compare":true}`} {
-		_, err := a.answer(context.Background(), json.RawMessage(params))
-		f.True(err != nil) // params
+		_, err := a.handle(context.Background(), json.RawMessage(params))
+		f.True(err != nil) // a damaged message must be rejected
 	}
 	f.Equal(a.Digest(), uint64(0))
 }
 
-// Guards against the news of one crash taking more than a packet.
-func TestNewsOfACrashFitsAPacket(t *testing.T) {
+// Guards against the records of one crash exceeding a datagram.
+func TestRecordsOfACrashFitADatagram(t *testing.T) {
 	is := is.New(t)
 	book := bfquarantine.New("n")
 	var ran []bfquarantine.Key
