--- a/lib/bfdirectory/directory.go
+++ b/lib/bfdirectory/directory.go
@@ -8,12 +8,12 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// Member is one instance as the membership has it.
+// Member is an instance with its addresses and its target.
 type Member struct {
-	// Home is the instance with its node's incarnation.
+	// Home identifies the instance together with its node's incarnation.
 	Home          bfrecord.Home
 	FailureDomain string
-	// Service is empty while no target has announced itself there.
+	// Service is empty until a target has announced itself on the instance.
 	Service string
 	// Inbound and Peer are the node's addresses for requests and for calls.
 	Inbound string
@@ -21,7 +21,7 @@
 	Target  bfchoice.Member
 }
 
-// Directory holds the current members; readers take no lock.
+// Directory holds the current members; reads are lock-free.
 type Directory struct {
 	ownDomain string
 	current   atomic.Pointer[snapshot]
@@ -33,17 +33,17 @@
 	targets  map[string][]bfchoice.Member
 }
 
-// New makes an empty directory for a node in ownDomain.
+// New returns an empty directory for a node in ownDomain.
 func New(ownDomain string) *Directory {
 	d := &Directory{ownDomain: ownDomain}
 	d.current.Store(&snapshot{})
 	return d
 }
 
-// Swap puts members in place of the current ones; only one goroutine may call it.
+// Swap replaces the current members; it must not be called concurrently.
 //
-// A service whose targets are all gone keeps its chooser, without targets: it
-// is what was seen of them, which counts again when they return.
+// A service that has lost all targets keeps its chooser, whose observations of those targets
+// apply again when they return.
 func (d *Directory) Swap(members []Member) {
 	old := d.current.Load()
 	next := &snapshot{
@@ -73,18 +73,18 @@
 	d.current.Store(next)
 }
 
-// Member finds an instance.
+// Member returns the member of an instance.
 func (d *Directory) Member(instance string) (Member, bool) {
 	member, found := d.current.Load().members[instance]
 	return member, found
 }
 
-// Chooser is the chooser of a service, or nil where the service never had a target.
+// Chooser returns the chooser of a service, or nil if the service never had a target.
 func (d *Directory) Chooser(service string) *bfchoice.Chooser {
 	return d.current.Load().choosers[service]
 }
 
-// Targets lists the targets of a service.
+// Targets returns the targets of a service.
 func (d *Directory) Targets(service string) []bfchoice.Member {
 	return d.current.Load().targets[service]
 }
--- a/lib/bfdirectory/doc.go
+++ b/lib/bfdirectory/doc.go
@@ -1,3 +1,3 @@
-// Package bfdirectory is the request path's view of the membership: which
-// instance is at which addresses, and the chooser of each service's targets.
+// Package bfdirectory is the request path's view of the members: the addresses of each
+// instance, and the chooser of each service's targets.
 package bfdirectory
