--- a/lib/bffollow/follow.go
+++ b/lib/bffollow/follow.go
@@ -13,135 +13,134 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Batch is news of a table.
+// Batch holds rows read from a table.
 type Batch struct {
-	// Whole says that Entries are the whole table and not just what changed.
+	// Full states that Entries are the full table and not only the changed rows.
 	Whole   bool
 	Entries []bfstore.Entry
-	// Revision is the store's as of which the batch is known.
+	// Revision is the store revision at which the rows were read.
 	Revision uint64
 }
 
 // Follower follows one table.
 type Follower struct {
-	table   string
-	rows    bfstore.Rows
-	apply   func(Batch)
-	gather  time.Duration
-	due     func() bool
-	held    func() uint64
-	timer   *bftimer.Service
-	logger  *bflog.Logger
-	calls   *bfmetric.Counter
-	healthy atomic.Bool
-	// following says that the node follows the table itself and that its last call was
-	// answered.
+	table         string
+	rows          bfstore.Rows
+	apply         func(Batch)
+	batchDelay    time.Duration
+	shouldFollow  func() bool
+	knownRevision func() uint64
+	timer         *bftimer.Service
+	logger        *bflog.Logger
+	calls         *bfmetric.Counter
+	healthy       atomic.Bool
+	// following is set while the node follows the table itself and its last call succeeded.
 	following atomic.Bool
-	// revision is that as of which the node itself read the table last.
+	// revision is the store revision of the node's own last read.
 	revision atomic.Uint64
-	// wake ends a pause of a node that does not follow.
+	// wake ends the idle pause of a node that does not follow the table.
 	wake chan struct{}
 }
 
-// Parts is what a Follower works with.
+// Parts holds the dependencies of a Follower.
 type Parts struct {
 	Table string
 	Rows  bfstore.Rows
 	Apply func(Batch)
-	// Gather is the pause after news, in which further changes come together: a
-	// change a fifth of a second would else cost a call each.
+	// BatchDelay is the pause after a change, in which further changes are batched to save
+	// calls.
 	Gather time.Duration
-	// Due reports whether this node is to follow the table itself, nil for always.
+	// ShouldFollow reports whether this node should follow the table itself; nil for always.
 	Due func() bool
-	// Held gives the revision as of which the table is known by the word of others, 0 for
-	// never; nil where nobody tells. What changed since is read, and not the whole table.
+	// KnownRevision returns the store revision of the rows received from other nodes, 0 for
+	// none; nil if no other node sends them. The follower then reads the changes since that
+	// revision instead of the full table.
 	Held    func() uint64
 	Timer   *bftimer.Service
 	Logger  *bflog.Logger
 	Metrics *bfmetric.Registry
 }
 
-// New makes a follower; Run follows.
+// New returns a follower, which Run starts.
 func New(parts Parts) *Follower {
 	return &Follower{
-		table: parts.Table, rows: parts.Rows, apply: parts.Apply, gather: parts.Gather, due: parts.Due, held: parts.Held, timer: parts.Timer, logger: parts.Logger,
+		table: parts.Table, rows: parts.Rows, apply: parts.Apply, batchDelay: parts.Gather, shouldFollow: parts.Due, knownRevision: parts.Held, timer: parts.Timer, logger: parts.Logger,
 		calls: parts.Metrics.Counter("store_reads_" + parts.Table), wake: make(chan struct{}, 1),
 	}
 }
 
-// Healthy reports whether the store answered the last call.
+// Healthy reports whether the last call to the store succeeded.
 func (f *Follower) Healthy() bool { return f.healthy.Load() }
 
-// Revision is that of the store as of which the node itself read the table last, 0 before.
+// Revision returns the store revision of the node's own last read, 0 before the first.
 func (f *Follower) Revision() uint64 { return f.revision.Load() }
 
 // Follows reports whether the node's own calls follow the table now.
 func (f *Follower) Follows() bool { return f.following.Load() }
 
 const (
-	// firstWait and lastWait are how long the store holds a call without news; each
-	// call without news waits waitGrowth times as long as the one before. A store that
-	// falls silent forgets the calls that come meanwhile, on connections that live:
-	// changes are missed until the call is given up. Two nodes of a fleet read, so that
-	// both may be forgotten, and their calls in the calm cost next to nothing.
-	firstWait  = 3 * time.Second
+	// minWait and maxWait bound how long the store may hold a call until a change arrives; each
+	// call without one waits waitGrowth times as long as the one before. The bound matters
+	// because a stalled store can drop pending calls while their connections stay open: changes
+	// are then missed until the call times out.
+	minWait    = 3 * time.Second
 	waitGrowth = 2
-	lastWait   = 5 * time.Second
-	// returnWait is the wait of calls that follow a failed one. A store that is back
-	// answers it at once, one that is still silent costs no more than this.
-	returnWait = 500 * time.Millisecond
-	// waitShare spreads the waits: nodes that all renewed their calls at one moment
-	// would all lose them in the same silence, and could not tell each other.
-	waitShare = 0.3
-	// firstPause and lastPause bound the pause after a failed call: refused calls
-	// are paid for too, and a store that returns is to be noticed in a second.
-	firstPause = 150 * time.Millisecond
-	lastPause  = time.Second
-	pauseShare = 0.3
-	// idlePause is how often a node that does not follow looks whether it is to.
-	idlePause = 100 * time.Millisecond
+	maxWait    = 5 * time.Second
+	// retryWait is the wait of calls that follow a failed one. A store that has recovered
+	// answers it at once, and one that is still stalled delays the node no longer than this.
+	retryWait = 500 * time.Millisecond
+	// waitJitter desynchronizes the waits: nodes that renewed their calls at the same moment
+	// would all lose them in the same stall, and none could update the others.
+	waitJitter = 0.3
+	// minBackoff and maxBackoff bound the pause after a failed call: failed calls cost money
+	// too, and a recovery of the store must be detected within about a second.
+	minBackoff    = 150 * time.Millisecond
+	maxBackoff    = time.Second
+	backoffJitter = 0.3
+	// idleInterval is how often a node that does not follow the table checks whether it should.
+	idleInterval = 100 * time.Millisecond
 )
 
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	at := position{}
-	pause, wait := firstPause, firstWait
+	backoff, wait := minBackoff, minWait
 	for ctx.Err() == nil {
-		if f.due != nil && !f.due() {
-			// What changes meanwhile others tell.
+		if f.shouldFollow != nil && !f.shouldFollow() {
+			// Other nodes send the changes in the meantime.
 			f.following.Store(false)
-			at = f.resumed(at)
+			at = f.resume(at)
 			f.idle(ctx)
 			continue
 		}
-		next, news, err := f.step(ctx, at, f.timer.Jittered(wait, waitShare)())
+		next, changed, err := f.poll(ctx, at, f.timer.Jittered(wait, waitJitter)())
 		if ctx.Err() != nil {
 			return nil
 		}
-		f.note(err)
+		f.recordResult(err)
 		at = next
 		if at.listed {
 			f.revision.Store(at.after)
 		}
 		if err != nil {
-			if f.timer.Wait(ctx, f.timer.Jittered(pause, pauseShare)()) != nil {
+			if f.timer.Wait(ctx, f.timer.Jittered(backoff, backoffJitter)()) != nil {
 				return nil
 			}
-			pause, wait = min(2*pause, lastPause), returnWait
+			backoff, wait = min(2*backoff, maxBackoff), retryWait
 			continue
 		}
-		pause, wait = firstPause, min(waitGrowth*wait, lastWait)
-		if news {
-			wait = firstWait
+		backoff, wait = minBackoff, min(waitGrowth*wait, maxWait)
+		if changed {
+			wait = minWait
 		}
-		if news && f.timer.Wait(ctx, f.gather) != nil {
+		if changed && f.timer.Wait(ctx, f.batchDelay) != nil {
 			return nil
 		}
 	}
 	return nil
 }
 
-// Wake has a node that does not follow look at once whether it is to.
+// Wake makes a node that does not follow the table check at once whether it should.
 func (f *Follower) Wake() {
 	select {
 	case f.wake <- struct{}{}:
@@ -149,13 +148,13 @@
 	}
 }
 
-// idle waits until it is time to look again.
+// idle waits for Wake or the next check.
 func (f *Follower) idle(ctx context.Context) {
-	waited, cancel := context.WithTimeout(ctx, idlePause)
+	timeout, cancel := context.WithTimeout(ctx, idleInterval)
 	defer cancel()
 	select {
 	case <-f.wake:
-	case <-waited.Done():
+	case <-timeout.Done():
 	}
 }
 
@@ -165,8 +164,9 @@
 	after  uint64
 }
 
-// step makes one call, held for a time at most; news says that something changed.
-func (f *Follower) step(ctx context.Context, at position, wait time.Duration) (position, bool, error) {
+// poll makes one call, which the store holds for at most wait; changed reports whether rows
+// changed.
+func (f *Follower) poll(ctx context.Context, at position, wait time.Duration) (position, bool, error) {
 	f.calls.Add(1)
 	if !at.listed {
 		entries, revision, err := f.rows.List(ctx, f.table)
@@ -191,24 +191,25 @@
 	return position{listed: true, after: max(revision, at.after)}, len(entries) > 0, nil
 }
 
-// resumed is from where the table is read on, by what was read itself and by the word of
-// others. The store says if it does not remember that far back.
-func (f *Follower) resumed(at position) position {
-	if f.held == nil {
+// resume returns the position from which to continue, from the node's own reads and the rows
+// received from others. The store reports an error if it no longer has the changes since then.
+func (f *Follower) resume(at position) position {
+	if f.knownRevision == nil {
 		return at
 	}
-	after := max(at.after, f.held())
+	after := max(at.after, f.knownRevision())
 	return position{listed: after > 0, after: after}
 }
 
-// note logs the loss and the return of the store.
-func (f *Follower) note(err error) {
+// recordResult updates the follower's health and logs when the store becomes unavailable or
+// recovers.
+func (f *Follower) recordResult(err error) {
 	f.following.Store(err == nil)
-	was := f.healthy.Swap(err == nil)
+	wasHealthy := f.healthy.Swap(err == nil)
 	switch {
-	case err != nil && was:
+	case err != nil && wasHealthy:
 		f.logger.Emit(bflog.StoreLost, slog.String("table", f.table), bflog.Err(err))
-	case err == nil && !was:
+	case err == nil && !wasHealthy:
 		f.logger.Emit(bflog.StoreRegained, slog.String("table", f.table))
 	}
 }
--- a/lib/bffollow/follow_test.go
+++ b/lib/bffollow/follow_test.go
@@ -17,42 +17,42 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// faulty is a store that can be down.
-type faulty struct {
+// faultyStore is a store that can be down or unresponsive.
+type faultyStore struct {
 	*bfstore.MemoryRows
 	mu   sync.Mutex
 	down bool
-	// silent has the calls that begin meanwhile forgotten.
-	silent bool
-	calls  int
-	lists  int
+	// unresponsive makes the store drop calls that begin while it is set.
+	unresponsive bool
+	calls        int
+	lists        int
 }
 
-func (f *faulty) setDown(down bool) {
+func (f *faultyStore) setDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
 }
 
-func (f *faulty) setSilent(silent bool) {
+func (f *faultyStore) setUnresponsive(unresponsive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent = silent
+	f.unresponsive = unresponsive
 }
 
-func (f *faulty) isSilent() bool {
+func (f *faultyStore) isUnresponsive() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.silent
+	return f.unresponsive
 }
 
-func (f *faulty) count() (calls, lists int) {
+func (f *faultyStore) count() (calls, lists int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls, f.lists
 }
 
-func (f *faulty) call(list bool) error {
+func (f *faultyStore) call(list bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
@@ -65,16 +65,16 @@
 	return nil
 }
 
-func (f *faulty) List(ctx context.Context, table string) ([]bfstore.Entry, uint64, error) {
+func (f *faultyStore) List(ctx context.Context, table string) ([]bfstore.Entry, uint64, error) {
 	if err := f.call(true); err != nil {
 		return nil, 0, err
 	}
 	return f.MemoryRows.List(ctx, table)
 }
 
-func (f *faulty) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]bfstore.Entry, uint64, error) {
-	if f.isSilent() {
-		// The caller's own bound ends the call, a second after the wait.
+func (f *faultyStore) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]bfstore.Entry, uint64, error) {
+	if f.isUnresponsive() {
+		// The caller's timeout ends the call a second after the wait.
 		time.Sleep(wait + time.Second)
 		return nil, 0, &bfstore.UnavailableError{Reason: "no answer"}
 	}
@@ -84,18 +84,19 @@
 	return f.MemoryRows.Changes(ctx, table, after, wait)
 }
 
-const gather = 300 * time.Millisecond
+const batchDelay = 300 * time.Millisecond
 
-// under follows a table in simulated time; held tells what the follower's user holds.
-func under(t *testing.T, fn func(is *is.I, store *faulty, f *Follower, held func() map[string]string)) {
+// runFollower runs fn with a follower of a table in simulated time; rows returns the rows that
+// the follower delivered.
+func runFollower(t *testing.T, fn func(is *is.I, store *faultyStore, f *Follower, rows func() map[string]string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		store := &faulty{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 		var mu sync.Mutex
 		rows := map[string]string{}
 		timer := bftimer.New(1)
 		f := New(Parts{
-			Table: "t", Rows: store, Gather: gather, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
+			Table: "t", Rows: store, Gather: batchDelay, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 			Apply: func(b Batch) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -130,30 +131,30 @@
 	})
 }
 
-func put(is *is.I, store *faulty, key, value string, revision uint64) uint64 {
+func put(is *is.I, store *faultyStore, key, value string, revision uint64) uint64 {
 	revision, err := store.Put(context.Background(), "t", key, []byte(value), revision)
 	is.NoErr(err)
 	return revision
 }
 
 func TestChangesArriveAtOnce(t *testing.T) {
-	under(t, func(is *is.I, store *faulty, f *Follower, held func() map[string]string) {
+	runFollower(t, func(is *is.I, store *faultyStore, f *Follower, rows func() map[string]string) {
 		time.Sleep(time.Second)
 		revision := put(is, store, "a", "1", 0)
 		synctest.Wait()
-		is.Equal(held(), map[string]string{"a": "1"})
+		is.Equal(rows(), map[string]string{"a": "1"})
 		is.True(f.Healthy())
 		is.NoErr(store.Remove(context.Background(), "t", "a", revision))
-		time.Sleep(gather)
+		time.Sleep(batchDelay)
 		synctest.Wait()
-		is.Equal(held(), map[string]string{})
+		is.Equal(rows(), map[string]string{})
 	})
 }
 
-// Twenty changes come within two seconds. Each call is paid for, so they are
-// gathered; the last one is held soon after it came all the same.
-func TestStormCostsFewCalls(t *testing.T) {
-	under(t, func(is *is.I, store *faulty, _ *Follower, held func() map[string]string) {
+// Twenty changes arrive within two seconds. They must be batched, since each call costs money,
+// and the last one must still arrive soon.
+func TestBurstOfChangesNeedsFewCalls(t *testing.T) {
+	runFollower(t, func(is *is.I, store *faultyStore, _ *Follower, rows func() map[string]string) {
 		time.Sleep(time.Second)
 		before, _ := store.count()
 		revision := uint64(0)
@@ -161,39 +162,39 @@
 			revision = put(is, store, "a", string(rune('a'+i)), revision)
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(gather)
+		time.Sleep(batchDelay)
 		after, _ := store.count()
-		is.Equal(held(), map[string]string{"a": "t"})
+		is.Equal(rows(), map[string]string{"a": "t"})
 		is.True(after-before <= 9)
 	})
 }
 
-// The store drops its history while a row was removed in the gap. A follower
-// that merely went on from the newest revision would hold that row for good.
-func TestDroppedHistoryIsReadAnew(t *testing.T) {
-	under(t, func(is *is.I, store *faulty, _ *Follower, held func() map[string]string) {
+// The store drops its history after a row was removed. A follower that continued from the
+// newest revision would keep that row forever.
+func TestDroppedHistoryCausesFullRead(t *testing.T) {
+	runFollower(t, func(is *is.I, store *faultyStore, _ *Follower, rows func() map[string]string) {
 		revision := put(is, store, "a", "1", 0)
 		put(is, store, "b", "1", 0)
 		time.Sleep(time.Second)
 		store.setDown(true)
-		time.Sleep(lastWait + time.Second)
+		time.Sleep(maxWait + time.Second)
 		is.NoErr(store.Remove(context.Background(), "t", "a", revision))
 		store.DropHistory()
 		store.setDown(false)
 		time.Sleep(2 * time.Second)
-		is.Equal(held(), map[string]string{"b": "1"})
+		is.Equal(rows(), map[string]string{"b": "1"})
 		_, lists := store.count()
 		is.Equal(lists, 2)
 	})
 }
 
-// The store is away for a minute and returns. What changed is held within two
-// seconds of its return, and the calls in between were few.
-func TestStoreReturns(t *testing.T) {
-	under(t, func(is *is.I, store *faulty, f *Follower, held func() map[string]string) {
+// The store is down for a minute. Changes must arrive within two seconds of its recovery, and
+// the calls in between must be few.
+func TestStoreRecovery(t *testing.T) {
+	runFollower(t, func(is *is.I, store *faultyStore, f *Follower, rows func() map[string]string) {
 		time.Sleep(time.Second)
 		store.setDown(true)
-		time.Sleep(lastWait)
+		time.Sleep(maxWait)
 		before, _ := store.count()
 		time.Sleep(time.Minute)
 		after, _ := store.count()
@@ -202,71 +203,71 @@
 		put(is, store, "a", "1", 0)
 		store.setDown(false)
 		time.Sleep(2 * time.Second)
-		is.Equal(held(), map[string]string{"a": "1"})
+		is.Equal(rows(), map[string]string{"a": "1"})
 		is.True(f.Healthy())
 	})
 }
 
-// The store falls silent right after a change and forgets the call that comes then,
-// though its connection lives. A version that is written once it answers again must
-// be held within about two seconds, and not when the call would have ended by itself.
-func TestForgottenCallIsGivenUp(t *testing.T) {
-	under(t, func(is *is.I, store *faulty, _ *Follower, held func() map[string]string) {
+// The store stalls right after a change and drops the next call, whose connection stays open. A
+// change after its recovery must arrive soon, and not only when that call would have ended.
+func TestDroppedCallTimesOut(t *testing.T) {
+	runFollower(t, func(is *is.I, store *faultyStore, _ *Follower, rows func() map[string]string) {
 		time.Sleep(time.Second)
 		revision := put(is, store, "a", "1", 0)
-		time.Sleep(gather / 2)
-		store.setSilent(true)
+		time.Sleep(batchDelay / 2)
+		store.setUnresponsive(true)
 		time.Sleep(5 * time.Second)
-		store.setSilent(false)
+		store.setUnresponsive(false)
 		put(is, store, "a", "2", revision)
 		time.Sleep(2500 * time.Millisecond)
-		is.Equal(held(), map[string]string{"a": "2"})
+		is.Equal(rows(), map[string]string{"a": "2"})
 	})
 }
 
-// Nothing changes for minutes. The waits grow, so that following costs next to nothing.
-func TestCalmCostsFewCalls(t *testing.T) {
-	under(t, func(is *is.I, store *faulty, _ *Follower, _ func() map[string]string) {
+// Nothing changes for minutes. The waits must grow, so that calls are few.
+func TestIdleTableNeedsFewCalls(t *testing.T) {
+	runFollower(t, func(is *is.I, store *faultyStore, _ *Follower, _ func() map[string]string) {
 		time.Sleep(time.Minute)
 		before, _ := store.count()
 		time.Sleep(5 * time.Minute)
 		after, _ := store.count()
-		is.True(after-before <= 78) // a call in 5 s on the mean, spread by 30 %
+		is.True(after-before <= 78) // one call in 5 s on average, with 30 % jitter
 	})
 }
 
-// Others read the store for this node: it makes no call, also while the store is down.
-// When they fall silent it reads on from what they told last, and not the whole table.
-func TestOthersFollowMeanwhile(t *testing.T) {
+// Other nodes read the store for this one, so it must make no call, even while the store is
+// down. When it has to follow the table itself, it must continue from the revision known by
+// then instead of reading the full table.
+func TestFollowerContinuesFromKnownRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &faulty{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
-		var due atomic.Bool
-		var held atomic.Uint64
+		var shouldFollow atomic.Bool
+		var knownRevision atomic.Uint64
 		var read atomic.Int32
 		f := New(Parts{
-			Table: "t", Rows: store, Apply: func(b Batch) { read.Add(int32(len(b.Entries))) }, Due: due.Load, Held: held.Load,
+			Table: "t", Rows: store, Apply: func(b Batch) { read.Add(int32(len(b.Entries))) }, Due: shouldFollow.Load, Held: knownRevision.Load,
 			Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		})
 		group := bfgroup.New(context.Background())
 		group.Go("timer", timer.Run)
 		group.Go("follow", f.Run)
 		put(is, store, "a", "1", 0)
-		held.Store(put(is, store, "b", "1", 0))
+		knownRevision.Store(put(is, store, "b", "1", 0))
 		put(is, store, "c", "1", 0)
 		store.setDown(true)
 		time.Sleep(10 * time.Second)
 		calls, _ := store.count()
 		is.Equal(calls, 0)
 		store.setDown(false)
-		due.Store(true)
+		shouldFollow.Store(true)
 		time.Sleep(time.Second)
 		calls, lists := store.count()
-		is.Equal([]int{calls, lists}, []int{2, 0}) // what changed since, and held for more
+		is.Equal([]int{calls, lists}, []int{2, 0}) // one for the changes since then, and one that waits for more
 		is.Equal(read.Load(), int32(1))
 		is.True(f.Follows())
-		due.Store(false)
+		shouldFollow.Store(false)
 		time.Sleep(10 * time.Second)
 		is.True(!f.Follows() && f.Healthy())
 		group.Cancel()
@@ -274,11 +275,11 @@
 	})
 }
 
-// Nobody has told this node anything: it lists the table when it is its turn.
-func TestFirstReadIsWhole(t *testing.T) {
+// No other node has sent any rows, so the first read must be of the full table.
+func TestFirstReadIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &faulty{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
 		f := New(Parts{
 			Table: "t", Rows: store, Apply: func(Batch) {}, Held: func() uint64 { return 0 },
@@ -295,23 +296,23 @@
 	})
 }
 
-// A node that is started again learns that it is to read the table itself. Its callers
-// wait for what the table holds, so it reads at once and not when it looks again.
+// A restarted node must read the table as soon as it is woken and not after the idle interval,
+// since its requests wait for the rows.
 func TestWokenNodeReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &faulty{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
-		var due atomic.Bool
+		var shouldFollow atomic.Bool
 		f := New(Parts{
-			Table: "t", Rows: store, Apply: func(Batch) {}, Due: due.Load,
+			Table: "t", Rows: store, Apply: func(Batch) {}, Due: shouldFollow.Load,
 			Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		})
 		group := bfgroup.New(context.Background())
 		group.Go("timer", timer.Run)
 		group.Go("follow", f.Run)
-		time.Sleep(idlePause / 10)
-		due.Store(true)
+		time.Sleep(idleInterval / 10)
+		shouldFollow.Store(true)
 		f.Wake()
 		time.Sleep(time.Millisecond)
 		_, lists := store.count()
