--- a/lib/bfcount/action.go
+++ b/lib/bfcount/action.go
@@ -5,7 +5,7 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// Question asks what the members of Range hold.
+// Question requests the tally of the members in Range.
 type Question struct {
 	From  uint64       `cbor:"1,keyasint"`
 	Nonce uint32       `cbor:"2,keyasint"`
@@ -13,22 +13,22 @@
 	Wait  uint32       `cbor:"4,keyasint"` // milliseconds
 }
 
-// Answer is what the members of a question's range hold.
+// Answer is the tally of the members in a query's range.
 type Answer struct {
 	Nonce uint32 `cbor:"1,keyasint"`
 	Tally Tally  `cbor:"2,keyasint"`
 }
 
-// Action is the sealed set of what a count asks its node to do.
+// Action is a side effect that the node must perform; the set of actions is sealed.
 type Action interface{ isAction() }
 
-// Ask sends a question to a relay.
+// Ask sends a query to a relay.
 type Ask struct {
 	Relay    *bfroster.Member
 	Question Question
 }
 
-// Reply sends an answer to the member that asked, named by its hash.
+// Reply sends a response to the member that sent the query, identified by its hash.
 type Reply struct {
 	To     uint64
 	Answer Answer
--- a/lib/bfcount/counter.go
+++ b/lib/bfcount/counter.go
@@ -10,43 +10,45 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// Fleet is what a count needs of the node it runs on.
+// Fleet is the node's view of the members as a Counter needs it.
 type Fleet interface {
-	// Order is the newest view of the members.
+	// Order returns the newest view of the members.
 	Order() *bfroster.Order
-	// Split covers a span, this node excepted, by disjoint spans of members.
+	// Split divides a span, without this node, into disjoint spans of members.
 	Split(over bfspan.Span) []bfspan.Span
-	// Relay draws a member of the span other than this node, rather none of tried.
+	// Relay selects a random member of the span other than this node, preferably not one of
+	// tried.
 	Relay(over bfspan.Span, tried []bfroster.Key) (*bfroster.Member, bool)
-	// NewNonce is a number that no other waiting message of the node has.
+	// NewNonce returns a number that no other pending message of the node uses.
 	NewNonce() uint32
 }
 
-// Counter runs the censuses of one node; it is for one goroutine at a time.
+// Counter runs the censuses of one node; it is not safe for concurrent use.
 type Counter struct {
 	fleet   Fleet
 	self    bfroster.Key
 	inForce bfconfig.Version
-	// censuses are those that wait for answers, by their IDs.
-	censuses map[uint32]*census
-	// asked maps the nonce of a census's part to the census.
-	asked map[uint32]uint32
-	// out collects the actions of the call in progress.
+	// censuses holds by ID those that wait for responses.
+	censuses map[uint32]*activeCensus
+	// pending maps the nonce of each pending query to the ID of its census.
+	pending map[uint32]uint32
+	// out collects the actions of the current call.
 	out []Action
 }
 
-// census is a query that this node answers for a span of members.
-type census struct {
+// activeCensus is a count over a span of members that this node answers.
+type activeCensus struct {
 	id uint32
-	// asker is whom the answer goes to by its nonce; 0 is this node's own operator.
-	asker uint64
-	nonce uint32
-	wait  time.Duration
-	parts map[uint32]*part
-	tally Tally
+	// requester is the member that receives the response with the nonce; 0 is this node's own
+	// operator.
+	requester uint64
+	nonce     uint32
+	wait      time.Duration
+	parts     map[uint32]*part
+	tally     Tally
 }
 
-// part is a part of a census's span, of which one relay was asked.
+// part is a part of a census's span, which is queried through one relay.
 type part struct {
 	span     bfspan.Span
 	tried    []bfroster.Key
@@ -54,75 +56,76 @@
 }
 
 const (
-	// maxTries relays of a part are asked, each for a share of the wait that
-	// leaves this node the time to answer in its turn.
-	maxTries  = 2
-	waitShare = 0.45
-	// shortestWait bounds how deep a census goes with too short a wait.
-	shortestWait = 20 * time.Millisecond
-	longestWait  = time.Minute
+	// maxAttempts is how many relays of a part are queried. Each may use relayWaitFraction of
+	// the census's wait, which leaves this node time to respond in its turn.
+	maxAttempts       = 2
+	relayWaitFraction = 0.45
+	// minWait limits the depth of the relay tree: a query with a shorter wait is not sent.
+	minWait = 20 * time.Millisecond
+	maxWait = time.Minute
 )
 
-// New makes the counter of the member with the key self.
+// New returns the counter of the member with the key self.
 func New(self bfroster.Key, inForce bfconfig.Version, fleet Fleet) *Counter {
 	return &Counter{
-		fleet: fleet, self: self, inForce: inForce, censuses: map[uint32]*census{}, asked: map[uint32]uint32{},
+		fleet: fleet, self: self, inForce: inForce, censuses: map[uint32]*activeCensus{}, pending: map[uint32]uint32{},
 	}
 }
 
-// SetInForce takes the version in force on this node.
+// SetInForce sets the version in force on this node.
 func (c *Counter) SetInForce(version bfconfig.Version) { c.inForce = version }
 
-// Start asks the whole fleet; Done answers with the returned ID within wait.
+// Start starts a census of the whole fleet; a Done with the returned ID follows within wait.
 func (c *Counter) Start(now time.Time, wait time.Duration) (uint32, []Action) {
 	id := c.fleet.NewNonce()
-	return id, c.start(now, &census{id: id, wait: wait}, bfspan.Span{})
+	return id, c.start(now, &activeCensus{id: id, wait: wait}, bfspan.Span{})
 }
 
-// Asked takes a question of another node.
+// Asked starts the census that another node requested.
 func (c *Counter) Asked(now time.Time, q Question) []Action {
-	wait := min(time.Duration(q.Wait)*time.Millisecond, longestWait)
-	query := &census{id: c.fleet.NewNonce(), asker: q.From, nonce: q.Nonce, wait: wait}
-	return c.start(now, query, q.Range.Span(c.self))
+	wait := min(time.Duration(q.Wait)*time.Millisecond, maxWait)
+	next := &activeCensus{id: c.fleet.NewNonce(), requester: q.From, nonce: q.Nonce, wait: wait}
+	return c.start(now, next, q.Range.Span(c.self))
 }
 
-// Answered takes the first answer for a part; later ones of relays given up are not counted twice.
+// Answered adds the first response for a part; a late one from a relay that timed out is
+// dropped, so that no member is counted twice.
 func (c *Counter) Answered(answer Answer) []Action {
 	c.out = nil
-	id, waiting := c.asked[answer.Nonce]
+	id, waiting := c.pending[answer.Nonce]
 	if !waiting {
 		return nil
 	}
-	delete(c.asked, answer.Nonce)
-	query := c.censuses[id]
-	delete(query.parts, answer.Nonce)
-	query.tally.merge(answer.Tally)
-	c.end(query)
+	delete(c.pending, answer.Nonce)
+	current := c.censuses[id]
+	delete(current.parts, answer.Nonce)
+	current.tally.merge(answer.Tally)
+	c.finishIfComplete(current)
 	return c.out
 }
 
-// Tick gives up relays whose answers are due; the next call is due at Next.
+// Tick retries the parts whose relays timed out; the next call is due at Next.
 func (c *Counter) Tick(now time.Time) []Action {
 	c.out = nil
 	for _, id := range slices.Sorted(maps.Keys(c.censuses)) {
-		query := c.censuses[id]
-		for _, nonce := range slices.Sorted(maps.Keys(query.parts)) {
-			if p := query.parts[nonce]; !now.Before(p.deadline) {
-				delete(query.parts, nonce)
-				delete(c.asked, nonce)
-				c.ask(now, query, p)
+		current := c.censuses[id]
+		for _, nonce := range slices.Sorted(maps.Keys(current.parts)) {
+			if p := current.parts[nonce]; !now.Before(p.deadline) {
+				delete(current.parts, nonce)
+				delete(c.pending, nonce)
+				c.queryRelay(now, current, p)
 			}
 		}
-		c.end(query)
+		c.finishIfComplete(current)
 	}
 	return c.out
 }
 
-// Next is when Tick has something to do, zero while no answer is awaited.
+// Next returns when Tick is due, zero if no response is pending.
 func (c *Counter) Next() time.Time {
 	var next time.Time
-	for _, query := range c.censuses {
-		for _, p := range query.parts {
+	for _, current := range c.censuses {
+		for _, p := range current.parts {
 			if next.IsZero() || p.deadline.Before(next) {
 				next = p.deadline
 			}
@@ -131,15 +134,15 @@
 	return next
 }
 
-func (c *Counter) start(now time.Time, query *census, over bfspan.Span) []Action {
+func (c *Counter) start(now time.Time, current *activeCensus, over bfspan.Span) []Action {
 	c.out = nil
-	query.parts = map[uint32]*part{}
-	query.tally = c.ownTally()
-	c.censuses[query.id] = query
+	current.parts = map[uint32]*part{}
+	current.tally = c.ownTally()
+	c.censuses[current.id] = current
 	for _, span := range c.fleet.Split(over) {
-		c.ask(now, query, &part{span: span})
+		c.queryRelay(now, current, &part{span: span})
 	}
-	c.end(query)
+	c.finishIfComplete(current)
 	return c.out
 }
 
@@ -150,41 +153,41 @@
 	}
 }
 
-// ask asks another relay of the part, or counts the part as lacking.
-func (c *Counter) ask(now time.Time, query *census, p *part) {
+// queryRelay queries another relay of the part, or counts the part as unreachable.
+func (c *Counter) queryRelay(now time.Time, current *activeCensus, p *part) {
 	relay, found := c.fleet.Relay(p.span, p.tried)
-	wait := time.Duration(waitShare * float64(query.wait))
-	if !found || len(p.tried) >= maxTries || wait < shortestWait {
-		c.lack(query, p.span)
+	wait := time.Duration(relayWaitFraction * float64(current.wait))
+	if !found || len(p.tried) >= maxAttempts || wait < minWait {
+		c.countUnreachable(current, p.span)
 		return
 	}
 	p.tried = append(p.tried, relay.Key())
 	p.deadline = now.Add(wait)
 	nonce := c.fleet.NewNonce()
-	query.parts[nonce] = p
-	c.asked[nonce] = query.id
+	current.parts[nonce] = p
+	c.pending[nonce] = current.id
 	c.out = append(c.out, Ask{Relay: relay, Question: Question{
 		From: c.self.Hash, Nonce: nonce, Range: p.span.Range(relay.Key()), Wait: uint32(wait.Milliseconds()),
 	}})
 }
 
-// lack counts the members of a part without an answer, by this node's own view.
-func (c *Counter) lack(query *census, over bfspan.Span) {
+// countUnreachable counts the members of a part without a response, by this node's own view.
+func (c *Counter) countUnreachable(current *activeCensus, over bfspan.Span) {
 	order := c.fleet.Order()
 	low, high := over.Ranks(order)
 	for rank := low; rank < high; rank++ {
-		query.tally.addLack(Lack{Domain: order.At(rank).Key().Domain, Members: 1})
+		current.tally.addUnreachable(Lack{Domain: order.At(rank).Key().Domain, Members: 1})
 	}
 }
 
-func (c *Counter) end(query *census) {
-	if len(query.parts) > 0 {
+func (c *Counter) finishIfComplete(current *activeCensus) {
+	if len(current.parts) > 0 {
 		return
 	}
-	delete(c.censuses, query.id)
-	if query.asker == 0 {
-		c.out = append(c.out, Done{ID: query.id, Tally: query.tally})
+	delete(c.censuses, current.id)
+	if current.requester == 0 {
+		c.out = append(c.out, Done{ID: current.id, Tally: current.tally})
 		return
 	}
-	c.out = append(c.out, Reply{To: query.asker, Answer: Answer{Nonce: query.nonce, Tally: query.tally}})
+	c.out = append(c.out, Reply{To: current.requester, Answer: Answer{Nonce: current.nonce, Tally: current.tally}})
 }
--- a/lib/bfcount/counter_test.go
+++ b/lib/bfcount/counter_test.go
@@ -16,7 +16,7 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed to make the tests deterministic.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -27,20 +27,20 @@
 	os.Exit(m.Run())
 }
 
-// event is a message on its way or a node's timer.
+// event is a message in transit or a node's timer.
 type event struct {
 	at   time.Time
 	node *node
 	call func(now time.Time) []Action
 }
 
-// node is a member with its counter; it is also the counter's view of the fleet.
+// node is a member with its counter and implements the counter's view of the fleet.
 type node struct {
 	world   *world
 	key     bfroster.Key
 	inForce bfconfig.Version
 	counter *Counter
-	// down nodes answer nothing, slow ones later than they are waited for.
+	// down nodes do not respond, slow ones respond after the timeout.
 	down, slow bool
 	nonce      uint32
 }
@@ -66,18 +66,18 @@
 }
 
 type world struct {
-	now    time.Time
-	rng    *rand.Rand
-	order  *bfroster.Order
-	nodes  map[uint64]*node
-	events []event
-	done   []Done
-	twice  bool
+	now        time.Time
+	rng        *rand.Rand
+	order      *bfroster.Order
+	nodes      map[uint64]*node
+	events     []event
+	done       []Done
+	duplicates bool
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{now: time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5)), nodes: map[uint64]*node{}}
-	w.twice = rapid.Bool().Draw(t, "twice")
+	w.duplicates = rapid.Bool().Draw(t, "twice")
 	domains, versions := rapid.IntRange(1, 4).Draw(t, "domains"), rapid.IntRange(1, 3).Draw(t, "versions")
 	var rows []bfroster.Row
 	for i := range rapid.IntRange(1, 60).Draw(t, "size") {
@@ -91,11 +91,11 @@
 	return w
 }
 
-func (w *world) push(wait time.Duration, n *node, call func(time.Time) []Action) {
+func (w *world) schedule(wait time.Duration, n *node, call func(time.Time) []Action) {
 	w.events = append(w.events, event{w.now.Add(wait), n, call})
 }
 
-func (w *world) do(n *node, actions []Action) {
+func (w *world) perform(n *node, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Ask:
@@ -107,22 +107,22 @@
 		}
 	}
 	if next := n.counter.Next(); !next.IsZero() {
-		w.push(next.Sub(w.now), n, n.counter.Tick)
+		w.schedule(next.Sub(w.now), n, n.counter.Tick)
 	}
 }
 
-// send delivers a message, at times twice.
+// send delivers a message, sometimes twice.
 func (w *world) send(from, to *node, call func(*node, time.Time) []Action) {
 	copies, delay := 1, time.Millisecond
 	if from.slow {
 		delay = 950 * time.Millisecond
 	}
-	if w.twice && w.rng.IntN(5) == 0 {
+	if w.duplicates && w.rng.IntN(5) == 0 {
 		copies = 2
 	}
 	for range copies {
 		jitter := time.Duration(w.rng.IntN(5000)) * time.Microsecond
-		w.push(delay+jitter, to, func(now time.Time) []Action { return call(to, now) })
+		w.schedule(delay+jitter, to, func(now time.Time) []Action { return call(to, now) })
 	}
 }
 
@@ -141,26 +141,25 @@
 		}
 		w.now = e.at
 		if !e.node.down {
-			w.do(e.node, e.call(w.now))
+			w.perform(e.node, e.call(w.now))
 		}
 	}
 }
 
-// An operator asks what is in force while some members are dead, others answer
-// after their part was given up, and messages arrive twice. The answer must come
-// once, within the wait, and account for each member once: as the naive count
-// does where all answer, else with no more of any version than there are.
+// Some members are dead, others respond after the timeout, and messages may be duplicated. The
+// census must finish once, within its wait, and account for each member once: it equals a
+// direct count if all members respond, and otherwise never exceeds it for any version.
 func TestCensusAccountsForEachMemberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		asker := w.nodes[w.order.At(0).Key().Hash]
+		requester := w.nodes[w.order.At(0).Key().Hash]
 		share, dead, slow := rapid.IntRange(0, 3).Draw(t, "share"), 0, 0
-		naive := naiveCount{versions: map[bfconfig.Version]int{}, domains: map[string]DomainCount{}}
+		direct := directCount{versions: map[bfconfig.Version]int{}, domains: map[string]DomainCount{}}
 		for rank := range w.order.Len() {
 			n := w.nodes[w.order.At(rank).Key().Hash]
-			naive.add(n)
+			direct.add(n)
 			switch {
-			case n == asker || w.rng.IntN(10) >= share:
+			case n == requester || w.rng.IntN(10) >= share:
 			case w.rng.IntN(2) == 0:
 				n.down = true
 				dead++
@@ -170,28 +169,28 @@
 			}
 		}
 		const wait = 2 * time.Second
-		id, actions := asker.counter.Start(w.now, wait)
-		w.do(asker, actions)
+		id, actions := requester.counter.Start(w.now, wait)
+		w.perform(requester, actions)
 		w.run(w.now.Add(wait))
 		if len(w.done) != 1 || w.done[0].ID != id {
-			t.Fatalf("answers %v instead of one to %d", w.done, id)
+			t.Fatalf("results %v, want one with ID %d", w.done, id)
 		}
 		got := w.done[0].Tally
-		if got.Members()+got.Unreachable() != naive.members || got.Unreachable() < dead {
-			t.Fatalf("%d members and %d lacking of %d, %d dead", got.Members(), got.Unreachable(), naive.members, dead)
+		if got.Members()+got.Unreachable() != direct.members || got.Unreachable() < dead {
+			t.Fatalf("%d members responded and %d did not, of %d with %d dead", got.Members(), got.Unreachable(), direct.members, dead)
 		}
-		compareTallies(t, got, naive, dead+slow == 0)
+		compareTallies(t, got, direct, dead+slow == 0)
 	})
 }
 
-// naiveCount looks at every node itself.
-type naiveCount struct {
+// directCount counts by inspecting every node.
+type directCount struct {
 	members  int
 	versions map[bfconfig.Version]int
 	domains  map[string]DomainCount
 }
 
-func (c *naiveCount) add(n *node) {
+func (c *directCount) add(n *node) {
 	c.members++
 	c.versions[n.inForce]++
 	d, found := c.domains[n.key.Domain]
@@ -201,16 +200,16 @@
 	c.domains[n.key.Domain] = DomainCount{Domain: d.Domain, Members: d.Members + 1, Oldest: min(d.Oldest, n.inForce)}
 }
 
-func compareTallies(t *rapid.T, got Tally, naive naiveCount, all bool) {
+func compareTallies(t *rapid.T, got Tally, direct directCount, all bool) {
 	for _, v := range got.Versions {
-		if v.Members > naive.versions[v.Version] || all && v.Members != naive.versions[v.Version] {
-			t.Fatalf("%d members with version %d, of %d", v.Members, v.Version, naive.versions[v.Version])
+		if v.Members > direct.versions[v.Version] || all && v.Members != direct.versions[v.Version] {
+			t.Fatalf("%d members with version %d, of %d", v.Members, v.Version, direct.versions[v.Version])
 		}
 	}
 	for _, d := range got.Domains {
-		want := naive.domains[d.Domain]
+		want := direct.domains[d.Domain]
 		if d.Members > want.Members || d.Oldest < want.Oldest || all && d != want {
-			t.Fatalf("domain %+v instead of %+v", d, want)
+			t.Fatalf("domain %+v, want %+v", d, want)
 		}
 	}
 }
--- a/lib/bfcount/doc.go
+++ b/lib/bfcount/doc.go
@@ -1,7 +1,6 @@
-// Package bfcount counts which version is in force on which members.
+// Package bfcount counts the members on which each version is in force.
 //
-// A Counter asks one relay of each part of a span, and each relay asks on in its
-// turn; the tallies are added up on the way back. A part without an answer in
-// time is counted by this node's own view as lacking, so the sum says whom it
-// does not know.
+// A Counter queries one relay for each part of a span, and each relay does the same in its
+// turn; the tallies are summed on the way back. A part without a response in time is counted as
+// unreachable by this node's own view of the members, so every member is accounted for.
 package bfcount
--- a/lib/bfcount/tally.go
+++ b/lib/bfcount/tally.go
@@ -7,35 +7,36 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Tally is what a set of members holds.
+// Tally is the result of a count over a set of members.
 type Tally struct {
 	// Versions counts members by the version in force on them.
 	Versions []VersionCount `cbor:"1,keyasint,omitempty"`
 	Domains  []DomainCount  `cbor:"2,keyasint,omitempty"`
-	// Lacks are the parts of which no answer came in time.
+	// Lacks counts the members without a response in time.
 	Lacks []Lack `cbor:"3,keyasint,omitempty"`
 }
 
-// VersionCount is how many members have a version in force.
+// VersionCount is the number of members that have a version in force.
 type VersionCount struct {
 	Version bfconfig.Version `cbor:"1,keyasint"`
 	Members int              `cbor:"2,keyasint"`
 }
 
-// DomainCount is how many members of a domain answered, and the oldest version there.
+// DomainCount is the number of members of a domain that responded, and their oldest version.
 type DomainCount struct {
 	Domain  string           `cbor:"1,keyasint"`
 	Members int              `cbor:"2,keyasint"`
 	Oldest  bfconfig.Version `cbor:"3,keyasint"`
 }
 
-// Lack is a part without an answer: members from the first to the last key, by the asker's view.
+// Lack is the number of members of a domain without a response, by the querying
+// node's view.
 type Lack struct {
 	Domain  string `cbor:"1,keyasint"`
 	Members int    `cbor:"2,keyasint"`
 }
 
-// Members is how many members answered.
+// Members returns the number of members that responded.
 func (t Tally) Members() int {
 	sum := 0
 	for _, v := range t.Versions {
@@ -44,7 +45,7 @@
 	return sum
 }
 
-// Unreachable is how many members did not answer.
+// Unreachable returns the number of members that did not respond.
 func (t Tally) Unreachable() int {
 	sum := 0
 	for _, l := range t.Lacks {
@@ -53,7 +54,7 @@
 	return sum
 }
 
-// Oldest is the oldest version in force on a member that answered.
+// Oldest returns the oldest version in force on a member that responded, 0 if none did.
 func (t Tally) Oldest() bfconfig.Version {
 	if len(t.Versions) == 0 {
 		return 0
@@ -61,7 +62,7 @@
 	return t.Versions[0].Version
 }
 
-// merge adds another set of members, disjoint from this one.
+// merge adds the tally of another set of members, which must be disjoint from this one.
 func (t *Tally) merge(o Tally) {
 	for _, v := range o.Versions {
 		t.addVersion(v)
@@ -70,7 +71,7 @@
 		t.addDomain(d)
 	}
 	for _, l := range o.Lacks {
-		t.addLack(l)
+		t.addUnreachable(l)
 	}
 }
 
@@ -93,7 +94,7 @@
 	t.Domains[i].Oldest = min(t.Domains[i].Oldest, d.Oldest)
 }
 
-func (t *Tally) addLack(l Lack) {
+func (t *Tally) addUnreachable(l Lack) {
 	i, found := slices.BinarySearchFunc(t.Lacks, l, func(a, b Lack) int { return cmp.Compare(a.Domain, b.Domain) })
 	if !found {
 		t.Lacks = slices.Insert(t.Lacks, i, l)
