--- a/lib/bftable/client.go
+++ b/lib/bftable/client.go
@@ -17,10 +17,10 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// maxAnswer is the largest answer in bytes that the client reads.
-const maxAnswer = 256 << 20
+// maxResponseBytes is the largest response body that the client reads.
+const maxResponseBytes = 256 << 20
 
-// Client is the platform's table and object store as seen over HTTP.
+// Client accesses the platform's table and object store over HTTP.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -35,7 +35,8 @@
 	_ bfstore.Objects = (*Client)(nil)
 )
 
-// New makes a client for the platform at base, such as http://10.0.0.1:7900; each call gets at most timeout.
+// New returns a client for the platform at base, such as http://10.0.0.1:7900; timeout bounds
+// each call.
 func New(base string, timeout time.Duration, metrics *bfmetric.Registry) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 4,
@@ -44,26 +45,26 @@
 	}
 	return &Client{
 		base: base, timeout: timeout,
-		http:   &http.Client{Transport: transport, CheckRedirect: neverRedirect},
+		http:   &http.Client{Transport: transport, CheckRedirect: noRedirects},
 		reads:  metrics.Counter("table_reads"),
 		writes: metrics.Counter("table_writes"),
 		bytes:  metrics.Counter("table_bytes"),
 	}
 }
 
-// neverRedirect has a redirect taken as the answer it is. Followed, a commit
-// would become a GET of some page, whose 200 would tell that it took effect.
-func neverRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// noRedirects makes a redirect the final response. A commit that followed it would become a GET
+// of some page, whose status 200 would falsely report success.
+func noRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get reads rows as of one moment.
+// Get reads rows at one point in time.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]bfstore.Row, error) {
 	c.reads.Add(1)
 	var answer RowsAnswer
 	if err := c.post(ctx, PathGet, GetRequest{Keys: keys}, &answer); err != nil {
-		return nil, asRead(err)
+		return nil, readError(err)
 	}
 	if len(answer.Rows) != len(keys) {
 		return nil, &bfstore.UnavailableError{Reason: fmt.Sprintf("%d rows for %d keys", len(answer.Rows), len(keys))}
@@ -82,26 +83,26 @@
 	var answer RowsAnswer
 	err := c.post(ctx, PathRange, RangeRequest{From: from, To: to, Limit: limit}, &answer)
 	if err == nil && answer.Rows == nil {
-		// Whoever takes "no answer" for "no rows" believes that it is the first
-		// node of the fleet.
-		err = &bfstore.UnavailableError{Reason: "answer without rows"}
+		// Treating a missing list as an empty one would make a node assume that it is the first
+		// of the fleet.
+		err = &bfstore.UnavailableError{Reason: "response without rows"}
 	}
-	return answer.Rows, asRead(err)
+	return answer.Rows, readError(err)
 }
 
 // Commit runs the transaction.
 func (c *Client) Commit(ctx context.Context, tx bfstore.Transaction) error {
 	c.writes.Add(1)
-	return asWrite(c.post(ctx, PathCommit, tx, nil))
+	return writeError(c.post(ctx, PathCommit, tx, nil))
 }
 
 // PutObject stores data under name.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	c.writes.Add(1)
-	return asWrite(c.call(ctx, http.MethodPut, c.objectPath(name), data, acknowledged))
+	return writeError(c.call(ctx, http.MethodPut, c.objectPath(name), data, checkAcknowledgment))
 }
 
-// Object reads what is stored under name.
+// Object returns the data stored under name, or a NotFoundError.
 func (c *Client) Object(ctx context.Context, name string) ([]byte, error) {
 	c.reads.Add(1)
 	var data []byte
@@ -112,7 +113,7 @@
 	if errors.Is(err, errNotFound) {
 		return nil, &bfstore.NotFoundError{Name: name}
 	}
-	return data, asRead(err)
+	return data, readError(err)
 }
 
 // ListObjects lists the names that start with prefix.
@@ -122,15 +123,15 @@
 	path := PathObjects + "?prefix=" + url.QueryEscape(prefix)
 	err := c.call(ctx, http.MethodGet, path, nil, func(body []byte) error { return json.Unmarshal(body, &answer) })
 	if err == nil && answer.Names == nil {
-		err = &bfstore.UnavailableError{Reason: "answer without names"}
+		err = &bfstore.UnavailableError{Reason: "response without names"}
 	}
-	return answer.Names, asRead(err)
+	return answer.Names, readError(err)
 }
 
-// DeleteObject removes what is stored under name.
+// DeleteObject removes the object stored under name.
 func (c *Client) DeleteObject(ctx context.Context, name string) error {
 	c.writes.Add(1)
-	return asWrite(c.call(ctx, http.MethodDelete, c.objectPath(name), nil, acknowledged))
+	return writeError(c.call(ctx, http.MethodDelete, c.objectPath(name), nil, checkAcknowledgment))
 }
 
 func (c *Client) objectPath(name string) string { return PathObjects + url.PathEscape(name) }
@@ -142,27 +143,26 @@
 	}
 	return c.call(ctx, http.MethodPost, path, body, func(data []byte) error {
 		if answer == nil {
-			return acknowledged(data)
+			return checkAcknowledgment(data)
 		}
 		return json.Unmarshal(data, answer)
 	})
 }
 
-// acknowledged reads the answer to a write. A page from something between this
-// node and the platform has status 200 too, and says nothing of the write.
-func acknowledged(data []byte) error { return json.Unmarshal(data, &struct{}{}) }
+// checkAcknowledgment parses the response to a write. A page from an intermediary between this
+// node and the platform can also have status 200, and does not confirm the write.
+func checkAcknowledgment(data []byte) error { return json.Unmarshal(data, &struct{}{}) }
 
 var errNotFound = errors.New("not found")
 
-// onceBody keeps net/http from sending a request a second time by itself: a
-// commit whose first copy took effect would come back as a conflict with
-// itself, and its operator would be told that somebody else won.
-type onceBody struct{ io.Reader }
+// singleUseBody prevents net/http from retrying a request by itself: if the first copy of a
+// commit took effect, the second would be reported as a conflict with another writer.
+type singleUseBody struct{ io.Reader }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, read func([]byte) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, onceBody{bytes.NewReader(body)})
+	request, err := http.NewRequestWithContext(ctx, method, c.base+path, singleUseBody{bytes.NewReader(body)})
 	if err != nil {
 		return &bfstore.UnavailableError{Reason: err.Error()}
 	}
@@ -176,18 +176,18 @@
 		return transportError(err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	c.bytes.Add(int64(len(body) + len(data)))
 	if err != nil {
-		return &bfstore.UnknownError{Reason: "answer cut: " + err.Error()}
+		return &bfstore.UnknownError{Reason: "response truncated: " + err.Error()}
 	}
-	if len(data) > maxAnswer {
-		return &bfstore.UnknownError{Reason: fmt.Sprintf("answer over %d bytes", maxAnswer)}
+	if len(data) > maxResponseBytes {
+		return &bfstore.UnknownError{Reason: fmt.Sprintf("response exceeds %d bytes", maxResponseBytes)}
 	}
-	return interpret(response, data, read)
+	return decodeResponse(response, data, read)
 }
 
-// transportError tells a call that never reached the platform from one that may have.
+// transportError distinguishes a call that never reached the platform from one that may have.
 func transportError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -196,20 +196,20 @@
 	return &bfstore.UnknownError{Reason: err.Error()}
 }
 
-// interpret takes only what the platform itself says. Something between this
-// node and the platform gives the same status codes with other bodies, also
-// after the platform took a write.
-func interpret(response *http.Response, data []byte, read func([]byte) error) error {
+// decodeResponse accepts only responses in the platform's format. An intermediary between this
+// node and the platform can use the same status codes with other bodies, even after the
+// platform performed a write.
+func decodeResponse(response *http.Response, data []byte, read func([]byte) error) error {
 	switch response.StatusCode {
 	case http.StatusOK:
 		if err := read(data); err != nil {
-			return &bfstore.UnknownError{Reason: "unreadable answer: " + err.Error()}
+			return &bfstore.UnknownError{Reason: "invalid response body: " + err.Error()}
 		}
 		return nil
 	case http.StatusConflict:
 		var conflict ConflictAnswer
 		if err := json.Unmarshal(data, &conflict); err != nil || conflict.Row.Key == "" {
-			return &bfstore.UnknownError{Reason: "unreadable conflict"}
+			return &bfstore.UnknownError{Reason: "invalid conflict response"}
 		}
 		return &bfstore.ConflictError{Row: conflict.Row}
 	}
@@ -221,13 +221,13 @@
 	case http.StatusNotFound:
 		return errNotFound
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest:
-		// By the platform's protocol these are given before a call has any effect.
+		// By the platform's protocol, these statuses precede any effect of a call.
 		return &bfstore.UnavailableError{Reason: failure.Reason, RetryAfter: retryAfter(response)}
 	}
 	return &bfstore.UnknownError{Reason: response.Status}
 }
 
-// maxRetryAfter bounds what an answer can make callers wait.
+// maxRetryAfter bounds the wait that a response can impose on callers.
 const maxRetryAfter = time.Minute
 
 func retryAfter(response *http.Response) time.Duration {
@@ -238,8 +238,9 @@
 	return time.Duration(min(seconds, int(maxRetryAfter/time.Second))) * time.Second
 }
 
-// asRead gives a read's error its meaning: whatever went wrong, nothing was written.
-func asRead(err error) error {
+// readError maps the error of a read: it is always UnavailableError, since a read has no
+// effect.
+func readError(err error) error {
 	var unavailable *bfstore.UnavailableError
 	if err == nil || errors.As(err, &unavailable) {
 		return err
@@ -247,8 +248,8 @@
 	return &bfstore.UnavailableError{Reason: err.Error()}
 }
 
-// asWrite gives a write's error its meaning: what is no known refusal may have taken effect.
-func asWrite(err error) error {
+// writeError maps the error of a write: anything but a known rejection may have taken effect.
+func writeError(err error) error {
 	if errors.Is(err, errNotFound) {
 		return &bfstore.UnknownError{Reason: err.Error()}
 	}
--- a/lib/bftable/client_test.go
+++ b/lib/bftable/client_test.go
@@ -15,8 +15,8 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// meaning is what a call's error says of its effect.
-func meaning(err error) string {
+// effect returns what a call's error states about its effect.
+func effect(err error) string {
 	var conflict *bfstore.ConflictError
 	var unavailable *bfstore.UnavailableError
 	var unknown *bfstore.UnknownError
@@ -33,10 +33,10 @@
 	case errors.As(err, &missing):
 		return "missing"
 	}
-	return "no meaning: " + err.Error()
+	return "unclassified error: " + err.Error()
 }
 
-func against(t *testing.T, handler http.HandlerFunc) *Client {
+func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	server := httptest.NewServer(handler)
 	client := New(server.URL, time.Second, bfmetric.New())
 	t.Cleanup(func() { client.Close(); server.Close() })
@@ -45,11 +45,11 @@
 
 var transaction = bfstore.Transaction{Writes: []bfstore.Write{{Key: "k", Value: []byte("v")}}}
 
-// Something between the node and the platform answers in its place: a gateway's
-// page, a redirect, an empty body, a foreign JSON. A write may have passed it
-// before. The operator must be told "unknown, ask by the change ID", never
-// "done" and never "not run"; a read must never see "there is nothing".
-func TestAnswersThatAreNotThePlatforms(t *testing.T) {
+// An intermediary responds instead of the platform: a gateway's page, a redirect, an empty
+// body, unrelated JSON. The platform may have performed a write all the same, so a write must
+// be reported as unknown, neither as done nor as without effect; a read must never report an
+// empty result.
+func TestResponsesOfIntermediaries(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
 		status                    int
@@ -75,7 +75,7 @@
 		{503, `{"reason":"down"}`, "none", "none", "none", "none"},
 		{504, "", "unknown", "none", "none", "none"},
 	} {
-		client := against(t, func(w http.ResponseWriter, r *http.Request) {
+		client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Location", "/elsewhere")
 			if r.URL.Path != "/elsewhere" {
 				w.WriteHeader(test.status)
@@ -86,22 +86,22 @@
 		_, scan := client.Range(ctx, "a", "b", 5)
 		_, get := client.Get(ctx, "k")
 		_, object := client.Object(ctx, "o")
-		got := []string{meaning(client.Commit(ctx, transaction)), meaning(scan), meaning(get), meaning(object)}
+		got := []string{effect(client.Commit(ctx, transaction)), effect(scan), effect(get), effect(object)}
 		t.Log(test.status, test.body)
 		is.Equal(got, []string{test.commit, test.scan, test.get, test.object})
-		is.Equal(meaning(client.PutObject(ctx, "o", nil)), test.commit)
-		is.Equal(meaning(client.DeleteObject(ctx, "o")), test.commit)
+		is.Equal(effect(client.PutObject(ctx, "o", nil)), test.commit)
+		is.Equal(effect(client.DeleteObject(ctx, "o")), test.commit)
 	}
 }
 
-// The connection breaks before, in the middle of and instead of an answer.
+// The connection breaks before, during or instead of a response.
 func TestBrokenConnections(t *testing.T) {
 	is := is.New(t)
 	for name, answer := range map[string]string{
 		"nothing": "", "half a header": "HTTP/1.1 200 O", "half a body": "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{",
 		"noise": strings.Repeat("\xff", 100), "endless header": "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 12<<20),
 	} {
-		client := against(t, func(w http.ResponseWriter, _ *http.Request) {
+		client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 			conn, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
 				_, _ = conn.Write([]byte(answer))
@@ -109,26 +109,26 @@
 			}
 		})
 		t.Log(name)
-		is.Equal(meaning(client.Commit(t.Context(), transaction)), "unknown")
+		is.Equal(effect(client.Commit(t.Context(), transaction)), "unknown")
 		_, err := client.Get(t.Context(), "k")
-		is.Equal(meaning(err), "none")
+		is.Equal(effect(err), "none")
 	}
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
-	gone := New(server.URL, time.Second, bfmetric.New())
-	is.Equal(meaning(gone.Commit(t.Context(), transaction)), "none") // nothing listened there
+	closed := New(server.URL, time.Second, bfmetric.New())
+	is.Equal(effect(closed.Commit(t.Context(), transaction)), "none") // connection refused
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.Equal(meaning(gone.Commit(ctx, transaction)), "unknown")
+	is.Equal(effect(closed.Commit(ctx, transaction)), "unknown")
 }
 
-// A commit is sent once, whatever happens to its connection: sent twice by the
-// HTTP library, the second copy would conflict with the first.
+// A commit must be sent only once even if its connection fails: a second copy sent by net/http
+// would conflict with the first.
 func TestCommitIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	sent := make(chan struct{}, 10)
 	drop := false
-	client := against(t, func(w http.ResponseWriter, _ *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		sent <- struct{}{}
 		if drop {
 			panic(http.ErrAbortHandler)
@@ -137,11 +137,11 @@
 	})
 	is.NoErr(client.Commit(t.Context(), transaction)) // leaves a connection to reuse
 	drop = true
-	is.Equal(meaning(client.Commit(t.Context(), transaction)), "unknown")
+	is.Equal(effect(client.Commit(t.Context(), transaction)), "unknown")
 	is.Equal(len(sent), 2)
 }
 
-// The platform asks for a wait that would keep an operator's command for years.
+// An excessive Retry-After must not block an operator's command.
 func TestRetryAfterIsBounded(t *testing.T) {
 	is := is.New(t)
 	for header, want := range map[string]time.Duration{"3": 3 * time.Second, "-1": 0, "soon": 0, "99999999999": maxRetryAfter} {
--- a/lib/bftable/doc.go
+++ b/lib/bftable/doc.go
@@ -1,4 +1,4 @@
-// Package bftable speaks the platform's protocol, HTTP with JSON bodies, and
-// turns each way a call can fail into what is known of its effect: none, some
-// other writer's, or unknown.
+// Package bftable implements a client of the platform's protocol, HTTP with JSON bodies. It
+// maps each kind of failure to what is known about the effect of the call: none, a conflict
+// with another writer, or unknown.
 package bftable
--- a/lib/bftable/wire.go
+++ b/lib/bftable/wire.go
@@ -10,34 +10,34 @@
 	PathObjects = "/v1/objects/"
 )
 
-// GetRequest asks for rows by key.
+// GetRequest requests rows by key.
 type GetRequest struct {
 	Keys []string `json:"keys"`
 }
 
-// RangeRequest asks for rows with From <= key < To.
+// RangeRequest requests rows with From <= key < To.
 type RangeRequest struct {
 	From  string `json:"from"`
 	To    string `json:"to"`
 	Limit int    `json:"limit"`
 }
 
-// RowsAnswer carries rows.
+// RowsAnswer is the response to GetRequest and RangeRequest.
 type RowsAnswer struct {
 	Rows []bfstore.Row `json:"rows"`
 }
 
-// ConflictAnswer carries the row whose condition failed.
+// ConflictAnswer is the response to a commit, with the row whose condition failed.
 type ConflictAnswer struct {
 	Row bfstore.Row `json:"row"`
 }
 
-// NamesAnswer carries names of objects.
+// NamesAnswer lists the names of objects.
 type NamesAnswer struct {
 	Names []string `json:"names"`
 }
 
-// FailureAnswer says why the platform did not run a call.
+// FailureAnswer states why the platform did not perform a call.
 type FailureAnswer struct {
 	Reason string `json:"reason"`
 }
