--- a/lib/bfbackend/backend.go
+++ b/lib/bfbackend/backend.go
@@ -19,25 +19,26 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Control is the node's control plane as commands need it.
+// Control is the part of the node's control plane that operator commands use.
 type Control interface {
-	// Self is the node's own name.
+	// Self returns the node's own name.
 	Self() string
-	// State is the newest version held.
+	// State returns the newest version held.
 	State() *bfconfig.State
-	// View is the view in force, nil before the node has one.
+	// View returns the view in force, nil before the node has one.
 	View() *bfroute.View
-	// Order is the membership now.
+	// Order returns the current view of the members.
 	Order() *bfroster.Order
-	// Heard tells the newest version each member was heard to hold, and how long ago.
+	// KnownVersions returns, by the hash of each member, the newest version that it is known to
+	// hold and the age of that information.
 	Heard(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error)
-	// Census asks the whole fleet what is in force.
+	// Census counts the versions in force on the whole fleet.
 	Census(ctx context.Context, wait time.Duration) (bfcount.Tally, error)
-	// Committed tells of a version that this node's commit made.
+	// PublishDelta sends the delta of a version that this node committed to the fleet.
 	Committed(ctx context.Context, delta []byte) error
 }
 
-// Parts is what a Backend works with.
+// Parts holds the dependencies of a Backend.
 type Parts struct {
 	Control   Control
 	Table     bfstore.Table
@@ -46,11 +47,11 @@
 	Calls     *bfpeer.Calls
 	Timer     *bftimer.Service
 	Logger    *bflog.Logger
-	// Quarantine holds the requests under which targets ended.
+	// Quarantine holds the requests under which targets crashed.
 	Quarantine *bfquarantine.Book
-	// SnapshotEvery is how many versions lie between two snapshots in the object store.
+	// SnapshotEvery is the number of versions between two snapshots in the object store.
 	SnapshotEvery bfconfig.Version
-	// Spawn starts a goroutine of the node's group.
+	// Spawn starts a goroutine in the node's group.
 	Spawn func(name string, fn func(ctx context.Context) error)
 }
 
@@ -63,12 +64,12 @@
 
 var _ bfquery.Backend = (*Backend)(nil)
 
-// New makes the backend of a node.
+// New returns the backend of a node.
 func New(parts Parts) *Backend {
 	return &Backend{parts: parts, clock: bfcommit.TimerClock{Service: parts.Timer}, limits: bfcommit.DefaultLimits()}
 }
 
-// Now is the time by the node's clock.
+// Now returns the time of the node's clock.
 func (b *Backend) Now() time.Time { return b.parts.Timer.Now() }
 
 // Wait returns after d, or earlier with the context's error.
@@ -76,7 +77,7 @@
 	return b.clock.WaitUntil(ctx, b.Now().Add(d))
 }
 
-// Refuses reports why the node can't carry out a command, nil where it can.
+// Refuses returns why the node cannot run a command, nil if it can.
 func (b *Backend) Refuses(command bfsyntax.Command) error {
 	if bfquery.ReadsState(command) && !b.started() {
 		return &bfquery.NotStartedError{}
@@ -87,5 +88,5 @@
 // started reports whether the node has a version in force.
 func (b *Backend) started() bool { return b.parts.Control.View() != nil }
 
-// State is the version that the node holds.
+// State returns the newest version that the node holds.
 func (b *Backend) State() *bfconfig.State { return b.parts.Control.State() }
--- a/lib/bfbackend/backend_test.go
+++ b/lib/bfbackend/backend_test.go
@@ -19,7 +19,7 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// fakeControl holds what this node was told of and no fleet.
+// fakeControl is a Control with a configuration and no fleet.
 type fakeControl struct{ state *bfconfig.State }
 
 func (f *fakeControl) Self() string           { return "n1" }
@@ -40,7 +40,7 @@
 	return err
 }
 
-// hookedTable runs a function before a read of one key, to put something else in between two steps.
+// hookedTable runs hook before the first read of a key, to interleave another operation.
 type hookedTable struct {
 	bfstore.Table
 	before string
@@ -55,10 +55,10 @@
 	return h.Table.Get(ctx, keys...)
 }
 
-// lostAnswers applies each write and loses its answer.
-type lostAnswers struct{ bfstore.Table }
+// lostReplies performs each commit and loses its reply.
+type lostReplies struct{ bfstore.Table }
 
-func (l lostAnswers) Commit(ctx context.Context, tx bfstore.Transaction) error {
+func (l lostReplies) Commit(ctx context.Context, tx bfstore.Transaction) error {
 	if err := l.Table.Commit(ctx, tx); err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	memory := bfstore.NewMemory()
 	b := newBackend(t, memory, memory)
 	stage(t, b, "a", "s1")
-	stage(t, b, "a", "s1") // the same request again
+	stage(t, b, "a", "s1") // a retry of the same request
 	_, err := b.Stage(ctx, bfquery.StageRequest{Name: "a", ChangeID: "s2", Author: "ben", Base: b.State(), Ops: service("b")})
 	var exists *bfquery.StagedExistsError
 	is.True(errors.As(err, &exists))
@@ -114,10 +114,10 @@
 	is.True(history.Complete)
 }
 
-// An operator's confirm takes effect through one node, whose answer is lost, and
-// is repeated through another with the same ID. The other must find the version
-// and make no second one, although the name is free again by then.
-func TestConfirmRepeatedThroughAnotherNode(t *testing.T) {
+// The reply to a confirm is lost, and the confirm is retried with the same ID through another
+// node. The retry must find the committed version and not commit a second one, although the
+// name is free again by then.
+func TestConfirmRetriedThroughAnotherNode(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := bfstore.NewMemory()
@@ -134,10 +134,9 @@
 	is.Equal(len(versions), 1)
 }
 
-// The repeat races the original: it finds no trace of the confirm, then the
-// original commits and frees the name, then the repeat looks for the name. The
-// operator must not be told "not staged", since the version exists.
-func TestConfirmRepeatedWhileTheFirstCommits(t *testing.T) {
+// A retry finds no record of the confirm; then the original commits and frees the name, and the
+// retry looks up the name. It must not report "not staged", since the version exists.
+func TestConfirmRetriedWhileTheFirstCommits(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := bfstore.NewMemory()
@@ -154,27 +153,26 @@
 	is.Equal(outcome, bfquery.AlreadyCommitted{Version: 1})
 }
 
-// Every answer of the table is lost. The operator must read that no commit was
-// tried, without the words "outcome unknown" beside it, and find nothing done.
-func TestConfirmWhileAnswersGetLost(t *testing.T) {
+// All replies of the table are lost. The outcome must state that no commit was attempted,
+// rather than an unknown outcome, and no version may exist.
+func TestConfirmWithLostReplies(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := bfstore.NewMemory()
 	b := newBackend(t, memory, memory)
 	stage(t, b, "a", "s1")
-	b.parts.Table = lostAnswers{memory}
+	b.parts.Table = lostReplies{memory}
 	outcome, err := b.Confirm(ctx, "a", "c1", "anna")
 	is.NoErr(err)
-	is.Equal(outcome, bfquery.NotAccepted{Reason: "no commit was tried, since the platform's answers get lost"})
+	is.Equal(outcome, bfquery.NotAccepted{Reason: "no commit was attempted: the platform's responses are being lost"})
 	versions, err := b.Versions(ctx, 10)
 	is.NoErr(err)
 	is.Equal(len(versions), 0)
 }
 
-// The name is confirmed by one operator, used for a new change, and only then
-// the first confirm is repeated. The repeat must speak of the change it was for
-// and leave the new one alone.
-func TestRepeatedConfirmLeavesANewChangeOfTheNameAlone(t *testing.T) {
+// A confirmed name is reused for a new change before the first confirm is retried. The retry
+// must report on its own change and leave the new one staged.
+func TestRetriedConfirmIgnoresReusedName(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := bfstore.NewMemory()
--- a/lib/bfbackend/census.go
+++ b/lib/bfbackend/census.go
@@ -17,7 +17,7 @@
 	"bilberryflow.org/lib/bfroute"
 )
 
-// censusWait is how long the fleet, or one node, has to answer.
+// censusWait bounds how long the fleet, or one node, may take to respond.
 const censusWait = 2 * time.Second
 
 // Census counts the versions in force in the scope.
@@ -25,16 +25,16 @@
 	if at, isNode := scope.(bfsyntax.AtNode); isNode {
 		return b.censusOfNode(ctx, at.Instance)
 	}
-	parts := partsOf(b.parts.Control.Order(), scope)
-	if len(parts) == 0 {
+	domains := domainsInScope(b.parts.Control.Order(), scope)
+	if len(domains) == 0 {
 		return bfcensus.Census{}, &bfquery.NoMembersError{Scope: scope}
 	}
 	tally, err := b.parts.Control.Census(ctx, censusWait)
 	if err != nil {
 		return bfcensus.Census{}, err
 	}
-	// Before it has a version in force a node may not have met the fleet.
-	census := bfcensus.Census{Domains: parts.count(tally), Partial: !b.started()}
+	// A node without a version in force may not have discovered the fleet yet.
+	census := bfcensus.Census{Domains: domains.count(tally), Partial: !b.started()}
 	if scope == (bfsyntax.Everywhere{}) {
 		census.Versions = versionsOf(tally)
 	}
@@ -49,19 +49,19 @@
 	return versions
 }
 
-// parts are the failure domains of a scope, each with the regions that have it.
-type parts map[string][]string
+// scopeDomains maps the failure domains of a scope to the regions that contain them.
+type scopeDomains map[string][]string
 
-// partsOf finds the domains of the members in the scope.
-func partsOf(order *bfroster.Order, scope bfsyntax.Scope) parts {
-	p := parts{}
+// domainsInScope returns the domains of the members in the scope.
+func domainsInScope(order *bfroster.Order, scope bfsyntax.Scope) scopeDomains {
+	d := scopeDomains{}
 	for rank := range order.Len() {
 		row := order.At(rank).Row()
-		if inScope(scope, row) && !slices.Contains(p[row.Domain], row.Region) {
-			p[row.Domain] = append(p[row.Domain], row.Region)
+		if inScope(scope, row) && !slices.Contains(d[row.Domain], row.Region) {
+			d[row.Domain] = append(d[row.Domain], row.Region)
 		}
 	}
-	return p
+	return d
 }
 
 func inScope(scope bfsyntax.Scope, row *bfroster.Row) bool {
@@ -74,11 +74,11 @@
 	return true
 }
 
-// count sums the tally up for the domains. The tally knows domains by name
-// alone: one that two regions have is counted over both.
-func (p parts) count(tally bfcount.Tally) []bfcensus.Domain {
+// count sums the tally by domain. The tally identifies domains by name alone, so a name that
+// two regions share is counted over both.
+func (s scopeDomains) count(tally bfcount.Tally) []bfcensus.Domain {
 	counted := map[string]*bfcensus.Domain{}
-	for name, regions := range p {
+	for name, regions := range s {
 		counted[name] = &bfcensus.Domain{Region: strings.Join(regions, ", "), Domain: name}
 	}
 	for _, d := range tally.Domains {
@@ -86,9 +86,9 @@
 			domain.Nodes, domain.Oldest = d.Members, d.Oldest
 		}
 	}
-	for _, lack := range tally.Lacks {
-		if domain, asked := counted[lack.Domain]; asked {
-			domain.Unreachable += lack.Members
+	for _, unreachable := range tally.Lacks {
+		if domain, asked := counted[unreachable.Domain]; asked {
+			domain.Unreachable += unreachable.Members
 		}
 	}
 	var list []bfcensus.Domain
@@ -98,33 +98,33 @@
 	return list
 }
 
-// inForceMethod asks a node what it has in force.
+// inForceMethod is the name of the call that returns a node's version in force.
 const inForceMethod = "operator.inforce"
 
 type inForceRequest struct{}
 
 type inForceReply struct {
-	// Version is 0 while nothing is in force, for instance at a start that waits.
+	// Version is 0 if no version is in force, for instance while the node starts.
 	Version bfconfig.Version `json:"version"`
 }
 
-// InForceMethods are the calls by which a node tells its version to other nodes' operators.
+// InForceMethods returns the call by which other nodes read this node's version in force.
 func InForceMethods(view func() *bfroute.View) bfpeer.Methods {
 	return bfpeer.Methods{inForceMethod: {
 		Purpose: bfpeer.Operators,
-		Handle:  func(context.Context, json.RawMessage) (any, error) { return replyOf(view()), nil },
+		Handle:  func(context.Context, json.RawMessage) (any, error) { return newInForceReply(view()), nil },
 	}}
 }
 
-func replyOf(view *bfroute.View) *inForceReply {
+func newInForceReply(view *bfroute.View) *inForceReply {
 	if view == nil {
 		return &inForceReply{}
 	}
 	return &inForceReply{Version: view.Version()}
 }
 
-// censusOfNode asks one node itself: what this node heard of it is what it
-// holds, which comes into force a moment later.
+// censusOfNode queries the node itself: the version known here is the one that the node holds,
+// which takes effect there a moment later.
 func (b *Backend) censusOfNode(ctx context.Context, instance string) (bfcensus.Census, error) {
 	order := b.parts.Control.Order()
 	rank, found := order.Rank(instance)
@@ -133,7 +133,7 @@
 	}
 	row := order.At(rank).Row()
 	domain := bfcensus.Domain{Region: row.Region, Domain: row.Domain, Nodes: 1}
-	reply, err := b.askInForce(ctx, row)
+	reply, err := b.queryInForce(ctx, row)
 	if err != nil {
 		domain.Nodes, domain.Unreachable = 0, 1
 		return bfcensus.Census{Domains: []bfcensus.Domain{domain}, Unreachable: []string{instance}}, ctx.Err()
@@ -143,9 +143,9 @@
 	return bfcensus.Census{Domains: []bfcensus.Domain{domain}, Versions: versions}, nil
 }
 
-func (b *Backend) askInForce(ctx context.Context, row *bfroster.Row) (*inForceReply, error) {
+func (b *Backend) queryInForce(ctx context.Context, row *bfroster.Row) (*inForceReply, error) {
 	if row.ID == b.parts.Control.Self() {
-		return replyOf(b.parts.Control.View()), nil
+		return newInForceReply(b.parts.Control.View()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, censusWait)
 	defer cancel()
--- a/lib/bfbackend/census_test.go
+++ b/lib/bfbackend/census_test.go
@@ -22,7 +22,7 @@
 	"bilberryflow.org/lib/bfroute"
 )
 
-// fleetControl is a control with members and a census.
+// fleetControl is a Control with members and a census.
 type fleetControl struct {
 	fakeControl
 	order *bfroster.Order
@@ -40,7 +40,7 @@
 	return bfroster.Row{ID: id, Region: region, Domain: domain, Peer: peer, Incarnation: 1}
 }
 
-// viewOf is a view with one route, at a version.
+// viewOf returns a view with one route at a version.
 func viewOf(t *testing.T, version int) *bfroute.View {
 	is := is.New(t)
 	state := bfconfig.Empty()
@@ -59,7 +59,7 @@
 	return view
 }
 
-// startPeer answers inForceMethod on loopback and returns its address.
+// startPeer serves inForceMethod on loopback and returns its address.
 func startPeer(t *testing.T, view *bfroute.View) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -91,10 +91,10 @@
 	}})
 }
 
-// An operator asks what is in force in one region, one domain, at one node. Each
-// answer must be of that part alone: the whole fleet's would hide an old node
-// behind its neighbours, and an empty one reads as if nobody lagged.
-func TestCensusOfAPart(t *testing.T) {
+// A census of a region, domain or node must cover that scope alone: a count over the fleet
+// would hide an outdated node among its neighbours, and an empty one would suggest that no node
+// is behind.
+func TestCensusOfScopes(t *testing.T) {
 	nord := bfcensus.Domain{Region: "vienna", Domain: "nord", Nodes: 2, Oldest: 6}
 	sued := bfcensus.Domain{Region: "vienna", Domain: "sued", Unreachable: 1}
 	princes := bfcensus.Domain{Region: "hobart", Domain: "princes", Nodes: 1, Oldest: 7}
@@ -125,8 +125,8 @@
 	}
 }
 
-// A name that is misspelt must not read as a part of the fleet without nodes.
-func TestCensusOfNobody(t *testing.T) {
+// A misspelt name must be an error and not a scope without nodes.
+func TestCensusOfUnknownScope(t *testing.T) {
 	is := is.New(t)
 	b := fleetBackend(t)
 	for _, scope := range []bfsyntax.Scope{bfsyntax.InRegion{Region: "wien"}, bfsyntax.InDomain{Domain: "vienna"}} {
@@ -139,8 +139,7 @@
 	is.True(errors.As(err, &unknown))
 }
 
-// The operator asks for a tenant whose requests wait: the limit of its own is
-// the answer, and without it the explanation reads as if nothing held it back.
+// An explanation must name the tenant's limit, since that may be what holds back its requests.
 func TestExplainNamesPolicyAndTenant(t *testing.T) {
 	is := is.New(t)
 	explanation, err := fleetBackend(t).Explain(context.Background(), bfquery.ExplainRequest{
--- a/lib/bfbackend/confirm.go
+++ b/lib/bfbackend/confirm.go
@@ -11,41 +11,42 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// confirmKey is the row that says which staged change a confirm was for.
+// confirmKey returns the key of the row that binds a confirm to a staged change.
 //
-// A confirm is repeated through another node when its answer is lost, and by
-// then the name may be gone or stand for another change. The row is written
-// before the first attempt, so the repeat finds the same change and learns its
-// fate instead of confirming something else.
+// A confirm is retried through another node if its reply is lost, and by then the name may be
+// free or refer to another change. The row is written before the first attempt, so a retry
+// finds the same change and reports its outcome instead of confirming another change.
 func confirmKey(confirmID string) string { return "confirm/" + confirmID }
 
-// Confirm commits the change staged under a name, for the confirm with an ID.
+// Confirm commits the change staged under a name; confirmID makes retries idempotent.
 func (b *Backend) Confirm(ctx context.Context, name, confirmID, author string) (bfquery.ConfirmOutcome, error) {
-	changeID, err := b.bind(ctx, name, confirmID)
+	changeID, err := b.bindConfirm(ctx, name, confirmID)
 	var unknown *bfstore.UnknownError
-	var away *bfstore.UnavailableError
+	var unavailable *bfstore.UnavailableError
 	switch {
 	case errors.As(err, &unknown):
-		// Only the binding was in doubt: no commit was tried, and none will be by this call.
-		return bfquery.NotAccepted{Reason: "no commit was tried, since the platform's answers get lost"}, nil
-	case errors.As(err, &away):
-		return bfquery.NotAccepted{Reason: "the platform does not answer: " + away.Reason, RetryAfter: away.RetryAfter}, nil
+		// Only the binding is in doubt: no commit was attempted, and this call will not attempt
+		// one.
+		return bfquery.NotAccepted{Reason: "no commit was attempted: the platform's responses are being lost"}, nil
+	case errors.As(err, &unavailable):
+		return bfquery.NotAccepted{Reason: "the platform does not answer: " + unavailable.Reason, RetryAfter: unavailable.RetryAfter}, nil
 	case err != nil:
 		return nil, err
 	}
 	attempt := bfcommit.NewConfirm(changeID, b.State(), b.limits)
 	outcome := bfcommit.Run(ctx, b.parts.Table, attempt, b.clock)
-	return b.told(ctx, name, confirmID, author, outcome)
+	return b.confirmOutcome(ctx, name, confirmID, author, outcome)
 }
 
-// bind finds or writes which staged change the confirm is for.
-func (b *Backend) bind(ctx context.Context, name, confirmID string) (string, error) {
-	if changeID, err := b.bound(ctx, confirmID); changeID != "" || err != nil {
+// bindConfirm returns the ID of the staged change that the confirm is bound to, and binds it
+// first if necessary.
+func (b *Backend) bindConfirm(ctx context.Context, name, confirmID string) (string, error) {
+	if changeID, err := b.boundChange(ctx, confirmID); changeID != "" || err != nil {
 		return changeID, err
 	}
-	_, staged, err := b.named(ctx, name)
+	_, staged, err := b.lookUpName(ctx, name)
 	if isNotStaged(err) {
-		return b.boundMeanwhile(ctx, name, confirmID)
+		return b.recheckBinding(ctx, name, confirmID)
 	}
 	if err != nil {
 		return "", err
@@ -61,8 +62,9 @@
 	return staged.ID(), err
 }
 
-// bound is the change that the confirm was for, empty if it is not known yet.
-func (b *Backend) bound(ctx context.Context, confirmID string) (string, error) {
+// boundChange returns the ID of the change that the confirm is bound to, empty if it is not
+// bound.
+func (b *Backend) boundChange(ctx context.Context, confirmID string) (string, error) {
 	rows, err := b.parts.Table.Get(ctx, confirmKey(confirmID))
 	if err != nil {
 		return "", err
@@ -70,24 +72,23 @@
 	return string(rows[0].Value), nil
 }
 
-// boundMeanwhile looks again once the name was found gone.
+// recheckBinding reads the binding again after the name was found free.
 //
-// The same confirm, sent through another node, may have bound and committed the
-// change between the two reads. To say "not staged" then would tell the operator
-// that nothing happened while a version exists. Its row was written before the
-// commit that freed the name, so a read from now on can't miss it.
-func (b *Backend) boundMeanwhile(ctx context.Context, name, confirmID string) (string, error) {
-	changeID, err := b.bound(ctx, confirmID)
+// The same confirm, sent through another node, may have bound and committed the change between
+// the two reads; reporting "not staged" would then be wrong, because a version exists. The
+// binding was written before the commit that freed the name, so this read cannot miss it.
+func (b *Backend) recheckBinding(ctx context.Context, name, confirmID string) (string, error) {
+	changeID, err := b.boundChange(ctx, confirmID)
 	if changeID == "" && err == nil {
 		err = &bfquery.NotStagedError{Name: name}
 	}
 	return changeID, err
 }
 
-func (b *Backend) told(ctx context.Context, name, confirmID, author string, outcome bfcommit.Outcome) (bfquery.ConfirmOutcome, error) {
+func (b *Backend) confirmOutcome(ctx context.Context, name, confirmID, author string, outcome bfcommit.Outcome) (bfquery.ConfirmOutcome, error) {
 	switch o := outcome.(type) {
 	case bfcommit.Committed:
-		b.committed(ctx, name, author, o)
+		b.afterCommit(ctx, name, author, o)
 		return bfquery.Committed{Version: o.Version}, nil
 	case bfcommit.AlreadyCommitted:
 		return bfquery.AlreadyCommitted{Version: o.Version}, nil
@@ -110,8 +111,8 @@
 	return bfquery.Unknown{ChangeID: confirmID}, nil
 }
 
-// committed tells the fleet, and keeps a snapshot now and then.
-func (b *Backend) committed(ctx context.Context, name, author string, o bfcommit.Committed) {
+// afterCommit publishes the version and writes a snapshot if one is due.
+func (b *Backend) afterCommit(ctx context.Context, name, author string, o bfcommit.Committed) {
 	b.parts.Logger.Emit(bflog.VersionCommitted, slog.Uint64("version", uint64(o.Version)),
 		slog.String("author", author), slog.String("change", o.Delta.Change().ID()))
 	data, err := o.Delta.Encode()
@@ -119,18 +120,18 @@
 		err = b.parts.Control.Committed(ctx, data)
 	}
 	if err != nil {
-		// The version is in the table: the next node that reads the head spreads it.
+		// The version is in the table: the next node that reads the head publishes it.
 		b.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
-	b.parts.Spawn("tidy after commit", func(ctx context.Context) error {
+	b.parts.Spawn("clean up after commit", func(ctx context.Context) error {
 		b.freeName(ctx, name, o.Delta.Change().ID())
 		b.snapshot(ctx, o)
 		return nil
 	})
 }
 
-// freeName removes the name's row if it still stands for the committed change.
-// One that stays behind does no harm: its change is gone, so the name is free.
+// freeName removes the name's row if it still refers to the committed change. A row that
+// remains is harmless: its change no longer exists, so the name is free.
 func (b *Backend) freeName(ctx context.Context, name, changeID string) {
 	rows, err := b.parts.Table.Get(ctx, nameKey(name))
 	if err != nil || rows[0].Revision == 0 || string(rows[0].Value) != changeID {
--- a/lib/bfbackend/doc.go
+++ b/lib/bfbackend/doc.go
@@ -1,3 +1,3 @@
-// Package bfbackend is a node's answers to operators' commands: it joins the
-// query language to the cores of commit and membership and to the platform.
+// Package bfbackend runs operators' commands on a node: it connects the query language with the
+// commit protocol, the membership and the platform.
 package bfbackend
--- a/lib/bfbackend/drain.go
+++ b/lib/bfbackend/drain.go
@@ -9,17 +9,17 @@
 	"bilberryflow.org/lib/bfquery"
 )
 
-// drainMethod asks a node to let its target leave.
+// drainMethod is the name of the call that drains a node's target.
 const drainMethod = "guard.drain"
 
-// drainTimeout bounds the question.
+// drainTimeout bounds the call.
 const drainTimeout = 2 * time.Second
 
 type drainRequest struct{}
 
 type drainReply struct{}
 
-// Methods are the calls that a node answers for other nodes' operators.
+// Methods returns the call by which other nodes drain this node's target.
 func Methods(drain func()) bfpeer.Methods {
 	return bfpeer.Methods{drainMethod: {
 		Purpose: bfpeer.Operators,
@@ -30,7 +30,7 @@
 	}}
 }
 
-// Drain makes the target beside an instance leave.
+// Drain makes the target of an instance leave.
 func (b *Backend) Drain(ctx context.Context, instance string) error {
 	member, found := b.parts.Directory.Member(instance)
 	if !found {
--- a/lib/bfbackend/explain.go
+++ b/lib/bfbackend/explain.go
@@ -12,7 +12,7 @@
 	"bilberryflow.org/lib/bfroute"
 )
 
-// Explain tells how a request would be treated.
+// Explain returns how a request would be routed and under which policy.
 func (b *Backend) Explain(_ context.Context, request bfquery.ExplainRequest) (bfquery.Explanation, error) {
 	view := b.parts.Control.View()
 	if view == nil {
@@ -32,12 +32,12 @@
 	decision, _ := view.Events().InForce(match.Route().Name, request.At)
 	explanation.Route, explanation.Service = match.Route().Name, match.Service().Name
 	explanation.Policy, explanation.Event = decision.Policy().Name, decision.Event()
-	explanation.Reasons = append(reasons(match, request, explanation), policyReasons(decision.Policy(), request.Tenant)...)
+	explanation.Reasons = append(routeReasons(match, request, explanation), policyReasons(decision.Policy(), request.Tenant)...)
 	explanation.Candidates = b.candidates(match.Service().Name)
 	return explanation, nil
 }
 
-func reasons(match bfroute.Match, request bfquery.ExplainRequest, e bfquery.Explanation) []string {
+func routeReasons(match bfroute.Match, request bfquery.ExplainRequest, e bfquery.Explanation) []string {
 	list := []string{fmt.Sprintf("route %s has the longest prefix, %s, for %s", e.Route, match.Route().Prefix, request.Path)}
 	if e.Event != "" {
 		return append(list, fmt.Sprintf("event %s is in force at %s and puts the route under policy %s", e.Event, request.At.Format(time.RFC3339), e.Policy))
@@ -45,17 +45,17 @@
 	return append(list, fmt.Sprintf("no event is in force for the route at %s", request.At.Format(time.RFC3339)))
 }
 
-// policyReasons tells what the policy means for the request.
+// policyReasons describes the policy's effect on the request.
 func policyReasons(policy bfconfig.PolicySpec, tenant string) []string {
-	repeat := "runs at most once"
+	retries := "runs at most once"
 	switch {
 	case policy.Idempotent && policy.RetryPercent == 0:
-		repeat = "is idempotent, but not sent again with retry 0%"
+		retries = "is idempotent, but not sent again with retry 0%"
 	case policy.Idempotent:
-		repeat = fmt.Sprintf("may be sent again, for up to %d%% of recent successes", policy.RetryPercent)
+		retries = fmt.Sprintf("may be sent again, for up to %d%% of recent successes", policy.RetryPercent)
 	}
 	list := []string{fmt.Sprintf("by policy %s it %s, within %s; class %s, priority %d, at most %d waiting at a target",
-		policy.Name, repeat, bfresult.FormatDuration(policy.Deadline), policy.Class, policy.Priority, policy.Queue)}
+		policy.Name, retries, bfresult.FormatDuration(policy.Deadline), policy.Class, policy.Priority, policy.Queue)}
 	switch {
 	case tenant == "":
 	case policy.TenantLimit == 0:
--- a/lib/bfbackend/fleet.go
+++ b/lib/bfbackend/fleet.go
@@ -33,7 +33,7 @@
 	return list, nil
 }
 
-// target is a row with the load that this node has last heard of.
+// target returns a row's target with its load as last observed by this node.
 func (b *Backend) target(row *bfroster.Row) bfquery.Target {
 	target := bfquery.Target{
 		Instance: row.ID, Service: row.Service, Domain: row.Domain, State: row.Target.String(), Slots: int(row.Slots),
@@ -46,7 +46,7 @@
 	return target
 }
 
-// Nodes lists the nodes with the version that each was last heard to hold.
+// Nodes lists the nodes with the newest version that each is known to hold.
 func (b *Backend) Nodes(ctx context.Context) ([]bfquery.Node, error) {
 	versions, ages, err := b.parts.Control.Heard(ctx)
 	if err != nil {
--- a/lib/bfbackend/quarantine.go
+++ b/lib/bfbackend/quarantine.go
@@ -5,10 +5,11 @@
 	"bilberryflow.org/lib/bfquery"
 )
 
-// Quarantine lists the requests under which targets ended.
+// Quarantine lists the requests under which targets crashed.
 func (b *Backend) Quarantine() []bfquarantine.Item { return b.parts.Quarantine.List(b.Now()) }
 
-// Release has a request run again; the other nodes are told as of everything in the book.
+// Release permits a quarantined request again; the release is replicated like other records of
+// the book.
 func (b *Backend) Release(content string) error {
 	return bfquery.ReleaseIn(b.parts.Quarantine, content, b.Now())
 }
--- a/lib/bfbackend/staged.go
+++ b/lib/bfbackend/staged.go
@@ -9,9 +9,9 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// A staged change lies in two rows: one by its change ID, which a commit
-// removes in its transaction, and one by its name, which holds the ID. A name
-// whose change is gone is free.
+// A staged change has two rows: one keyed by its change ID, which the commit removes in its
+// transaction, and one keyed by its name, which holds the ID. A name whose change no longer
+// exists is free.
 const namePrefix = "staged-name/"
 
 // nameEnd is the first key after all name rows.
@@ -19,20 +19,21 @@
 
 func nameKey(name string) string { return namePrefix + name }
 
-// maxStaged bounds what is listed; operators confirm or discard long before.
+// maxStaged bounds the number of listed changes.
 const maxStaged = 1000
 
-// errTaken reports that a name is held by another staged change.
-var errTaken = errors.New("name taken")
+// errNameTaken reports that another staged change has the name.
+var errNameTaken = errors.New("name is taken by another staged change")
 
-// Stage keeps a staged change where every node can confirm it.
+// Stage stores a staged change, which can then be confirmed through any node. It returns a
+// StagedExistsError if another change has the name.
 func (b *Backend) Stage(ctx context.Context, request bfquery.StageRequest) (bfquery.StagedChange, error) {
 	staged, err := bfcommit.Stage(request.Base, request.ChangeID, request.Author, b.Now(), request.Ops)
 	if err != nil {
 		return bfquery.StagedChange{}, err
 	}
 	for {
-		nameRow, held, err := b.named(ctx, request.Name)
+		nameRow, held, err := b.lookUpName(ctx, request.Name)
 		switch {
 		case err == nil && held.ID() == request.ChangeID:
 			return stagedChange(request.Name, held), nil
@@ -45,10 +46,10 @@
 		switch {
 		case err == nil:
 			return stagedChange(request.Name, staged), nil
-		case !errors.Is(err, errTaken):
+		case !errors.Is(err, errNameTaken):
 			return bfquery.StagedChange{}, err
 		}
-		// Somebody else took the name in between; the next read tells who.
+		// Another operator took the name in the meantime; the next read returns its change.
 	}
 }
 
@@ -62,7 +63,7 @@
 	err = b.parts.Table.Commit(ctx, tx)
 	var conflict *bfstore.ConflictError
 	if errors.As(err, &conflict) {
-		return errTaken
+		return errNameTaken
 	}
 	return err
 }
@@ -73,8 +74,9 @@
 	return errors.As(err, &byName) || errors.As(err, &byID)
 }
 
-// named finds the change staged under a name, and the name's row whatever it holds.
-func (b *Backend) named(ctx context.Context, name string) (bfstore.Row, bfcommit.Staged, error) {
+// lookUpName returns the change staged under a name, and the name's row even if there is no
+// change.
+func (b *Backend) lookUpName(ctx context.Context, name string) (bfstore.Row, bfcommit.Staged, error) {
 	rows, err := b.parts.Table.Get(ctx, nameKey(name))
 	if err != nil {
 		return bfstore.Row{}, bfcommit.Staged{}, err
@@ -126,9 +128,9 @@
 	return list, nil
 }
 
-// Discard drops a staged change.
+// Discard removes a staged change.
 func (b *Backend) Discard(ctx context.Context, name string) error {
-	nameRow, staged, err := b.named(ctx, name)
+	nameRow, staged, err := b.lookUpName(ctx, name)
 	if err != nil {
 		return err
 	}
--- a/lib/bfbackend/versions.go
+++ b/lib/bfbackend/versions.go
@@ -10,10 +10,10 @@
 	"bilberryflow.org/lib/bfquery"
 )
 
-// page is how many versions are read from the table at once.
-const page = 200
+// pageSize is the number of versions read from the table at once.
+const pageSize = 200
 
-// deltas reads the versions from first to last that are kept, oldest first.
+// deltas reads the retained versions from first to last, oldest first.
 func (b *Backend) deltas(ctx context.Context, first, last bfconfig.Version) ([]bfconfig.Delta, error) {
 	from, to := bfcommit.VersionRange(first, last)
 	rows, err := b.parts.Table.Range(ctx, from, to, int(last-first)+1)
@@ -40,16 +40,17 @@
 	return head.Version, err
 }
 
-// backwards calls visit for the versions from the newest on until it returns false.
-func (b *Backend) backwards(ctx context.Context, visit func(bfconfig.Delta) bool) error {
+// visitBackwards calls visit for the versions from the newest to the oldest until it returns
+// false.
+func (b *Backend) visitBackwards(ctx context.Context, visit func(bfconfig.Delta) bool) error {
 	last, err := b.head(ctx)
 	if err != nil {
 		return err
 	}
 	for last > 0 {
 		first := bfconfig.Version(1)
-		if last > page {
-			first = last - page + 1
+		if last > pageSize {
+			first = last - pageSize + 1
 		}
 		deltas, err := b.deltas(ctx, first, last)
 		if err != nil {
@@ -68,7 +69,7 @@
 // History lists the newest versions that put or removed the object, newest first.
 func (b *Backend) History(ctx context.Context, ref bfconfig.Ref, limit int) (bfquery.History, error) {
 	history := bfquery.History{Complete: true}
-	err := b.backwards(ctx, func(delta bfconfig.Delta) bool {
+	err := b.visitBackwards(ctx, func(delta bfconfig.Delta) bool {
 		for _, op := range slices.Backward(delta.Change().Ops()) {
 			if op.Target() == ref {
 				history.Items = append(history.Items, bfquery.HistoryItem{
@@ -83,7 +84,7 @@
 	return history, err
 }
 
-// VersionOps are the operations of a version.
+// VersionOps returns the operations of a version, or a NoVersionError.
 func (b *Backend) VersionOps(ctx context.Context, version bfconfig.Version) ([]bfconfig.Op, error) {
 	if version == 0 {
 		return nil, &bfquery.NoVersionError{Version: version}
@@ -101,7 +102,7 @@
 // Versions lists the newest versions, newest first.
 func (b *Backend) Versions(ctx context.Context, limit int) ([]bfquery.VersionInfo, error) {
 	var list []bfquery.VersionInfo
-	err := b.backwards(ctx, func(delta bfconfig.Delta) bool {
+	err := b.visitBackwards(ctx, func(delta bfconfig.Delta) bool {
 		info := bfquery.VersionInfo{
 			Version: delta.Version(), At: delta.Change().At(),
 			Author: delta.Change().Author(), ChangeID: delta.Change().ID(),
