--- a/lib/bfcount/counter.go
+++ b/lib/bfcount/counter.go
@@ -84,8 +84,8 @@
 // Asked starts the census that another node requested.
 func (c *Counter) Asked(now time.Time, q Question) []Action {
 	wait := min(time.Duration(q.Wait)*time.Millisecond, maxWait)
-	next := &activeCensus{id: c.fleet.NewNonce(), requester: q.From, nonce: q.Nonce, wait: wait}
-	return c.start(now, next, q.Range.Span(c.self))
+	requested := &activeCensus{id: c.fleet.NewNonce(), requester: q.From, nonce: q.Nonce, wait: wait}
+	return c.start(now, requested, q.Range.Span(c.self))
 }
 
 // Answered adds the first response for a part; a late one from a relay that timed out is
--- a/lib/bfnews/reading.go
+++ b/lib/bfnews/reading.go
@@ -110,10 +110,10 @@
 	if cached := e.cachedPlan.Load(); cached != nil && cached.generation == generation {
 		return cached
 	}
-	made := makePlan(e.place.Domain, e.fleet.Members())
-	made.generation = generation
-	e.cachedPlan.Store(made)
-	return made
+	current := makePlan(e.place.Domain, e.fleet.Members())
+	current.generation = generation
+	e.cachedPlan.Store(current)
+	return current
 }
 
 // fetchFirstVersion polls the upstream nodes until the node has its first version, if it is new
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -184,13 +184,13 @@
 	if u.Hint {
 		return
 	}
-	age := e.uptime()
-	e.received.any.Store(age)
+	now := e.uptime()
+	e.received.any.Store(now)
 	if u.Fresh {
-		e.received.fresh.Store(age)
+		e.received.fresh.Store(now)
 	}
 	if u.Reader {
-		e.received.reader.Store(age)
+		e.received.reader.Store(now)
 	}
 }
 
--- a/lib/bfrumor/exchange_test.go
+++ b/lib/bfrumor/exchange_test.go
@@ -40,12 +40,12 @@
 
 var errPartitioned = errors.New("node is partitioned")
 
-func (f caller) Call(ctx context.Context, address, method string, params, result any) error {
-	f.fleet.calls.Add(1)
-	f.fleet.mu.Lock()
-	to := f.fleet.nodes[address]
-	unreachable := f.fleet.partitioned[f.name] || f.fleet.partitioned[address] || to == nil
-	f.fleet.mu.Unlock()
+func (c caller) Call(ctx context.Context, address, method string, params, result any) error {
+	c.fleet.calls.Add(1)
+	c.fleet.mu.Lock()
+	to := c.fleet.nodes[address]
+	unreachable := c.fleet.partitioned[c.name] || c.fleet.partitioned[address] || to == nil
+	c.fleet.mu.Unlock()
 	if unreachable {
 		return errPartitioned
 	}
