--- a/lib/bfcodec/codec.go
+++ b/lib/bfcodec/codec.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A broken or hostile message must not make a node allocate without bound.
+// Decoding limits: an invalid message must not cause unbounded allocation.
 const (
 	maxElements = 1 << 16
 	maxPairs    = 1 << 10
@@ -17,7 +17,7 @@
 	decMode = Must(cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: maxPairs}.DecMode())
 )
 
-// Must is for values made from constants: their failure is a fault of the source.
+// Must returns value and panics on an error. It is meant for values built from constants.
 func Must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -25,24 +25,24 @@
 	return value
 }
 
-// Error reports bytes that are not what they should be.
+// Error reports a value that can't be encoded or decoded.
 type Error struct {
 	What   string
 	Reason error
 }
 
-// Error names what was read and why it failed.
+// Error names the value and the reason.
 func (e *Error) Error() string { return fmt.Sprintf("unreadable %s: %v", e.What, e.Reason) }
 
 // Unwrap is the reason.
 func (e *Error) Unwrap() error { return e.Reason }
 
-// UnknownForm reports a message whose first byte names no form of its receiver.
-func UnknownForm(form byte) error {
-	return &Error{What: "message", Reason: fmt.Errorf("form %d unknown", form)}
+// UnknownForm returns the error for a message with an unknown kind byte.
+func UnknownForm(kind byte) error {
+	return &Error{What: "message", Reason: fmt.Errorf("unknown message kind %d", kind)}
 }
 
-// Marshal writes a value.
+// Marshal encodes a value; its error is an Error.
 func Marshal(v any) ([]byte, error) {
 	data, err := encMode.Marshal(v)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return data, nil
 }
 
-// Unmarshal reads what Marshal wrote; what names it in errors.
+// Unmarshal decodes what Marshal encoded; what names the value in the error, an Error.
 func Unmarshal(data []byte, what string, into any) error {
 	if err := decMode.Unmarshal(data, into); err != nil {
 		return &Error{What: what, Reason: err}
@@ -59,16 +59,16 @@
 	return nil
 }
 
-// EncodeForm writes a message behind the byte that names its form.
-func EncodeForm(form byte, message any) ([]byte, error) {
+// EncodeForm encodes a message, preceded by its kind byte.
+func EncodeForm(kind byte, message any) ([]byte, error) {
 	body, err := Marshal(message)
 	if err != nil {
 		return nil, err
 	}
-	return append([]byte{form}, body...), nil
+	return append([]byte{kind}, body...), nil
 }
 
-// DecodeForm reads the message behind its form byte.
+// DecodeForm decodes the message that follows the kind byte.
 func DecodeForm[M any](data []byte) (M, error) {
 	var m M
 	if len(data) == 0 {
--- a/lib/bfcodec/doc.go
+++ b/lib/bfcodec/doc.go
@@ -1,3 +1,3 @@
-// Package bfcodec is the one way in which messages and rows become CBOR: its
-// limits on what is read, its error, and the form byte before a datagram's body.
+// Package bfcodec encodes messages and rows as CBOR. It sets the decoding limits,
+// defines the error type, and adds the kind byte that precedes a datagram's body.
 package bfcodec
