--- a/lib/bfbatch/batch.go
+++ b/lib/bfbatch/batch.go
@@ -14,36 +14,35 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// gather is how long the first write of a batch waits for others. Nodes that start
-// together have their rows due within a second and a half, and a new target is due its
-// first work within four seconds.
-const gather = 300 * time.Millisecond
+// gatherWindow is how long the first write of a batch waits for others. It is short
+// compared to the 4 s within which a new target must get its first request.
+const gatherWindow = 300 * time.Millisecond
 
-// mostWaiting is how many writes are gathered at most: ten calls. Where a whole fleet of
-// thousands starts, its nodes write on their own and no node holds the rows of all.
-const mostWaiting = 10 * bfstore.MaxWrites
+// maxPending is the maximum number of pending writes, ten calls. Beyond it, as when
+// thousands of nodes start at once, nodes write their rows themselves.
+const maxPending = 10 * bfstore.MaxWrites
 
-// Parts is what a Batcher works with.
+// Parts holds the dependencies of a Batcher.
 type Parts struct {
 	Table  string
 	Rows   bfstore.Rows
 	Timer  *bftimer.Service
 	Logger *bflog.Logger
-	// Spawn starts a goroutine of the node's group.
+	// Spawn starts a goroutine that the node waits for on shutdown.
 	Spawn func(name string, fn func(ctx context.Context) error)
 }
 
-// Batcher gathers writes to a table and makes them together.
+// Batcher combines concurrent writes to a table into batches.
 type Batcher struct {
-	parts Parts
+	config Parts
 
 	mu      sync.Mutex
 	waiting []*pending
-	// gathering says that a goroutine is about to make what waits.
-	gathering bool
+	// running is set while a goroutine collects or writes batches.
+	running bool
 }
 
-// pending is a write that waits; its result is sent once.
+// pending is a write that awaits its result.
 type pending struct {
 	write bfstore.RowWrite
 	done  chan result
@@ -54,25 +53,25 @@
 	err      error
 }
 
-// New makes a batcher.
-func New(parts Parts) *Batcher { return &Batcher{parts: parts} }
+// New returns a batcher.
+func New(config Parts) *Batcher { return &Batcher{config: config} }
 
-// NotMadeError reports a write that certainly had no effect, since another one of its
-// batch had none. Alone it may be made.
+// NotMadeError reports a write that failed as part of a batch; the caller should write the
+// row itself. A write that a Batcher failed had no effect, one of a Remote may have had.
 type NotMadeError struct{ Reason error }
 
 // Error gives the reason.
-func (e *NotMadeError) Error() string { return "not written with others: " + e.Reason.Error() }
+func (e *NotMadeError) Error() string { return "batched write failed: " + e.Reason.Error() }
 
 // Unwrap is the reason.
 func (e *NotMadeError) Unwrap() error { return e.Reason }
 
-// Write makes a write together with others, and returns the revision that the row then
-// has. Its errors are NotMadeError, those of the store, and ctx's.
+// Write adds the write to a batch and returns the row's new revision. Its errors are
+// NotMadeError, those of the store, and ctx's.
 func (b *Batcher) Write(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	p := &pending{write: write, done: make(chan result, 1)}
 	if !b.add(p) {
-		return 0, &NotMadeError{Reason: &bfstore.UnavailableError{Reason: "too many writes wait"}}
+		return 0, &NotMadeError{Reason: &bfstore.UnavailableError{Reason: "too many pending writes"}}
 	}
 	select {
 	case r := <-p.done:
@@ -82,28 +81,28 @@
 	}
 }
 
-// add has a write gathered, unless too many wait.
+// add queues the write and reports false if too many are pending.
 func (b *Batcher) add(p *pending) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting) >= mostWaiting {
+	if len(b.waiting) >= maxPending {
 		return false
 	}
 	b.waiting = append(b.waiting, p)
-	if !b.gathering {
-		b.gathering = true
-		b.parts.Spawn("write a batch", b.run)
+	if !b.running {
+		b.running = true
+		b.config.Spawn("write batches", b.run)
 	}
 	return true
 }
 
-// run makes what has been gathered, until nothing waits.
+// run writes batches until no write is pending.
 func (b *Batcher) run(ctx context.Context) error {
 	for {
-		if err := b.parts.Timer.Wait(ctx, gather); err != nil {
+		if err := b.config.Timer.Wait(ctx, gatherWindow); err != nil {
 			return nil
 		}
-		batch := b.take()
+		batch := b.nextBatch()
 		if len(batch) == 0 {
 			return nil
 		}
@@ -111,52 +110,51 @@
 	}
 }
 
-// take gives the next batch: one write a row, as many as one call takes. Those that want
-// the same of a row share one write: many nodes find at once that a machine is gone. Where
-// nothing waits the gathering ends.
-func (b *Batcher) take() (batch []*shared) {
+// nextBatch removes the next batch from the pending writes, with at most one write per
+// row. Identical writes are merged, since many nodes detect the loss of a machine
+// at once. If no write is pending, running is reset.
+func (b *Batcher) nextBatch() (batch []*mergedWrite) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var left []*pending
+	var rest []*pending
 	for _, p := range b.waiting {
-		at := slices.IndexFunc(batch, func(s *shared) bool { return s.write.Key == p.write.Key })
+		at := slices.IndexFunc(batch, func(s *mergedWrite) bool { return s.write.Key == p.write.Key })
 		switch {
 		case at < 0 && len(batch) < bfstore.MaxWrites:
-			batch = append(batch, &shared{p.write, []*pending{p}})
-		case at >= 0 && batch[at].wants(p.write):
+			batch = append(batch, &mergedWrite{p.write, []*pending{p}})
+		case at >= 0 && batch[at].matches(p.write):
 			batch[at].waiting = append(batch[at].waiting, p)
 		default:
-			left = append(left, p)
+			rest = append(rest, p)
 		}
 	}
-	b.waiting = left
-	b.gathering = len(batch) > 0
+	b.waiting = rest
+	b.running = len(batch) > 0
 	return batch
 }
 
-// shared is one write of a batch and those that wait for it.
-type shared struct {
+// mergedWrite is one write of a batch with all its callers.
+type mergedWrite struct {
 	write   bfstore.RowWrite
 	waiting []*pending
 }
 
-func (s *shared) wants(w bfstore.RowWrite) bool {
-	return s.write.Remove == w.Remove && s.write.Revision == w.Revision && bytes.Equal(s.write.Value, w.Value)
+func (m *mergedWrite) matches(w bfstore.RowWrite) bool {
+	return m.write.Remove == w.Remove && m.write.Revision == w.Revision && bytes.Equal(m.write.Value, w.Value)
 }
 
-// commit makes a batch and tells all that wait for it.
+// commit writes a batch and sends the result to all its callers.
 //
-// One row that is not as its write expects has the store make none of them. The others
-// are then told to write on their own: that happens where a row was written by two
-// nodes at once.
-func (b *Batcher) commit(ctx context.Context, batch []*shared) {
+// The store rejects the whole batch if one row has a conflict. The callers then
+// write their rows themselves.
+func (b *Batcher) commit(ctx context.Context, batch []*mergedWrite) {
 	var writes []bfstore.RowWrite
 	for _, s := range batch {
 		writes = append(writes, s.write)
 	}
-	revision, err := b.parts.Rows.Write(ctx, b.parts.Table, writes...)
+	revision, err := b.config.Rows.Write(ctx, b.config.Table, writes...)
 	if err != nil {
-		b.parts.Logger.Emit(bflog.BatchNotMade, slog.Int("rows", len(batch)), bflog.Err(err))
+		b.config.Logger.Emit(bflog.BatchNotMade, slog.Int("rows", len(batch)), bflog.Err(err))
 	}
 	var conflict *bfstore.ConflictError
 	if len(batch) > 1 && errors.As(err, &conflict) {
--- a/lib/bfbatch/batch_test.go
+++ b/lib/bfbatch/batch_test.go
@@ -20,24 +20,24 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// counted counts the calls that write.
-type counted struct {
+// countingRows counts write calls.
+type countingRows struct {
 	*bfstore.MemoryRows
 	mu    sync.Mutex
 	calls int
 }
 
-func (c *counted) Write(ctx context.Context, table string, writes ...bfstore.RowWrite) (uint64, error) {
+func (c *countingRows) Write(ctx context.Context, table string, writes ...bfstore.RowWrite) (uint64, error) {
 	c.mu.Lock()
 	c.calls++
 	c.mu.Unlock()
 	return c.MemoryRows.Write(ctx, table, writes...)
 }
 
-func under(t *testing.T, fn func(is *is.I, rows *counted, b *Batcher, group *bfgroup.Group)) {
+func withBatcher(t *testing.T, fn func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		rows := &counted{MemoryRows: bfstore.NewMemoryRows()}
+		rows := &countingRows{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
 		group := bfgroup.New(context.Background())
 		group.Go("timer", timer.Run)
@@ -50,7 +50,7 @@
 	})
 }
 
-// write makes writes at once and gives their errors.
+// write makes concurrent writes and returns their errors.
 func write(group *bfgroup.Group, b *Batcher, writes ...bfstore.RowWrite) []error {
 	errs := make([]error, len(writes))
 	var done sync.WaitGroup
@@ -66,11 +66,10 @@
 	return errs
 }
 
-// A fleet of 250 starts, and all rows are due at once. They are written in five calls, as
-// many as the store takes them in; in fewer the store would refuse them, and each node
-// would write its own.
-func TestRowsOfAStartAreWrittenTogether(t *testing.T) {
-	under(t, func(is *is.I, rows *counted, b *Batcher, group *bfgroup.Group) {
+// Guards against batches larger than the store accepts, and against more calls than
+// needed, when a fleet of 250 nodes starts at once.
+func TestRowsAreWrittenInFullBatches(t *testing.T) {
+	withBatcher(t, func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group) {
 		var writes []bfstore.RowWrite
 		for i := range 250 {
 			writes = append(writes, bfstore.RowWrite{Key: fmt.Sprint(i), Value: []byte("v")})
@@ -80,33 +79,33 @@
 		entries, _, err := rows.List(context.Background(), "members")
 		is.NoErr(err)
 		is.Equal(len(entries), 250)
-		is.NoErr(errors.Join(write(group, b, bfstore.RowWrite{Key: "late", Value: []byte("v")})...)) // it gathers again
+		is.NoErr(errors.Join(write(group, b, bfstore.RowWrite{Key: "late", Value: []byte("v")})...)) // a new batch is started
 	})
 }
 
-// One of three rows is another one by now. None of the three is written: who wrote on
-// an old belief is told so only if its row was alone, and all write on their own.
-func TestConflictHoldsBackTheBatch(t *testing.T) {
-	under(t, func(is *is.I, rows *counted, b *Batcher, group *bfgroup.Group) {
+// Guards against a partial batch after a conflict: no row is written, and only a
+// batch of one row reports the conflict itself.
+func TestConflictFailsWholeBatch(t *testing.T) {
+	withBatcher(t, func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group) {
 		_, err := rows.Put(context.Background(), "members", "b", []byte("other"), 0)
 		is.NoErr(err)
 		errs := write(group, b,
 			bfstore.RowWrite{Key: "a", Value: []byte("v")}, bfstore.RowWrite{Key: "b", Value: []byte("v")}, bfstore.RowWrite{Key: "c", Remove: true})
 		for _, err := range errs {
-			var notMade *NotMadeError
-			is.True(errors.As(err, &notMade))
+			var batchErr *NotMadeError
+			is.True(errors.As(err, &batchErr))
 		}
 		alone := write(group, b, bfstore.RowWrite{Key: "b", Value: []byte("v")})
-		var notMade *NotMadeError
+		var batchErr *NotMadeError
 		var conflict *bfstore.ConflictError
-		is.True(!errors.As(alone[0], &notMade) && errors.As(alone[0], &conflict))
+		is.True(!errors.As(alone[0], &batchErr) && errors.As(alone[0], &conflict))
 	})
 }
 
-// A row is written twice within one batch: the second write waits for the next, where
-// its condition decides.
-func TestRowIsWrittenOnceInABatch(t *testing.T) {
-	under(t, func(is *is.I, rows *counted, b *Batcher, group *bfgroup.Group) {
+// Guards against two writes of one row in a batch: the second must go into the next
+// batch, where its condition is checked.
+func TestBatchHoldsOneWritePerRow(t *testing.T) {
+	withBatcher(t, func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group) {
 		errs := write(group, b, bfstore.RowWrite{Key: "a", Value: []byte("1")}, bfstore.RowWrite{Key: "a", Value: []byte("2")})
 		made := 0
 		for _, err := range errs {
@@ -119,10 +118,10 @@
 	})
 }
 
-// Forty nodes find that a machine is gone, and each has its row removed. That is one
-// write, and each of them hears how it ended.
-func TestSameWriteIsMadeOnce(t *testing.T) {
-	under(t, func(is *is.I, rows *counted, b *Batcher, group *bfgroup.Group) {
+// Guards against repeated calls when forty nodes remove the row of the same lost
+// machine: they share one write and its result.
+func TestIdenticalWritesAreMerged(t *testing.T) {
+	withBatcher(t, func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group) {
 		revision, err := rows.Put(context.Background(), "members", "lost", []byte("v"), 0)
 		is.NoErr(err)
 		var writes []bfstore.RowWrite
@@ -134,29 +133,27 @@
 	})
 }
 
-// A fleet of 600 starts by one node that gathers. It takes as many rows as it may hold; the
-// others are told at once to write on their own.
-func TestMostWritesThatWait(t *testing.T) {
-	under(t, func(is *is.I, rows *counted, b *Batcher, group *bfgroup.Group) {
+// Guards against unbounded pending writes: those above the limit are rejected at once.
+func TestPendingWritesAreLimited(t *testing.T) {
+	withBatcher(t, func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group) {
 		var writes []bfstore.RowWrite
-		for i := range mostWaiting + 100 {
+		for i := range maxPending + 100 {
 			writes = append(writes, bfstore.RowWrite{Key: fmt.Sprint(i), Value: []byte("v")})
 		}
 		refused := 0
 		for _, err := range write(group, b, writes...) {
-			var notMade *NotMadeError
-			if errors.As(err, &notMade) {
+			var batchErr *NotMadeError
+			if errors.As(err, &batchErr) {
 				refused++
 			}
 		}
 		is.Equal(refused, 100)
-		is.Equal(rows.calls, mostWaiting/bfstore.MaxWrites)
+		is.Equal(rows.calls, maxPending/bfstore.MaxWrites)
 	})
 }
 
-// The node that gathers is gone. The write fails at once and not after a timeout, with
-// the word that the node is to write itself.
-func TestGathererThatIsGone(t *testing.T) {
+// Guards against waiting for the timeout when the batching node is gone.
+func TestRemoteUnreachable(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
@@ -167,13 +164,13 @@
 	calls := bfpeer.NewCalls(bfpeer.Methods{}, bfpeer.NewTraffic(bfmetric.New()), group)
 	began := time.Now()
 	_, err = Remote{Calls: calls, Peer: address}.Write(context.Background(), bfstore.RowWrite{Key: "a"})
-	var notMade *NotMadeError
-	is.True(errors.As(err, &notMade))
+	var batchErr *NotMadeError
+	is.True(errors.As(err, &batchErr))
 	is.True(time.Since(began) < callTimeout)
 }
 
-// A node hands its write over, and hears the revision of its row, or that it is another one.
-func TestWriteIsHandedOver(t *testing.T) {
+// Guards against a remote write whose revision or conflict is not returned.
+func TestRemoteWrite(t *testing.T) {
 	is := is.New(t)
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
--- a/lib/bfbatch/doc.go
+++ b/lib/bfbatch/doc.go
@@ -1,7 +1,7 @@
-// Package bfbatch has nodes write their rows together. A node hands its write to another
-// one, which gathers those that come within a short time and makes them in one call.
+// Package bfbatch batches the writes of table rows across nodes. A node sends its
+// write to another node, which combines the writes that arrive within a short
+// window into one call.
 //
-// Nobody depends on it: a write that the other node does not make, for whatever reason,
-// the node makes itself. All writes have their conditions, so that one made twice, or
-// late, changes nothing.
+// Batching is optional: if it fails for any reason, a node writes its row itself.
+// All writes are conditional, so a repeated or late one has no effect.
 package bfbatch
--- a/lib/bfbatch/remote.go
+++ b/lib/bfbatch/remote.go
@@ -10,14 +10,13 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// method is the name of the call by which a node hands its write to another one.
-const method = "write"
+// writeMethod is the name of the call that sends a write to another node.
+const writeMethod = "write"
 
-// callTimeout bounds such a call: a batch is gathered and made in less than half of it
-// where the store answers.
+// callTimeout limits such a call; it exceeds gatherWindow and the time of a store call.
 const callTimeout = time.Second
 
-// request is a write as it is handed over.
+// request is the encoded form of a write.
 type request struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -25,14 +24,14 @@
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// outcome tells how a write ended.
+// outcome is the encoded result of a write.
 type outcome string
 
 const (
-	made     outcome = "made"
+	written  outcome = "made"
 	conflict outcome = "conflict"
-	// notMade stands for all ends after which the node writes itself.
-	notMade outcome = "not made"
+	// notWritten covers all results after which the node writes the row itself.
+	notWritten outcome = "not made"
 )
 
 type reply struct {
@@ -40,51 +39,51 @@
 	Revision uint64  `json:"revision,omitempty"`
 }
 
-// Methods are the calls that the batcher answers.
+// Methods returns the calls that the batcher serves to other nodes.
 func (b *Batcher) Methods() bfpeer.Methods {
-	return bfpeer.Methods{method: {Purpose: bfpeer.Membership, Handle: b.answer}}
+	return bfpeer.Methods{writeMethod: {Purpose: bfpeer.Membership, Handle: b.answer}}
 }
 
 func (b *Batcher) answer(ctx context.Context, params json.RawMessage) (any, error) {
-	var asked request
-	if err := json.Unmarshal(params, &asked); err != nil {
+	var req request
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, err
 	}
-	revision, err := b.Write(ctx, bfstore.RowWrite(asked))
+	revision, err := b.Write(ctx, bfstore.RowWrite(req))
 	var conflicting *bfstore.ConflictError
-	var batch *NotMadeError
+	var batchErr *NotMadeError
 	switch {
 	case err == nil:
-		return reply{Outcome: made, Revision: revision}, nil
-	case errors.As(err, &batch):
-		return reply{Outcome: notMade}, nil
+		return reply{Outcome: written, Revision: revision}, nil
+	case errors.As(err, &batchErr):
+		return reply{Outcome: notWritten}, nil
 	case errors.As(err, &conflicting):
 		return reply{Outcome: conflict}, nil
 	}
-	return reply{Outcome: notMade}, nil
+	return reply{Outcome: notWritten}, nil
 }
 
-// Remote hands writes to another node's batcher.
+// Remote sends writes to another node's batcher.
 type Remote struct {
 	Calls *bfpeer.Calls
-	// Peer is where that node takes calls.
+	// Peer is the address of that node's peer port.
 	Peer string
 }
 
-// Write hands the write over. Its errors are ConflictError, and NotMadeError where the
-// node is to write itself; then the write may have been made all the same.
+// Write sends the write to the node. Its errors are bfstore.ConflictError and
+// NotMadeError; after the latter the write may still have taken effect.
 func (r Remote) Write(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var told reply
-	err := r.Calls.Call(ctx, r.Peer, method, request(write), &told)
+	var got reply
+	err := r.Calls.Call(ctx, r.Peer, writeMethod, request(write), &got)
 	switch {
 	case err != nil:
 		return 0, &NotMadeError{Reason: err}
-	case told.Outcome == made:
-		return told.Revision, nil
-	case told.Outcome == conflict:
+	case got.Outcome == written:
+		return got.Revision, nil
+	case got.Outcome == conflict:
 		return 0, &bfstore.ConflictError{Row: bfstore.Row{Key: write.Key}}
 	}
-	return 0, &NotMadeError{Reason: &bfstore.UnavailableError{Reason: "the batch was not made"}}
+	return 0, &NotMadeError{Reason: &bfstore.UnavailableError{Reason: "batch was not written"}}
 }
