--- a/lib/bfcaller/attempt.go
+++ b/lib/bfcaller/attempt.go
@@ -206,7 +206,7 @@
 		return s.settled(outcome)
 	}
 	if s.caller.Err() == nil {
-		s.call.entry.parts.Client.Replace(s.member.Inbound)
+		s.call.entry.parts.Client.ResetPeer(s.member.Inbound)
 	}
 	// A caller that went away hears nothing any more, and an idempotent request
 	// is better sent again than asked about.
--- a/lib/bfcaller/watch.go
+++ b/lib/bfcaller/watch.go
@@ -71,7 +71,7 @@
 // end settles the attempt, unless it is, and ends the exchange.
 func (s *sending) end(change func(*bfrecord.Attempt) bfrecord.Outcome) {
 	if s.exchange.Err() == nil && s.locked(change) != nil {
-		s.call.entry.parts.Client.Replace(s.member.Inbound)
+		s.call.entry.parts.Client.ResetPeer(s.member.Inbound)
 		s.cancel()
 	}
 }
--- a/lib/bfforward/client.go
+++ b/lib/bfforward/client.go
@@ -10,54 +10,54 @@
 	"time"
 )
 
-// Protocol is how requests share connections.
+// Protocol is the HTTP version used between peers.
 type Protocol string
 
-// The protocols; docs/design/connections.md has the figures.
+// The supported protocols; docs/design/connections.md compares them.
 const (
-	// HTTP1 keeps a pool of connections, each with one request at a time.
+	// HTTP1 uses a pool of connections, each with one request at a time.
 	HTTP1 Protocol = "http1"
-	// HTTP2 puts all requests to a peer on one connection.
+	// HTTP2 multiplexes all requests to a peer over one connection.
 	HTTP2 Protocol = "http2"
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
 	Protocol    Protocol
 	DialTimeout time.Duration
-	// PingAfter is how long an HTTP/2 connection may be quiet before it is probed.
+	// PingAfter is the idle time after which an HTTP/2 connection is probed.
 	PingAfter time.Duration
-	// PingTimeout is how long a probe may go unanswered before the connection is replaced.
+	// PingTimeout is the time without a reply to a probe after which the connection is closed.
 	PingTimeout time.Duration
-	// IdleTimeout closes unused connections; it must be shorter than the peer's.
+	// IdleTimeout is the time after which unused connections are closed; it must be shorter than the peer's.
 	IdleTimeout time.Duration
-	// MaxPerPeer caps connections to one peer; 0 means no cap.
+	// MaxPerPeer limits the connections to one peer; 0 means no limit.
 	MaxPerPeer int
 }
 
-// DefaultOptions suit hops between nodes.
+// DefaultOptions returns options for connections between nodes.
 func DefaultOptions() Options {
 	return Options{
-		// A lost first packet is sent again after a second; another target is nearer than that.
+		// Shorter than the retransmission of a lost SYN, 1 s: trying another target is faster.
 		DialTimeout: 500 * time.Millisecond,
 		Protocol:    HTTP1, PingAfter: time.Second, PingTimeout: time.Second, IdleTimeout: 30 * time.Second,
 	}
 }
 
-// TargetOptions suit the hop from a node to its target.
+// TargetOptions returns options for connections from a node to its target.
 //
-// A target that closes an idle connection just as a request is written to it
-// leaves the request's outcome unknown, and unlike a node it can't be asked.
-// Nothing is known of its idle timeout, so it is given little time; a new
-// connection on the same instance costs far less than an unknown nomination.
+// If the target closes an idle connection while a request is written to it, the
+// request's outcome is unknown, and a target can't be queried for it. The target's
+// idle timeout is not known either, so this one is short; a new connection on the
+// same instance is cheap.
 func TargetOptions() Options {
 	options := DefaultOptions()
 	options.IdleTimeout = time.Second
 	return options
 }
 
-// Client sends requests to peers, each with connections of its own, so that
-// one peer's can be replaced without touching the others'.
+// Client sends requests to peers. Each peer has its own transport, so that its
+// connections can be dropped without affecting other peers.
 type Client struct {
 	options Options
 	mu      sync.RWMutex
@@ -66,10 +66,10 @@
 
 type peer struct {
 	transport *http.Transport
-	used      atomic.Int64 // nanoseconds since 1970
+	lastUsed  atomic.Int64 // nanoseconds since 1970
 }
 
-// New makes a client.
+// New returns a client.
 func New(options Options) *Client {
 	return &Client{options: options, peers: map[string]*peer{}}
 }
@@ -87,13 +87,13 @@
 		}
 		c.mu.Unlock()
 	}
-	p.used.Store(now)
+	p.lastUsed.Store(now)
 	return p.transport
 }
 
 func (c *Client) transport() *http.Transport {
-	// What is open in a spike's first moments is needed in the next; IdleTimeout
-	// takes the rest back. A lower number would close and open them all through it.
+	// Keeps the connections of a burst open until IdleTimeout; a lower limit would
+	// close and reopen them throughout the burst.
 	const idlePerPeer = 256
 	t := &http.Transport{
 		DialContext:         c.dial,
@@ -119,11 +119,11 @@
 	return &conn{Conn: opened}, nil
 }
 
-// Replace drops the idle connections to a peer, so that the next request opens a new one.
+// ResetPeer drops the idle connections to a peer, so that the next request opens a new one.
 //
-// Something between the two ends can lose track of open connections while new
-// ones work; the idle ones would swallow a request each until its deadline.
-func (c *Client) Replace(address string) {
+// Connections can go silently dead while new ones work; each idle one would
+// otherwise lose a request.
+func (c *Client) ResetPeer(address string) {
 	c.mu.Lock()
 	p, found := c.peers[address]
 	delete(c.peers, address)
@@ -133,26 +133,26 @@
 	}
 }
 
-// Sweep forgets peers that were not used for idle.
+// Sweep removes the peers that have not been used for the duration idle.
 func (c *Client) Sweep(now time.Time, idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, p := range c.peers {
-		if now.UnixNano()-p.used.Load() > int64(idle) {
+		if now.UnixNano()-p.lastUsed.Load() > int64(idle) {
 			delete(c.peers, address)
 			p.transport.CloseIdleConnections()
 		}
 	}
 }
 
-// Warm opens a connection to the peer before requests need it.
+// Warm opens a connection to the peer in advance.
 func (c *Client) Warm(ctx context.Context, address string) error {
 	response, err := c.Send(ctx, address, Request{Method: http.MethodOptions, Target: "*"}, nil)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	// The body is empty; reading it to the end frees the connection.
+	// Reading the empty body to its end returns the connection to the pool.
 	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
--- a/lib/bfforward/conn.go
+++ b/lib/bfforward/conn.go
@@ -7,56 +7,56 @@
 	"sync/atomic"
 )
 
-// errRepeated is what a second copy of a request meets.
-var errRepeated = errors.New("the request has left this node already")
+// errAlreadySent is returned to a transport that writes a request again.
+var errAlreadySent = errors.New("request was already sent or canceled")
 
-// departure is one request's right to leave this node, once.
+// writePermit allows a request to be written to one connection only.
 //
-// net/http sends a request again by itself when a reused connection breaks, if
-// it has no body or carries an Idempotency-Key: a nomination would run twice.
-// It also can't tell a request of which nothing was written from one that may
-// have arrived. Both are decided here, at the write of the first byte.
-type departure struct {
-	// before is called before the first byte leaves.
-	before func()
-
-	mu   sync.Mutex
-	left bool
-	from *conn // nil where the connection is shared
-	over bool
+// net/http retries a request when a reused connection breaks, if the request has no
+// body or carries an Idempotency-Key, which could run a nomination twice. It also
+// does not report whether any byte of a failed request was written. writePermit
+// decides both at the write of the first byte.
+type writePermit struct {
+	// onFirstWrite is called before the first byte is written.
+	onFirstWrite func()
+
+	mu      sync.Mutex
+	written bool
+	from    *conn // nil if the connection is shared
+	revoked bool
 }
 
-// leave reports whether bytes of the request may be written to c.
-func (d *departure) leave(c *conn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.left && !d.over {
-		d.left, d.from = true, c
-		if d.before != nil {
-			d.before()
+// acquire reports whether bytes of the request may be written to c.
+func (w *writePermit) acquire(c *conn) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.written && !w.revoked {
+		w.written, w.from = true, c
+		if w.onFirstWrite != nil {
+			w.onFirstWrite()
 		}
 	}
-	return d.left && d.from == c
+	return w.written && w.from == c
 }
 
-// stay ends the right, and reports whether no byte has left or ever will.
-func (d *departure) stay() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.over = true
-	return !d.left
+// revoke forbids further writes, and reports whether no byte has been written.
+func (w *writePermit) revoke() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.revoked = true
+	return !w.written
 }
 
 // conn is a connection that carries one request at a time.
 type conn struct {
 	net.Conn
-	current atomic.Pointer[departure]
+	permit atomic.Pointer[writePermit]
 }
 
-// Write writes bytes of the current request, if they may leave.
+// Write writes bytes of the current request if its permit allows it.
 func (c *conn) Write(p []byte) (int, error) {
-	if d := c.current.Load(); d != nil && !d.leave(c) {
-		return 0, errRepeated
+	if permit := c.permit.Load(); permit != nil && !permit.acquire(c) {
+		return 0, errAlreadySent
 	}
 	return c.Conn.Write(p)
 }
--- a/lib/bfforward/doc.go
+++ b/lib/bfforward/doc.go
@@ -1,3 +1,3 @@
-// Package bfforward sends one request over one hop, node to node or node to
-// target, and says how far it certainly got.
+// Package bfforward sends a request over one hop, node to node or node to target,
+// and reports whether any of it was sent.
 package bfforward
--- a/lib/bfforward/forward.go
+++ b/lib/bfforward/forward.go
@@ -10,16 +10,16 @@
 	"net/url"
 )
 
-// Request is what goes over the hop.
+// Request is a request as it is forwarded.
 type Request struct {
 	Method string
-	// Target is the escaped path with the query, as it is to stand in the request line.
+	// Target is the escaped path with the query, as written in the request line.
 	Target string
 	Header http.Header
 	Body   []byte
 }
 
-// NotSentError reports a request of which no byte left this node.
+// NotSentError reports a request of which no byte was sent.
 type NotSentError struct {
 	Address string
 	Reason  error
@@ -31,7 +31,7 @@
 // Unwrap is the reason.
 func (e *NotSentError) Unwrap() error { return e.Reason }
 
-// LostError reports a request that may have arrived and has no answer.
+// LostError reports a request that may have arrived but got no response.
 type LostError struct {
 	Address string
 	Reason  error
@@ -45,39 +45,41 @@
 // Unwrap is the reason.
 func (e *LostError) Unwrap() error { return e.Reason }
 
-// Send sends the request to the peer at address, once; its errors are NotSentError and LostError.
+// Send sends the request to the peer at address without retries; its errors are
+// NotSentError and LostError.
 //
-// sending is called before the first byte can leave. Send takes the header over.
+// sending, if not nil, is called before the first byte is written. Send takes
+// ownership of the header.
 func (c *Client) Send(ctx context.Context, address string, r Request, sending func()) (*http.Response, error) {
-	d := &departure{before: sending}
+	permit := &writePermit{onFirstWrite: sending}
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if carrier, exclusive := info.Conn.(*conn); exclusive {
-			carrier.current.Store(d)
+		if dedicated, exclusive := info.Conn.(*conn); exclusive {
+			dedicated.permit.Store(permit)
 			return
 		}
-		// A shared connection doesn't show whose bytes it writes.
-		d.leave(nil)
+		// Writes on a shared connection can't be attributed to a request.
+		permit.acquire(nil)
 	}}
 	response, err := c.peer(address).RoundTrip(newRequest(httptrace.WithClientTrace(ctx, trace), address, r))
 	switch {
 	case err == nil:
 		return response, nil
-	case d.stay():
+	case permit.revoke():
 		return nil, &NotSentError{Address: address, Reason: err}
 	default:
 		return nil, &LostError{Address: address, Reason: err}
 	}
 }
 
-// newRequest makes the request by hand: http.NewRequest would parse the target
-// and leave out what it takes for a fragment.
+// newRequest builds the request without http.NewRequest, which would parse the
+// target and drop what it takes for a fragment.
 func newRequest(ctx context.Context, address string, r Request) *http.Request {
 	header := r.Header
 	if header == nil {
 		header = http.Header{}
 	}
 	if header["User-Agent"] == nil {
-		// An empty one keeps net/http from adding its own to a caller's request.
+		// An empty value keeps net/http from adding its own User-Agent.
 		header["User-Agent"] = []string{""}
 	}
 	request := &http.Request{
@@ -86,7 +88,7 @@
 		Header: header, Body: http.NoBody, ContentLength: int64(len(r.Body)),
 	}
 	if len(r.Body) > 0 {
-		// net/http knows this reader and writes header and body together.
+		// net/http recognizes a bytes.Reader and writes header and body together.
 		request.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	return request.WithContext(ctx)
