--- a/lib/bfcaller/death_test.go
+++ b/lib/bfcaller/death_test.go
@@ -239,7 +239,7 @@
 	const untilSetAside, probes = 5, 4
 	is.True(liar.all("n") <= untilSetAside+probes)
 	chooser := entry.directory.Chooser(service)
-	is.Equal(chooser.Set().Aside(), 1)
+	is.Equal(chooser.Set().Ejected(), 1)
 }
 
 // Callers give a millisecond, or hang up, while the targets work as ever. That
@@ -258,7 +258,7 @@
 		is.True(entry.ask("GET", lookUp, "hurried", deadline, "1").outcome != bfheader.OutcomeDone)
 	}
 	close(release)
-	is.Equal(entry.directory.Chooser(service).Set().Aside(), 0)
+	is.Equal(entry.directory.Chooser(service).Set().Ejected(), 0)
 }
 
 // A target is stopped on purpose under load, and exits once its node says that
@@ -299,7 +299,7 @@
 				}
 			}
 			is.Equal(leaver.target.all("caller"), served)
-			is.Equal(entry.directory.Chooser(service).Set().Aside(), 0)
+			is.Equal(entry.directory.Chooser(service).Set().Ejected(), 0)
 		})
 	}
 }
--- a/lib/bfcaller/judge.go
+++ b/lib/bfcaller/judge.go
@@ -43,12 +43,12 @@
 // stream of them would have every target set aside.
 func (s *sending) judge(end ended) bfchoice.Result {
 	if s.answered(end) {
-		return bfchoice.Answered
+		return bfchoice.Success
 	}
 	if errors.Is(s.caller.Err(), context.Canceled) || s.call.hurried && s.isOver() {
 		return bfchoice.Cancelled
 	}
-	return bfchoice.Broken
+	return bfchoice.Failure
 }
 
 // isOver reports whether the caller's time is over. On a busy machine a connection meets
--- a/lib/bfcaller/judge_test.go
+++ b/lib/bfcaller/judge_test.go
@@ -27,6 +27,6 @@
 	}
 	past, ahead := timer.Now().Add(-time.Millisecond), timer.Now().Add(time.Minute)
 	is.Equal(judged(true, past), bfchoice.Cancelled)
-	is.Equal(judged(true, ahead), bfchoice.Broken)
-	is.Equal(judged(false, past), bfchoice.Broken) // the policy's own time was too short for the target
+	is.Equal(judged(true, ahead), bfchoice.Failure)
+	is.Equal(judged(false, past), bfchoice.Failure) // the policy's own time was too short for the target
 }
--- a/lib/bfchoice/choice_test.go
+++ b/lib/bfchoice/choice_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestMain fixes rapid's seed so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -26,31 +26,31 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// naiveTarget is what the naive version keeps of a target: every number as it came.
-type naiveTarget struct {
-	member     Member
-	inFlight   int
-	load       Load
-	reported   bool
-	asideUntil time.Time
-	probing    bool
-	run, times int
-	results    []naiveResult
+// modelTarget is the reference model of a target.
+type modelTarget struct {
+	member            Member
+	inFlight          int
+	load              Load
+	reported          bool
+	ejectedUntil      time.Time
+	probing           bool
+	streak, ejections int
+	results           []modelResult
 }
 
-type naiveResult struct {
+type modelResult struct {
 	at     time.Time
-	broken bool
+	failed bool
 }
 
-func (n *naiveTarget) putBack() {
-	n.asideUntil, n.probing, n.run, n.results = time.Time{}, false, 0, nil
+func (n *modelTarget) readmit() {
+	n.ejectedUntil, n.probing, n.streak, n.results = time.Time{}, false, 0, nil
 }
 
-func (n *naiveTarget) usable() bool { return n.member.State == Ready || n.member.State == Cold }
+func (n *modelTarget) usable() bool { return n.member.State == Ready || n.member.State == Cold }
 
-// room is the rule "has room" in plain words: usual is the typical occupancy.
-func (n *naiveTarget) room(now time.Time, usual float64) bool {
+// hasCapacity reports whether the target has capacity; usual is the typical occupancy.
+func (n *modelTarget) hasCapacity(now time.Time, usual float64) bool {
 	expected := usual
 	if n.reported {
 		reported := float64(n.load.InUse+n.load.Queued) / float64(max(1, n.load.Slots))
@@ -60,23 +60,23 @@
 	return max(float64(n.inFlight)/float64(n.member.Slots), expected) < 1
 }
 
-// outlierNow counts the results since the window began, or since the target was put back in use.
-func (n *naiveTarget) outlierNow(now time.Time) bool {
-	all, broken := 0, 0
+// isOutlier applies the ejection rules to the results of the current window.
+func (n *modelTarget) isOutlier(now time.Time) bool {
+	all, failed := 0, 0
 	for _, r := range n.results {
 		if r.at.Unix()/10 == now.Unix()/10 {
 			all++
-			if r.broken {
-				broken++
+			if r.failed {
+				failed++
 			}
 		}
 	}
-	return n.run >= 5 || all >= 20 && 2*broken >= all
+	return n.streak >= 5 || all >= 20 && 2*failed >= all
 }
 
-type naiveSet []*naiveTarget
+type modelSet []*modelTarget
 
-func (s naiveSet) count(keep func(*naiveTarget) bool) int {
+func (s modelSet) count(keep func(*modelTarget) bool) int {
 	count := 0
 	for _, n := range s {
 		if n.usable() && keep(n) {
@@ -86,73 +86,73 @@
 	return count
 }
 
-func (n *naiveTarget) aside() bool { return !n.asideUntil.IsZero() }
+func (n *modelTarget) ejected() bool { return !n.ejectedUntil.IsZero() }
 
-// mayPick lists the targets that the exact rules leave.
-func (s naiveSet) mayPick(now time.Time, usual float64, exclude []string) []string {
-	rings := make([][]string, 3)
+// allowedTargets returns the targets that the rules allow.
+func (s modelSet) allowedTargets(now time.Time, usual float64, exclude []string) []string {
+	tiers := make([][]string, 3)
 	for _, n := range s {
-		closed := n.aside() && (now.Before(n.asideUntil) || n.probing)
-		if !n.usable() || closed || slices.Contains(exclude, n.member.ID) {
+		excluded := n.ejected() && (now.Before(n.ejectedUntil) || n.probing)
+		if !n.usable() || excluded || slices.Contains(exclude, n.member.ID) {
 			continue
 		}
-		ring := 2
-		if n.room(now, usual) {
-			ring = 1
+		tier := 2
+		if n.hasCapacity(now, usual) {
+			tier = 1
 			if n.member.FailureDomain == "d0" {
-				ring = 0
+				tier = 0
 			}
 		}
-		rings[ring] = append(rings[ring], n.member.ID)
+		tiers[tier] = append(tiers[tier], n.member.ID)
 	}
-	for _, ring := range rings {
-		if len(ring) > 0 {
-			return ring
+	for _, tier := range tiers {
+		if len(tier) > 0 {
+			return tier
 		}
 	}
 	return nil
 }
 
-func (s naiveSet) end(n *naiveTarget, now time.Time, result Result) {
+func (s modelSet) end(n *modelTarget, now time.Time, result Result) {
 	n.inFlight--
-	over := !now.Before(n.asideUntil)
+	expired := !now.Before(n.ejectedUntil)
 	if result != Cancelled {
-		n.results = append(n.results, naiveResult{now, result == Broken})
+		n.results = append(n.results, modelResult{now, result == Failure})
 	}
 	switch result {
 	case Cancelled:
 		n.probing = false
-	case Answered:
-		n.run = 0
-		if n.aside() && over {
-			n.putBack()
-			n.times = 0
+	case Success:
+		n.streak = 0
+		if n.ejected() && expired {
+			n.readmit()
+			n.ejections = 0
 		}
-	case Broken:
-		n.run++
-		room := s.count((*naiveTarget).aside) < s.count(func(*naiveTarget) bool { return true })/3
-		if n.aside() && over || !n.aside() && n.outlierNow(now) && room {
-			length := min(time.Second<<n.times, time.Minute)
-			n.times, n.asideUntil, n.probing = n.times+1, now.Add(length), false
+	case Failure:
+		n.streak++
+		mayEject := s.count((*modelTarget).ejected) < s.count(func(*modelTarget) bool { return true })/3
+		if n.ejected() && expired || !n.ejected() && n.isOutlier(now) && mayEject {
+			length := min(time.Second<<n.ejections, time.Minute)
+			n.ejections, n.ejectedUntil, n.probing = n.ejections+1, now.Add(length), false
 		}
 	}
 }
 
-// The naive version keeps one list and applies each exact rule to all of it:
-// only ready and cold targets, none that is set aside beyond its probe, a third
-// set aside at most, own failure domain while it has room.
-func TestPickKeepsTheExactRules(t *testing.T) {
+// Guards against picks and ejections that differ from a reference model: only ready
+// and cold targets, ejected ones only as a probe, at most a third ejected, own
+// failure domain first while it has capacity.
+func TestPickMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		chooser, now := NewChooser("d0"), start
-		known := map[string]*naiveTarget{}
-		var naive naiveSet
+		known := map[string]*modelTarget{}
+		var model modelSet
 		usual := 0.0
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "milliseconds")) * time.Millisecond)
-			if len(naive) == 0 || rapid.IntRange(0, 15).Draw(t, "swap") == 0 {
-				naive = swap(t, chooser, known, now)
+			if len(model) == 0 || rapid.IntRange(0, 15).Draw(t, "swap") == 0 {
+				model = swap(t, chooser, known, now)
 			}
-			n := naive[rapid.IntRange(0, len(naive)-1).Draw(t, "target")]
+			n := model[rapid.IntRange(0, len(model)-1).Draw(t, "target")]
 			if rapid.Bool().Draw(t, "report") {
 				n.load = Load{
 					InUse: rapid.IntRange(0, 4).Draw(t, "inUse"), Queued: rapid.IntRange(0, 1).Draw(t, "queued"),
@@ -163,11 +163,11 @@
 				mustTarget(t, chooser, n.member.ID).Report(n.load)
 			}
 			if n.inFlight > 0 {
-				result := rapid.SampledFrom([]Result{Answered, Broken, Broken, Broken, Broken, Cancelled}).Draw(t, "result")
+				result := rapid.SampledFrom([]Result{Success, Failure, Failure, Failure, Failure, Cancelled}).Draw(t, "result")
 				chooser.End(now, mustTarget(t, chooser, n.member.ID), result)
-				naive.end(n, now, result)
+				model.end(n, now, result)
 			}
-			pickOne(t, chooser, naive, now, usual)
+			pickOne(t, chooser, model, now, usual)
 		}
 	})
 }
@@ -180,9 +180,9 @@
 	return target
 }
 
-func swap(t *rapid.T, chooser *Chooser, known map[string]*naiveTarget, now time.Time) naiveSet {
+func swap(t *rapid.T, chooser *Chooser, known map[string]*modelTarget, now time.Time) modelSet {
 	var members []Member
-	var naive naiveSet
+	var model modelSet
 	size := rapid.IntRange(1, 9).Draw(t, "size")
 	for i := range 9 {
 		id := fmt.Sprintf("t%d", i)
@@ -196,40 +196,40 @@
 			State: rapid.SampledFrom(states).Draw(t, "state"),
 		}
 		if known[id] == nil {
-			known[id] = &naiveTarget{}
+			known[id] = &modelTarget{}
 		}
 		known[id].member = member
-		members, naive = append(members, member), append(naive, known[id])
+		members, model = append(members, member), append(model, known[id])
 	}
 	chooser.Swap(members)
-	// Which ones a smaller set releases is its own choice; that it keeps the cap is not.
-	for _, n := range naive {
-		if n.usable() && n.aside() && !mustTarget(t, chooser, n.member.ID).outlier.aside() {
-			n.putBack()
+	// Swap may readmit any targets to keep within the limit.
+	for _, n := range model {
+		if n.usable() && n.ejected() && !mustTarget(t, chooser, n.member.ID).outlier.ejected() {
+			n.readmit()
 		}
 	}
-	return naive
+	return model
 }
 
-func pickOne(t *rapid.T, chooser *Chooser, naive naiveSet, now time.Time, usual float64) {
-	usable := naive.count(func(*naiveTarget) bool { return true })
-	if aside := chooser.Set().Aside(); aside != naive.count((*naiveTarget).aside) || aside > usable/3 {
-		t.Fatalf("%d of %d set aside, naive %d", aside, usable, naive.count((*naiveTarget).aside))
+func pickOne(t *rapid.T, chooser *Chooser, model modelSet, now time.Time, usual float64) {
+	usable := model.count(func(*modelTarget) bool { return true })
+	if ejected := chooser.Set().Ejected(); ejected != model.count((*modelTarget).ejected) || ejected > usable/3 {
+		t.Fatalf("%d of %d ejected, %d in the model", ejected, usable, model.count((*modelTarget).ejected))
 	}
 	exclude := []string{fmt.Sprintf("t%d", rapid.IntRange(0, 9).Draw(t, "exclude"))}
-	may := naive.mayPick(now, usual, exclude)
+	allowed := model.allowedTargets(now, usual, exclude)
 	target, found := Pick(now, chooser.Set(), "d0", exclude, rapid.Uint64().Draw(t, "random"))
-	if found != (len(may) > 0) || found && !slices.Contains(may, target.ID()) {
-		t.Fatalf("picked %v, the rules leave %v", target, may)
+	if found != (len(allowed) > 0) || found && !slices.Contains(allowed, target.ID()) {
+		t.Fatalf("picked %v, the model allows %v", target, allowed)
 	}
 	if !found {
 		return
 	}
 	target.Begin()
-	for _, n := range naive {
+	for _, n := range model {
 		if n.member.ID == target.ID() {
 			n.inFlight++
-			n.probing = n.aside()
+			n.probing = n.ejected()
 		}
 	}
 }
@@ -242,11 +242,10 @@
 	return list
 }
 
-// CASE 13. The health endpoint of t0 says healthy while t0 sheds every request,
-// and that of t1 says unhealthy while t1 works. A caller must not be sent to t0
-// again and again, nor lose t1's slots: this node sees t0's failures and sets
-// it aside with a probe now and then, and t1 gets as much work as the others.
-func TestLyingHealthEndpoint(t *testing.T) {
+// Guards against trusting a health endpoint over observations: a target that sheds
+// must be ejected although reported healthy, and a working one must get its share
+// although reported unhealthy.
+func TestWrongHealthHint(t *testing.T) {
 	is := is.New(t)
 	chooser := NewChooser("elsewhere")
 	chooser.Swap(members(7, 12))
@@ -255,7 +254,7 @@
 	var open []*Target
 	for range 7000 {
 		now = now.Add(time.Millisecond)
-		// The endpoints are read again and again and go on lying.
+		// The hints are set again and again to wrong values.
 		for id, hint := range map[string]Hint{"t0": HintHealthy, "t1": HintUnhealthy} {
 			target, _ := chooser.Set().Target(id)
 			target.SetHint(hint)
@@ -268,17 +267,17 @@
 		if len(open) < 40 {
 			continue
 		}
-		result := Answered
+		result := Success
 		if open[0].ID() == "t0" {
-			result = Broken
+			result = Failure
 		}
 		chooser.End(now, open[0], result)
 		open = open[1:]
 	}
 	t.Logf("picks: %v", served)
-	is.True(served["t0"] < 50)  // the requests before it was set aside, and its probes
+	is.True(served["t0"] < 50)  // the requests before its ejection, and its probes
 	is.True(served["t1"] > 800) // a seventh of 7000 is 1000; ties go to the others
-	is.Equal(chooser.Set().Aside(), 1)
+	is.Equal(chooser.Set().Ejected(), 1)
 }
 
 func BenchmarkPick(b *testing.B) {
--- a/lib/bfchoice/chooser.go
+++ b/lib/bfchoice/chooser.go
@@ -11,88 +11,88 @@
 type Chooser struct {
 	ownDomain string
 	current   atomic.Pointer[Set]
-	// mu orders what decides who is set aside: swaps and failures. Pick does not take it.
+	// mu serializes swaps and ejections. Pick does not take it.
 	mu sync.Mutex
 }
 
-// NewChooser makes a chooser without targets for a node in ownDomain.
+// NewChooser returns a chooser without targets for a node in the failure domain ownDomain.
 func NewChooser(ownDomain string) *Chooser {
 	c := &Chooser{ownDomain: ownDomain}
 	c.current.Store(newSet(nil, nil))
 	return c
 }
 
-// Set is the current set.
+// Set returns the current set.
 func (c *Chooser) Set() *Set { return c.current.Load() }
 
-// Swap puts members in place of the current ones; what was seen of those that stay is kept.
+// Swap replaces the members; observations of targets that remain are kept.
 func (c *Chooser) Swap(members []Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := newSet(c.current.Load(), members)
-	// A smaller set may set fewer aside: without this a service that shrinks
-	// while some are set aside could be left with none.
-	surplus := next.Aside() - next.maxAside()
+	// A smaller set has a lower limit: without this, a service that shrinks could be
+	// left with ejected targets only.
+	excess := next.Ejected() - next.maxEjected()
 	for _, candidate := range next.usable {
-		if surplus > 0 && candidate.target.outlier.aside() {
-			candidate.target.outlier.release()
-			surplus--
+		if excess > 0 && candidate.target.outlier.ejected() {
+			candidate.target.outlier.readmit()
+			excess--
 		}
 	}
 	c.current.Store(next)
 }
 
-// Pick chooses a target from the current set.
+// Pick selects a target from the current set.
 func (c *Chooser) Pick(now time.Time, exclude []string) (*Target, bool) {
 	return Pick(now, c.current.Load(), c.ownDomain, exclude, rand.Uint64())
 }
 
-// End records how a request ended that Begin counted.
+// End records the result of a request that was counted by Begin.
 func (c *Chooser) End(now time.Time, target *Target, result Result) {
 	target.inFlight.Add(-1)
 	outlier := &target.outlier
 	switch result {
 	case Cancelled:
-		outlier.probedAt.Store(0)
-	case Answered:
-		outlier.count(now, false)
-		if outlier.aside() {
+		outlier.probeStarted.Store(0)
+	case Success:
+		outlier.record(now, false)
+		if outlier.ejected() {
 			c.restore(now, outlier)
 		}
-	case Broken:
-		if outlier.count(now, true) || outlier.aside() {
-			c.trySetAside(now, target)
+	case Failure:
+		if outlier.record(now, true) || outlier.ejected() {
+			c.tryEject(now, target)
 		}
 	}
 }
 
-// restore puts a target back in use once its probe was answered.
+// restore readmits a target after a successful probe.
 func (c *Chooser) restore(now time.Time, o *outlier) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// An answer that comes before the time is over belongs to a request sent
-	// before the target was set aside; it does not show that it works now.
-	if now.UnixNano() < o.asideUntil.Load() {
+	// A response before the end of the ejection belongs to a request sent before it
+	// and does not show that the target has recovered.
+	if now.UnixNano() < o.ejectedUntil.Load() {
 		return
 	}
-	o.release()
-	o.times.Store(0)
+	o.readmit()
+	o.ejections.Store(0)
 }
 
-func (c *Chooser) trySetAside(now time.Time, target *Target) {
+func (c *Chooser) tryEject(now time.Time, target *Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	outlier := &target.outlier
-	if outlier.aside() {
-		// Only a failed probe makes it longer, not the other requests that were
-		// in flight when it was set aside.
-		if now.UnixNano() >= outlier.asideUntil.Load() {
-			outlier.setAside(now)
+	if outlier.ejected() {
+		// Only a failed probe extends the ejection, not other requests that were in
+		// flight when it began.
+		if now.UnixNano() >= outlier.ejectedUntil.Load() {
+			outlier.eject(now)
 		}
 		return
 	}
 	set := c.current.Load()
-	if held := set.targets[target.id]; held == target && set.Aside() < set.maxAside() {
-		outlier.setAside(now)
+	if member := set.targets[target.id]; member == target && set.Ejected() < set.maxEjected() {
+		outlier.eject(now)
 	}
 }
--- a/lib/bfchoice/doc.go
+++ b/lib/bfchoice/doc.go
@@ -1,11 +1,10 @@
-// Package bfchoice picks the target for a request.
+// Package bfchoice selects the target of a request.
 //
-// The candidates are an immutable Set, swapped whole when the membership
-// changes and read without a lock. What this node has seen of a target itself
-// (requests in flight, the load its answers carry, failures) is kept in atomics
-// that live on from one Set to the next. Pick is a pure function of the Set,
-// the time and a random number.
+// The candidates are an immutable Set that is replaced when the membership changes
+// and read without a lock. A node's own observations of a target (requests in
+// flight, the load reported with responses, failures) are kept in atomics that
+// outlive a Set. Pick is a pure function of the Set, the time and a random number.
 //
-// What was seen always goes before what the platform's health endpoint says:
-// such a hint only breaks ties.
+// Observations take precedence over the platform's health endpoint, whose hint only
+// breaks ties.
 package bfchoice
--- a/lib/bfchoice/set.go
+++ b/lib/bfchoice/set.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// State is what the membership says of a target.
+// State is a target's state in the membership.
 type State int
 
-// The states; only Ready and Cold targets are ever picked.
+// The states; only Ready and Cold targets are picked.
 const (
 	Ready State = iota
 	Cold
@@ -18,34 +18,34 @@
 	Dead
 )
 
-// Member is one target of a service as the membership has it.
+// Member is one target of a service in the membership.
 type Member struct {
 	ID            string
 	FailureDomain string
 	Slots         int
 	State         State
-	// ColdSince and ColdStart give the ramp of a Cold target.
+	// ColdSince and ColdStart are the start and the duration of a Cold target's slow start.
 	ColdSince time.Time
 	ColdStart time.Duration
 }
 
-// candidate is a member of one Set with what was seen of it.
+// candidate is a member of a Set with the node's observations of it.
 type candidate struct {
 	member Member
 	target *Target
 }
 
-// Set is the candidates of one service at one moment; it never changes once made.
+// Set is an immutable set of candidates of one service.
 type Set struct {
-	// usable holds the Ready and Cold candidates, those of one failure domain side by side.
+	// usable holds the Ready and Cold candidates, sorted by failure domain.
 	usable  []*candidate
 	domains map[string]span
-	// targets holds every member's, so that a target keeps what was seen of it while it is silent.
+	// targets holds the targets of all members, so that observations outlive a silent phase.
 	targets map[string]*Target
 	typical *typical
 }
 
-// span is the part of Set.usable that lies in one failure domain.
+// span is the index range of one failure domain in Set.usable.
 type span struct{ from, to int }
 
 func newSet(old *Set, members []Member) *Set {
@@ -67,36 +67,36 @@
 		return cmp.Or(cmp.Compare(a.member.FailureDomain, b.member.FailureDomain), cmp.Compare(a.member.ID, b.member.ID))
 	})
 	for i, c := range s.usable {
-		held, found := s.domains[c.member.FailureDomain]
+		domain, found := s.domains[c.member.FailureDomain]
 		if !found {
-			held.from = i
+			domain.from = i
 		}
-		held.to = i + 1
-		s.domains[c.member.FailureDomain] = held
+		domain.to = i + 1
+		s.domains[c.member.FailureDomain] = domain
 	}
 	return s
 }
 
-// Usable is how many targets may be picked.
+// Usable returns the number of Ready and Cold targets.
 func (s *Set) Usable() int { return len(s.usable) }
 
-// Target returns the target of that ID, usable or not.
+// Target returns the target with that ID, whether usable or not.
 func (s *Set) Target(id string) (*Target, bool) {
 	target, found := s.targets[id]
 	return target, found
 }
 
-// Aside is how many usable targets are set aside.
-func (s *Set) Aside() int {
+// Ejected returns the number of usable targets that are ejected.
+func (s *Set) Ejected() int {
 	count := 0
 	for _, c := range s.usable {
-		if c.target.outlier.aside() {
+		if c.target.outlier.ejected() {
 			count++
 		}
 	}
 	return count
 }
 
-// maxAside keeps most of a set, and always the last one, in use: when many
-// targets look broken at once, the fault is more likely on the way to them.
-func (s *Set) maxAside() int { return len(s.usable) / asideShare }
+// maxEjected limits ejection to a third of the set: when more targets fail at once,
+// the cause is more likely the network, and the last target must stay in use.
+func (s *Set) maxEjected() int { return len(s.usable) / ejectionDivisor }
--- a/lib/bfchoice/stale_test.go
+++ b/lib/bfchoice/stale_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// The experiment: entry nodes send to the targets of one service and know each
-// target's load only from the answers that they got from it themselves. The
-// more entry nodes share the same traffic, the older is what each knows.
+// Simulates entry nodes that send to the targets of one service and know each target's load
+// only from their own responses. The more entry nodes share the traffic, the older
+// each node's load reports are.
 
-type step struct {
+type event struct {
 	at     time.Time
 	order  int
 	entry  int
@@ -32,21 +32,21 @@
 	answer
 )
 
-type steps []step
+type eventQueue []event
 
-func (s steps) Len() int { return len(s) }
-func (s steps) Less(i, j int) bool {
+func (s eventQueue) Len() int { return len(s) }
+func (s eventQueue) Less(i, j int) bool {
 	return s[i].at.Before(s[j].at) || s[i].at.Equal(s[j].at) && s[i].order < s[j].order
 }
-func (s steps) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *steps) Push(x any)   { *s = append(*s, x.(step)) }
-func (s *steps) Pop() any {
+func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *eventQueue) Push(x any)   { *s = append(*s, x.(event)) }
+func (s *eventQueue) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
 }
 
-type shape struct {
+type topology struct {
 	name           string
 	targets, slots int
 	oneWay         time.Duration
@@ -75,8 +75,8 @@
 	return best.target
 }
 
-// chooseFading is two choices by load that fades to nothing with its age, as first designed.
-func chooseFading(set *Set, now time.Time, random *rand.Rand) *Target {
+// chooseDecayingLoad makes two choices by a load report whose weight decays to 0.
+func chooseDecayingLoad(set *Set, now time.Time, random *rand.Rand) *Target {
 	occupancy := func(c *candidate) float64 {
 		own := float64(c.target.InFlight())
 		if load := c.target.load.Load(); load != nil {
@@ -95,8 +95,8 @@
 	return set.usable[second].target
 }
 
-// measure runs 100,000 requests at 85 % of the capacity and gives the waits at the targets.
-func measure(s shape, choose chooseFunc) []time.Duration {
+// simulate runs 100,000 requests at 85 % of the capacity and returns the sorted queueing times.
+func simulate(s topology, choose chooseFunc) []time.Duration {
 	const service = 20 * time.Millisecond
 	random := rand.New(rand.NewPCG(7, 11))
 	exponential := func(mean time.Duration) time.Duration { return time.Duration(random.ExpFloat64() * float64(mean)) }
@@ -110,22 +110,22 @@
 		entries[i] = NewChooser("d")
 		entries[i].Swap(list)
 	}
-	queues, inUse := make([][]step, s.targets), make([]int, s.targets)
-	var todo steps
+	queues, inUse := make([][]event, s.targets), make([]int, s.targets)
+	var events eventQueue
 	order := 0
-	push := func(next step) {
+	push := func(next event) {
 		order++
 		next.order = order
-		heap.Push(&todo, next)
+		heap.Push(&events, next)
 	}
 	var waits []time.Duration
-	push(step{at: start, kind: arrive})
-	for arrivals := 0; len(todo) > 0; {
-		now := heap.Pop(&todo).(step)
+	push(event{at: start, kind: arrive})
+	for arrivals := 0; len(events) > 0; {
+		now := heap.Pop(&events).(event)
 		switch now.kind {
 		case arrive:
 			if arrivals++; arrivals < 100_000 {
-				push(step{at: now.at.Add(exponential(gap)), kind: arrive})
+				push(event{at: now.at.Add(exponential(gap)), kind: arrive})
 			}
 			now.entry = random.IntN(s.entries)
 			target := choose(entries[now.entry].Set(), now.at, random)
@@ -151,18 +151,19 @@
 			queues[now.target] = queues[now.target][1:]
 			inUse[now.target]++
 			waits = append(waits, now.at.Sub(first.sent))
-			push(step{at: now.at.Add(exponential(service)), kind: finish, entry: first.entry, target: now.target})
+			push(event{at: now.at.Add(exponential(service)), kind: finish, entry: first.entry, target: now.target})
 		}
 	}
 	slices.Sort(waits)
 	return waits
 }
 
-// The table decides docs/design/choice.md; its figures are from fixed seeds.
+// Guards against a change of the choice that makes requests wait longer with stale
+// load reports; docs/design/choice.md discusses the table. The seeds are fixed.
 func TestStaleLoadTable(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| shape | entry nodes | choice | waited | mean wait | p99 wait |\n|---|---|---|---|---|---|\n")
-	for _, s := range []shape{
+	for _, topology := range []topology{
 		{"portal-core 7 x 12", 7, 12, 1500 * time.Microsecond, 7},
 		{"portal-core 7 x 12", 7, 12, 1500 * time.Microsecond, 70},
 		{"order-desk 6 x 9", 6, 9, time.Millisecond, 6},
@@ -171,8 +172,8 @@
 		for _, choice := range []struct {
 			name   string
 			choose chooseFunc
-		}{{"random", chooseRandom}, {"least known load", chooseLeast}, {"two choices, load fading to nothing", chooseFading}, {"two choices", chooseTwo}} {
-			waits := measure(s, choice.choose)
+		}{{"random", chooseRandom}, {"least known load", chooseLeast}, {"two choices, load fading to nothing", chooseDecayingLoad}, {"two choices", chooseTwo}} {
+			waits := simulate(topology, choice.choose)
 			waited, total := 0, time.Duration(0)
 			for _, wait := range waits {
 				total += wait
@@ -181,7 +182,7 @@
 				}
 			}
 			count := len(waits)
-			fmt.Fprintf(&table, "| %s | %d | %s | %.0f %% | %.1f ms | %.0f ms |\n", s.name, s.entries, choice.name,
+			fmt.Fprintf(&table, "| %s | %d | %s | %.0f %% | %.1f ms | %.0f ms |\n", topology.name, topology.entries, choice.name,
 				100*float64(waited)/float64(count), total.Seconds()*1000/float64(count),
 				math.Round(waits[count*99/100].Seconds()*1000))
 		}
--- a/lib/bfchoice/target.go
+++ b/lib/bfchoice/target.go
@@ -7,46 +7,45 @@
 )
 
 const (
-	// usualService stands in for a service time that no target has reported yet.
-	usualService = 50 * time.Millisecond
-	// trustedServices is how many service times a report is worth something for:
-	// its weight falls to 1/e in that time.
-	trustedServices = 2
-	// typicalShare is what one report moves the typical occupancy by.
-	typicalShare = 1.0 / 16
+	// defaultServiceTime is used until a target has reported its service time.
+	defaultServiceTime = 50 * time.Millisecond
+	// reportLifetime is the time constant of a load report's weight, in service times.
+	reportLifetime = 2
+	// typicalWeight is the weight of one report in the moving average of occupancy.
+	typicalWeight = 1.0 / 16
 )
 
-// Load is what a target's node piggybacks on its answers.
+// Load is the load of a target, reported by its node with each response.
 type Load struct {
 	InUse  int `json:"inUse"`
 	Queued int `json:"queued"`
-	// Slots is how many the target's node would use now: less than its full number while cold or shedding.
+	// Slots is the number of slots in use by the limiter, fewer than announced while cold or shedding.
 	Slots int `json:"slots"`
-	// ServiceTime is how long a request runs there on average, 0 if unknown.
+	// ServiceTime is the mean run time of a request, 0 if unknown.
 	ServiceTime time.Duration `json:"serviceTime,omitempty"`
-	// At is when the answer came, by the clock of the node that received it.
+	// At is the time of receipt by the clock of the receiving node.
 	At time.Time `json:"-"`
 }
 
 func (l Load) occupancy() float64 { return float64(l.InUse+l.Queued) / float64(max(1, l.Slots)) }
 
-// typical is the occupancy that this node usually sees at the targets of one service.
+// typical is the moving average of the occupancy of one service's targets.
 type typical struct{ bits atomic.Uint64 }
 
 func (t *typical) value() float64 { return math.Float64frombits(t.bits.Load()) }
 
 func (t *typical) add(occupancy float64) {
 	for {
-		held := t.bits.Load()
-		old := math.Float64frombits(held)
-		next := math.Float64bits(old + (occupancy-old)*typicalShare)
-		if t.bits.CompareAndSwap(held, next) {
+		bits := t.bits.Load()
+		old := math.Float64frombits(bits)
+		next := math.Float64bits(old + (occupancy-old)*typicalWeight)
+		if t.bits.CompareAndSwap(bits, next) {
 			return
 		}
 	}
 }
 
-// Hint is what the platform's health endpoint says of a target.
+// Hint is the state of a target reported by the platform's health endpoint.
 type Hint int32
 
 // The hints.
@@ -56,9 +55,9 @@
 	HintUnhealthy
 )
 
-// Target is one target instance as this node has seen it; it outlives the Sets it is in.
+// Target holds a node's observations of one target instance; it outlives the Sets it is in.
 //
-// All methods may be called by many goroutines at once.
+// All methods are safe for concurrent use.
 type Target struct {
 	id       string
 	inFlight atomic.Int64
@@ -69,57 +68,56 @@
 	typical *typical
 }
 
-// ID names the instance.
+// ID returns the instance's name.
 func (t *Target) ID() string { return t.id }
 
-// InFlight is how many requests this node has at the target.
+// InFlight returns the number of this node's requests at the target.
 func (t *Target) InFlight() int { return int(t.inFlight.Load()) }
 
-// Begin counts a request sent to the target; Chooser.End takes it back.
+// Begin counts a request sent to the target, until Chooser.End.
 func (t *Target) Begin() { t.inFlight.Add(1) }
 
-// Report takes in the load that an answer carried, unless a newer one is held.
+// Report stores the load reported with a response, unless a newer one is stored.
 func (t *Target) Report(load Load) {
 	for {
-		held := t.load.Load()
-		if held != nil && held.At.After(load.At) {
+		stored := t.load.Load()
+		if stored != nil && stored.At.After(load.At) {
 			return
 		}
-		if t.load.CompareAndSwap(held, &load) {
+		if t.load.CompareAndSwap(stored, &load) {
 			t.typical.add(load.occupancy())
 			return
 		}
 	}
 }
 
-// SetHint takes in what the health endpoint said.
+// SetHint stores the state reported by the health endpoint.
 func (t *Target) SetHint(hint Hint) { t.hint.Store(int32(hint)) }
 
-// occupancy is how full the target is thought to be: 1 is all of its effective slots.
+// occupancy estimates the share of the target's effective slots in use: 1 is full.
 //
-// What an answer said loses its weight with its age, and what takes its place
-// is the typical occupancy. Were it to fade to nothing instead, the target
-// heard of least would look emptiest: every node would send there at once, and
-// with thin traffic that is worse than a random choice.
+// A load report decays towards the typical occupancy, not towards 0: otherwise the
+// target with the oldest report would look the least occupied, and all nodes would
+// send to it at once.
 func (c *candidate) occupancy(now time.Time) float64 {
 	own := float64(c.target.inFlight.Load()) / float64(max(1, c.member.Slots))
-	usual := c.target.typical.value()
+	typical := c.target.typical.value()
 	load := c.target.load.Load()
 	if load == nil {
-		return max(own, usual)
+		return max(own, typical)
 	}
 	service := load.ServiceTime
 	if service <= 0 {
-		service = usualService
+		service = defaultServiceTime
 	}
-	weight := math.Exp(-float64(max(0, now.Sub(load.At))) / float64(trustedServices*service))
-	return max(own, usual+(load.occupancy()-usual)*weight)
+	weight := math.Exp(-float64(max(0, now.Sub(load.At))) / float64(reportLifetime*service))
+	return max(own, typical+(load.occupancy()-typical)*weight)
 }
 
-// ramp is the share of its usual work that a target should get: a cold one
-// starts at one slot and grows over its cold start. Its load alone would not
-// show that it is slow, since it is the emptiest of all when it comes.
-func (c *candidate) ramp(now time.Time) float64 {
+// slowStartShare is the share of its usual requests that a target should get: a cold one
+// starts with one slot's share, growing over its slow start. Its low load would
+// otherwise attract requests.
+func (c *candidate) slowStartShare(now time.Time) float64 {
 	age := now.Sub(c.member.ColdSince)
 	if c.member.State != Cold || age >= c.member.ColdStart {
 		return 1
