--- a/lib/bfcaller/attempt.go
+++ b/lib/bfcaller/attempt.go
@@ -136,11 +136,11 @@
 
 func (s *sending) request() (bfforward.Request, error) {
 	c := s.call
-	header := make(http.Header, len(c.request.Header)+bfhop.Headers)
+	header := make(http.Header, len(c.request.Header)+bfhop.MaxHeaders)
 	maps.Copy(header, c.request.Header)
 	meta := bfhop.Meta{
 		ID: s.attempt.ID(), Home: s.attempt.Home(), Route: c.match.Route().Name, Stamp: c.decision.Stamp(),
-		Tenant: c.request.Tenant, Key: c.request.Key, Left: c.deadline.Sub(c.entry.parts.Timer.Now()),
+		Tenant: c.request.Tenant, Key: c.request.Key, TimeLeft: c.deadline.Sub(c.entry.parts.Timer.Now()),
 		Depth: c.request.Depth, Resent: c.resent,
 	}
 	if err := meta.Write(header); err != nil {
@@ -156,7 +156,7 @@
 		case bfhop.Refused:
 			s.final = response.Header.Get(bfheader.Final) != ""
 			return a.Refused(reply.Refusal)
-		case bfhop.Busy:
+		case bfhop.InProgress:
 			return a.StillRunning(reply.ID)
 		case bfhop.Dropped:
 			return a.Answered(bfrecord.NewDroppedAnswer(reply.Status))
--- a/lib/bfcaller/send.go
+++ b/lib/bfcaller/send.go
@@ -49,7 +49,7 @@
 	if !view.Holds() {
 		return 0, false
 	}
-	asked := bfhop.Asked(c.request.Method, c.request.target(), c.request.Tenant, c.request.Body)
+	asked := bfhop.QuarantineRequest(c.request.Method, c.request.target(), c.request.Tenant, c.request.Body)
 	verdict, held := view.Refuse(bfquarantine.KeyOf(asked), now)
 	return verdict.Until().Sub(now), held
 }
--- a/lib/bfguard/flight.go
+++ b/lib/bfguard/flight.go
@@ -56,7 +56,7 @@
 }
 
 func (v *visit) asked() bfquarantine.Request {
-	return bfhop.Asked(v.r.Method, v.r.RequestURI, v.meta.Tenant, v.body)
+	return bfhop.QuarantineRequest(v.r.Method, v.r.RequestURI, v.meta.Tenant, v.body)
 }
 
 // apartPause is when to come back to a target that runs another suspected request.
--- a/lib/bfguard/relay.go
+++ b/lib/bfguard/relay.go
@@ -75,7 +75,7 @@
 	case refused:
 		v.refuse(e)
 	case busy:
-		bfhop.WriteBusy(v.w, e.id)
+		bfhop.WriteInProgress(v.w, e.id)
 	case ended:
 		v.answer(e.answer)
 	case streamed:
--- a/lib/bfguard/serve.go
+++ b/lib/bfguard/serve.go
@@ -76,9 +76,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	v := &visit{guard: g, w: w, r: r, meta: meta, sentTo: meta.Home, arrived: now, deadline: now.Add(meta.Left)}
+	v := &visit{guard: g, w: w, r: r, meta: meta, sentTo: meta.Home, arrived: now, deadline: now.Add(meta.TimeLeft)}
 	v.meta.Home = g.ownHome(meta.Home)
-	if v.body, err = bfhop.ReadBody(w, r, maxBody, meta.Left); err != nil {
+	if v.body, err = bfhop.ReadBody(w, r, maxBody, meta.TimeLeft); err != nil {
 		// The request did not come whole, so no record of it is made.
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/lib/bfhop/answer.go
+++ b/lib/bfhop/answer.go
@@ -12,16 +12,16 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// Load is the target node's word on its target, as of an answer.
+// Load is the target's load at the time of a response.
 type Load struct {
 	InUse  int
 	Queued int
 	Slots  int
-	// ServiceTime is how long a request runs there on average, 0 if unknown; it travels in microseconds.
+	// ServiceTime is the mean run time of a request, 0 if unknown; it is sent in microseconds.
 	ServiceTime time.Duration
 }
 
-// String is the form of the header.
+// String formats the load as a header value.
 func (l Load) String() string {
 	text := make([]byte, 0, 4*8)
 	for i, n := range []int64{int64(l.InUse), int64(l.Queued), int64(l.Slots), l.ServiceTime.Microseconds()} {
@@ -33,7 +33,7 @@
 	return string(text)
 }
 
-// ParseLoad reads what String writes; an unreadable load is none.
+// ParseLoad parses what String writes and reports whether it is valid.
 func ParseLoad(text string) (Load, bool) {
 	var numbers [4]int64
 	for i := range numbers {
@@ -50,46 +50,46 @@
 	}, true
 }
 
-// ReasonShed says that the target itself refused the request although its node had given it a slot.
+// ReasonShed means that the target itself rejected a request that its node had admitted.
 const ReasonShed bfrecord.Reason = "shed by the target"
 
-// Reply is the sealed set of what the target's node can answer: Ran, Refused, Busy, Dropped and Lost.
+// Reply is the sealed set of replies of a target's node: Ran, Refused, InProgress, Dropped and Lost.
 type Reply interface{ reply() }
 
-// Ran says that the response is the target's own.
+// Ran means that the response is that of the target.
 type Ran struct{}
 
-// Refused says that the request was not run.
+// Refused means that the request was not run.
 type Refused struct{ Refusal bfrecord.Refusal }
 
-// Busy says that an earlier sending, ID, has not ended.
-type Busy struct{ ID bfrecord.ID }
+// InProgress means that an earlier copy of the request, ID, has not ended.
+type InProgress struct{ ID bfrecord.ID }
 
-// Lost says that the request was handed to the target and its end is unknown.
+// Lost means that the request was sent to the target and its outcome is unknown.
 type Lost struct{}
 
-// Dropped says that the request ran, with a status, and that its answer is no longer kept.
+// Dropped means that the request ran with that status, and its response is no longer stored.
 type Dropped struct{ Status int }
 
-func (Dropped) reply() {}
-func (Ran) reply()     {}
-func (Refused) reply() {}
-func (Busy) reply()    {}
-func (Lost) reply()    {}
+func (Dropped) reply()    {}
+func (Ran) reply()        {}
+func (Refused) reply()    {}
+func (InProgress) reply() {}
+func (Lost) reply()       {}
 
-// ReplyError reports a response that no node of this version gives.
+// ReplyError reports a response with an unknown outcome or an invalid refusal.
 type ReplyError struct{ Outcome string }
 
-// Error names the outcome that the response claimed.
+// Error names the response's outcome.
 func (e *ReplyError) Error() string { return fmt.Sprintf("response with outcome %q", e.Outcome) }
 
-// Values of Outcome between nodes only.
+// Values of the Outcome header that are used only between nodes.
 const (
-	outcomeBusy    = "busy"
-	outcomeDropped = "dropped"
+	outcomeInProgress = "busy"
+	outcomeDropped    = "dropped"
 )
 
-// WriteRefusal answers that the request was not run.
+// WriteRefusal writes the reply Refused.
 func WriteRefusal(w http.ResponseWriter, refusal bfrecord.Refusal) error {
 	data, err := json.Marshal(refusal)
 	if err != nil {
@@ -101,26 +101,26 @@
 	return nil
 }
 
-// WriteBusy answers that an earlier sending has not ended.
-func WriteBusy(w http.ResponseWriter, id bfrecord.ID) {
-	w.Header().Set(bfheader.Outcome, outcomeBusy)
+// WriteInProgress writes the reply InProgress.
+func WriteInProgress(w http.ResponseWriter, id bfrecord.ID) {
+	w.Header().Set(bfheader.Outcome, outcomeInProgress)
 	w.Header().Set(bfheader.RequestID, id.String())
 	w.WriteHeader(http.StatusConflict)
 }
 
-// WriteDropped answers that the request ran and that its answer is no longer kept.
+// WriteDropped writes the reply Dropped.
 func WriteDropped(w http.ResponseWriter, status int) {
 	w.Header().Set(bfheader.Outcome, outcomeDropped)
 	w.WriteHeader(status)
 }
 
-// WriteLost answers that the end of the request is unknown.
+// WriteLost writes the reply Lost.
 func WriteLost(w http.ResponseWriter) {
 	w.Header().Set(bfheader.Outcome, bfheader.OutcomeUnknown)
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// ReadReply says what a response means.
+// ReadReply parses the reply in a response's header.
 func ReadReply(response *http.Response) (Reply, error) {
 	switch outcome := response.Header.Get(bfheader.Outcome); outcome {
 	case bfheader.OutcomeDone:
@@ -129,9 +129,9 @@
 		return Dropped{Status: response.StatusCode}, nil
 	case bfheader.OutcomeUnknown:
 		return Lost{}, nil
-	case outcomeBusy:
+	case outcomeInProgress:
 		id, err := ParseID(response.Header.Get(bfheader.RequestID))
-		return Busy{ID: id}, err
+		return InProgress{ID: id}, err
 	case bfheader.OutcomeNotRun:
 		var refusal bfrecord.Refusal
 		if err := json.Unmarshal([]byte(response.Header.Get(bfheader.Refusal)), &refusal); err != nil {
--- a/lib/bfhop/body.go
+++ b/lib/bfhop/body.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// BodyError reports a request body that was not taken.
+// BodyError reports a request body that could not be read.
 type BodyError struct {
-	// TooLarge tells a body over the limit from one that did not come.
+	// TooLarge is set if the body exceeds the limit.
 	TooLarge bool
 	Reason   string
 }
@@ -19,17 +19,17 @@
 // Error gives the reason.
 func (e *BodyError) Error() string { return "request body: " + e.Reason }
 
-// ReadBody reads a request's body whole; its error is a BodyError.
+// ReadBody reads the whole body of a request; its error is a BodyError.
 //
-// A sender that brings a byte now and then would hold the connection, and at a
-// spike all of a node's, until it pleases; so the whole body has until timeout.
+// timeout limits the whole body, so that slow senders can't hold a node's
+// connections indefinitely.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
-	control := http.NewResponseController(w)
-	// A connection that takes no deadline is a test's recorder, whose body is there.
-	_ = control.SetReadDeadline(time.Now().Add(timeout))
+	controller := http.NewResponseController(w)
+	// Only the recorders of tests do not support deadlines.
+	_ = controller.SetReadDeadline(time.Now().Add(timeout))
 	if r.ContentLength > limit {
 		return nil, tooLarge(limit)
 	}
@@ -43,11 +43,11 @@
 	case errors.As(err, &over):
 		return nil, tooLarge(limit)
 	case err != nil:
-		// The deadline stays: the server reads on for the rest of the body
-		// before it answers, and would wait for it without one.
+		// The deadline stays set: the server drains the rest of the body before it
+		// responds, and would wait for it indefinitely.
 		return nil, &BodyError{Reason: err.Error()}
 	}
-	_ = control.SetReadDeadline(time.Time{})
+	_ = controller.SetReadDeadline(time.Time{})
 	return body.Bytes(), nil
 }
 
@@ -55,37 +55,37 @@
 	return &BodyError{TooLarge: true, Reason: fmt.Sprintf("more than %d bytes", limit)}
 }
 
-// HasBody reports whether an answer to method with status has a body at all.
+// HasBody reports whether a response to method with status has a body.
 //
-// Where it has none, its Content-Length speaks of the body that there would be.
+// If it has none, its Content-Length is that of the body it would have.
 func HasBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// bufferedBytes is what the buffers of a connection take whatever its reader does.
+// bufferedBytes is the size of writes that the connection's buffers accept without a reader.
 const bufferedBytes = 4 << 10
 
-// stallTimeout is how long a reader may take nothing of an answer.
+// stallTimeout is the maximum time for a write without progress of the reader.
 const stallTimeout = 10 * time.Second
 
-// Write writes part of an answer, and gives up on a reader that takes nothing:
-// it would hold the target's slot, or memory, for good.
+// Write writes part of a response. It times out on a stalled reader, which would
+// otherwise hold the target's slot, or memory, indefinitely.
 func Write(w http.ResponseWriter, p []byte) error {
 	if len(p) <= bufferedBytes {
 		_, err := w.Write(p)
 		return err
 	}
-	control := http.NewResponseController(w)
-	// A connection that takes no deadline is a test's recorder, which takes all.
-	_ = control.SetWriteDeadline(time.Now().Add(stallTimeout))
+	controller := http.NewResponseController(w)
+	// Only the recorders of tests do not support deadlines.
+	_ = controller.SetWriteDeadline(time.Now().Add(stallTimeout))
 	if _, err := w.Write(p); err != nil {
 		return err
 	}
-	_ = control.SetWriteDeadline(time.Time{})
+	_ = controller.SetWriteDeadline(time.Time{})
 	return nil
 }
 
-// Copy copies the rest of an answer; it tells a source that broke off from a reader that went away.
+// Copy copies the rest of a response; it returns errors of the source and of the reader separately.
 func Copy(w http.ResponseWriter, from io.Reader) (readErr, writeErr error) {
 	buffer := make([]byte, copyBytes)
 	for {
--- a/lib/bfhop/doc.go
+++ b/lib/bfhop/doc.go
@@ -1,3 +1,3 @@
-// Package bfhop is what goes with a request from the entry node to the target's
-// node and back, written as HTTP headers.
+// Package bfhop defines the HTTP headers of a request and its reply between the
+// entry node and the target's node.
 package bfhop
--- a/lib/bfhop/hop_test.go
+++ b/lib/bfhop/hop_test.go
@@ -21,11 +21,11 @@
 	return Meta{
 		ID:   bfrecord.ID{Entry: bfrecord.Home{Instance: "wien-west-2", Incarnation: 1 << 60}, Counter: 12, Minted: true},
 		Home: home, Route: "approvals", Stamp: bfevent.Stamp{Policy: "approve", Version: 4, Class: "approval"},
-		Tenant: "agency-7", Key: "k", Left: 1500 * time.Millisecond, Depth: 2, Resent: true,
+		Tenant: "agency-7", Key: "k", TimeLeft: 1500 * time.Millisecond, Depth: 2, Resent: true,
 	}
 }
 
-func TestMetaGoesThroughHeaders(t *testing.T) {
+func TestMetaRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := http.Header{}
 	is.NoErr(sample().Write(h))
@@ -34,12 +34,11 @@
 	is.Equal(read, sample())
 }
 
-// A peer of another version, or a caller at the wrong port, sends a header that
-// is wrong. It must be refused whole: a request run under a guessed identity
-// could run twice.
-func TestReadRefusesEachWrongHeader(t *testing.T) {
+// Guards against running a request under a wrong identity: a single invalid header
+// must reject it, or it could run twice.
+func TestReadRejectsInvalidHeaders(t *testing.T) {
 	is := is.New(t)
-	wrong := map[string][]string{
+	invalid := map[string][]string{
 		bfheader.RequestID: {"", "x", "a/b", "a/1/zz", "/1/1", "a/1/mm2"},
 		bfheader.Home:      {"", "a", "a/xyz", "/1"},
 		bfheader.Policy:    {"", "{", `{"at":"soon"}`},
@@ -47,7 +46,7 @@
 		bfheader.Depth:     {"-1", "33", "x"},
 		bfheader.Resent:    {"0", "yes"},
 	}
-	for name, values := range wrong {
+	for name, values := range invalid {
 		for _, value := range values {
 			h := http.Header{}
 			is.NoErr(sample().Write(h))
@@ -58,7 +57,7 @@
 	}
 }
 
-func TestRepliesGoThroughHeaders(t *testing.T) {
+func TestReplyRoundTrip(t *testing.T) {
 	is := is.New(t)
 	refusal := bfrecord.Refusal{ID: sample().ID, Home: sample().Home, Reason: bfrecord.ReasonOverload, RetryAfter: time.Second, Barred: true}
 	w := httptest.NewRecorder()
@@ -67,42 +66,41 @@
 	is.NoErr(err)
 	is.Equal(reply, Refused{Refusal: refusal})
 	w = httptest.NewRecorder()
-	WriteBusy(w, sample().ID)
+	WriteInProgress(w, sample().ID)
 	reply, err = ReadReply(w.Result())
 	is.NoErr(err)
-	is.Equal(reply, Busy{ID: sample().ID})
+	is.Equal(reply, InProgress{ID: sample().ID})
 	_, err = ReadReply(&http.Response{Header: http.Header{}})
 	is.True(err != nil)
 	sent := Load{InUse: 1, Queued: 2, Slots: 3, ServiceTime: 1500 * time.Microsecond}
 	load, ok := ParseLoad(sent.String())
 	is.True(ok)
 	is.Equal(load, sent)
-	for _, wrong := range []string{"", "1/2/3", "1/2/3/4/5", "1/2/3/x", "-1/2/3/4", "1/2/3/99999999999"} {
-		_, ok := ParseLoad(wrong)
+	for _, invalid := range []string{"", "1/2/3", "1/2/3/4/5", "1/2/3/x", "-1/2/3/4", "1/2/3/99999999999"} {
+		_, ok := ParseLoad(invalid)
 		is.True(!ok)
 	}
 }
 
-// reader is a connection whose other end takes nothing: a write ends with its deadline.
-type reader struct {
+// stalledReader is a connection whose other end reads nothing: a write ends with its deadline.
+type stalledReader struct {
 	http.ResponseWriter
 	deadline time.Time
 }
 
-func (r *reader) SetWriteDeadline(t time.Time) error { r.deadline = t; return nil }
+func (r *stalledReader) SetWriteDeadline(t time.Time) error { r.deadline = t; return nil }
 
-func (r *reader) Write([]byte) (int, error) {
+func (r *stalledReader) Write([]byte) (int, error) {
 	if r.deadline.IsZero() {
 		panic("would wait for good")
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
-// An entry, or its caller, takes nothing of a large answer. Without a bound the
-// write would hold the target's slot for as long as the reader pleases.
-func TestWriteGivesUpOnAReaderThatStalls(t *testing.T) {
+// Guards against a stalled reader of a large response holding the target's slot.
+func TestWriteTimesOutOnStalledReader(t *testing.T) {
 	is := is.New(t)
-	readErr, writeErr := Copy(&reader{ResponseWriter: httptest.NewRecorder()}, bytes.NewReader(make([]byte, 64<<10)))
+	readErr, writeErr := Copy(&stalledReader{ResponseWriter: httptest.NewRecorder()}, bytes.NewReader(make([]byte, 64<<10)))
 	is.NoErr(readErr)
 	is.True(errors.Is(writeErr, os.ErrDeadlineExceeded))
 }
--- a/lib/bfhop/meta.go
+++ b/lib/bfhop/meta.go
@@ -13,28 +13,28 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// Meta is the entry node's word on a request.
+// Meta is the metadata that an entry node adds to a request.
 type Meta struct {
 	ID   bfrecord.ID
 	Home bfrecord.Home
-	// Route is the route's name, by which the target's node finds its limits.
+	// Route is the route's name, by which the target's node looks up its limits.
 	Route string
-	// Stamp is the policy that the entry decided on; it goes with the request to its end.
+	// Stamp is the policy that the entry node applied; it is valid until the request ends.
 	Stamp  bfevent.Stamp
 	Tenant string
 	// Key is the caller's idempotency key.
 	Key string
-	// Left is the time left of the deadline; durations need no agreement of clocks.
-	Left  time.Duration
-	Depth int
-	// Resent says that a node above sent this copy as a retry, so no node below may.
+	// TimeLeft is the time until the deadline; a duration needs no synchronized clocks.
+	TimeLeft time.Duration
+	Depth    int
+	// Resent is set if an earlier node sent this copy as a retry, so that later nodes do not retry.
 	Resent bool
 }
 
-// Headers is how many headers Write sets at most.
-const Headers = 9
+// MaxHeaders is the maximum number of headers that Write sets.
+const MaxHeaders = 9
 
-// Write puts the meta into h.
+// Write sets the headers of the metadata in h.
 func (m Meta) Write(h http.Header) error {
 	stamp, err := json.Marshal(m.Stamp)
 	if err != nil {
@@ -48,7 +48,7 @@
 		h.Set(bfheader.Tenant, m.Tenant)
 	}
 	h.Set(bfheader.Depth, strconv.Itoa(m.Depth))
-	bfheader.WriteDeadline(h, m.Left)
+	bfheader.WriteDeadline(h, m.TimeLeft)
 	if m.Key != "" {
 		h.Set(bfheader.IdempotencyKey, m.Key)
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Read takes the meta out of h.
+// Read parses the metadata in h; its errors are bfheader.ValueError and those of bfheader.
 func Read(h http.Header) (Meta, error) {
 	var m Meta
 	var err error
@@ -71,10 +71,10 @@
 	if err := json.Unmarshal([]byte(h.Get(bfheader.Policy)), &m.Stamp); err != nil {
 		return Meta{}, &bfheader.ValueError{Header: bfheader.Policy, Value: h.Get(bfheader.Policy), Allowed: "a stamp"}
 	}
-	if m.Left, err = bfheader.ReadDeadline(h); err != nil {
+	if m.TimeLeft, err = bfheader.ReadDeadline(h); err != nil {
 		return Meta{}, err
 	}
-	if m.Left == 0 {
+	if m.TimeLeft == 0 {
 		return Meta{}, &bfheader.ValueError{Header: bfheader.Deadline, Allowed: "the time left"}
 	}
 	if m.Depth, err = bfheader.ReadDepth(h); err != nil {
@@ -89,36 +89,36 @@
 	return m, nil
 }
 
-const idForm = "instance/incarnation/counter in hexadecimal, the counter after m for a minted key"
+const idFormat = "instance/incarnation/counter in hexadecimal, the counter after m for a minted key"
 
-// ParseID reads what bfrecord.ID.String writes.
+// ParseID parses what bfrecord.ID.String writes.
 func ParseID(text string) (bfrecord.ID, error) {
-	wrong := &bfheader.ValueError{Header: bfheader.RequestID, Value: text, Allowed: idForm}
+	invalid := &bfheader.ValueError{Header: bfheader.RequestID, Value: text, Allowed: idFormat}
 	slash := strings.LastIndexByte(text, '/')
 	if slash < 0 {
-		return bfrecord.ID{}, wrong
+		return bfrecord.ID{}, invalid
 	}
 	entry, err := parseHome(text[:slash])
 	if err != nil {
-		return bfrecord.ID{}, wrong
+		return bfrecord.ID{}, invalid
 	}
 	digits, minted := strings.CutPrefix(text[slash+1:], "m")
 	counter, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
-		return bfrecord.ID{}, wrong
+		return bfrecord.ID{}, invalid
 	}
 	return bfrecord.ID{Entry: entry, Counter: counter, Minted: minted}, nil
 }
 
 func parseHome(text string) (bfrecord.Home, error) {
-	wrong := &bfheader.ValueError{Header: bfheader.Home, Value: text, Allowed: "instance/incarnation in hexadecimal"}
+	invalid := &bfheader.ValueError{Header: bfheader.Home, Value: text, Allowed: "instance/incarnation in hexadecimal"}
 	instance, digits, found := strings.Cut(text, "/")
 	if !found || instance == "" {
-		return bfrecord.Home{}, wrong
+		return bfrecord.Home{}, invalid
 	}
 	incarnation, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
-		return bfrecord.Home{}, wrong
+		return bfrecord.Home{}, invalid
 	}
 	return bfrecord.Home{Instance: instance, Incarnation: incarnation}, nil
 }
