--- a/lib/bfguard/breaker.go
+++ b/lib/bfguard/breaker.go
@@ -5,42 +5,41 @@
 	"time"
 )
 
-// breaker refuses claims at once while the table does not answer.
+// breaker is a circuit breaker that rejects claims while the table does not respond.
 //
-// A claim holds a slot of the target. With a table that hangs, requests with
-// keys would hold every slot for its timeout, and look-ups that need no table
-// would be refused at an idle target. While the breaker is open one claim at a
-// time finds out whether the table is back.
+// A claim holds a slot of the target, so with a hanging table requests with keys
+// would occupy every slot, and requests that need no table would be rejected. While
+// the breaker is open, one claim at a time probes the table.
 type breaker struct {
-	// until is 0 while the table answers, else nanoseconds since 1970 before which nobody asks it.
-	until atomic.Int64
+	// openUntil is the time of the next probe in nanoseconds since 1970, 0 while the breaker is closed.
+	openUntil atomic.Int64
 }
 
-// breakerPause is the time between two claims that try a table that failed.
-const breakerPause = time.Second
+// breakerRetryInterval is the time between probes of a failed table.
+const breakerRetryInterval = time.Second
 
-// wait is how long a claim should wait; at 0 it may ask the table now.
-func (b *breaker) wait(now time.Time) time.Duration {
-	until := b.until.Load()
+// delay returns how long a claim must wait, or 0 if it may use the table now.
+func (b *breaker) delay(now time.Time) time.Duration {
+	until := b.openUntil.Load()
 	if until == 0 {
 		return 0
 	}
 	if left := time.Duration(until - now.UnixNano()); left > 0 {
 		return left
 	}
-	if b.until.CompareAndSwap(until, now.Add(breakerPause).UnixNano()) {
+	if b.openUntil.CompareAndSwap(until, now.Add(breakerRetryInterval).UnixNano()) {
 		return 0
 	}
-	return breakerPause
+	return breakerRetryInterval
 }
 
-// note takes in how a call to the table ended.
-func (b *breaker) note(now time.Time, failed bool) {
+// record updates the breaker with the result of a call to the table.
+func (b *breaker) record(now time.Time, failed bool) {
 	if failed {
-		b.until.Store(now.Add(breakerPause).UnixNano())
+		b.openUntil.Store(now.Add(breakerRetryInterval).UnixNano())
 		return
 	}
-	if b.until.Load() != 0 {
-		b.until.Store(0)
+	if b.openUntil.Load() != 0 {
+		b.openUntil.Store(0)
 	}
 }
--- a/lib/bfguard/claims.go
+++ b/lib/bfguard/claims.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// claimWindow is how long a claim waits for others to share its transaction.
+	// claimWindow is how long a claim waits for others to join its transaction.
 	claimWindow = 4 * time.Millisecond
-	// claimBatch is how many claims share one transaction at most.
-	claimBatch = 64
-	// keyRetention is how long the outcome of a caller's key is kept.
+	// maxClaimBatch is the maximum number of claims in one transaction.
+	maxClaimBatch = 64
+	// keyRetention is how long the outcome of a caller's key is stored.
 	keyRetention = 24 * time.Hour
-	// askHomeTimeout bounds the question to another home.
-	askHomeTimeout = 500 * time.Millisecond
-	// claimTimeout bounds a claim, which holds a slot of the target.
+	// resolveTimeout limits the query to another node.
+	resolveTimeout = 500 * time.Millisecond
+	// claimTimeout limits a claim, which holds a slot of the target.
 	claimTimeout = time.Second
 )
 
-// claims carries out the claims of callers' keys on the platform's table.
+// claims executes the claims of callers' keys on the platform's table.
 type claims struct {
 	table     bfstore.Table
 	timer     *bftimer.Service
@@ -38,7 +38,7 @@
 	spawn     func(name string, fn func(ctx context.Context) error)
 	logger    *bflog.Logger
 	breaker   breaker
-	// settling counts the claims whose end is not written yet.
+	// settling counts the claims whose outcome is not written yet.
 	settling atomic.Int64
 
 	mu    sync.Mutex
@@ -46,28 +46,28 @@
 	flush *bftimer.Subscription
 }
 
-func newClaims(parts Parts) *claims {
+func newClaims(config Parts) *claims {
 	return &claims{
-		table: parts.Table, timer: parts.Timer, directory: parts.Directory, resolver: parts.Resolver,
-		spawn: parts.Spawn, logger: parts.Logger,
-		group: bfclaim.NewGroup[chan bfclaim.Event](claimWindow, claimBatch),
+		table: config.Table, timer: config.Timer, directory: config.Directory, resolver: config.Resolver,
+		spawn: config.Spawn, logger: config.Logger,
+		group: bfclaim.NewGroup[chan bfclaim.Event](claimWindow, maxClaimBatch),
 	}
 }
 
-// machine is a claim or a settlement.
-type machine interface {
+// stateMachine is a claim or a settlement.
+type stateMachine interface {
 	Next(now time.Time, event bfclaim.Event) bfclaim.Action
 }
 
-// claim claims a key for a request.
+// claim claims the key of a request.
 func (c *claims) claim(ctx context.Context, spec bfclaim.Spec) bfclaim.Result {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	return c.run(ctx, bfclaim.NewClaim(spec))
 }
 
-// run takes a machine to its end.
-func (c *claims) run(ctx context.Context, m machine) bfclaim.Result {
+// run executes a state machine until it ends.
+func (c *claims) run(ctx context.Context, m stateMachine) bfclaim.Result {
 	var event bfclaim.Event = bfclaim.Start{}
 	for {
 		switch action := m.Next(c.timer.Now(), event).(type) {
@@ -78,7 +78,7 @@
 		case bfclaim.Commit:
 			event = c.commit(ctx, action)
 		case bfclaim.AskHome:
-			event = c.ask(ctx, action.Request())
+			event = c.resolve(ctx, action.Request())
 		case bfclaim.Wait:
 			event = bfclaim.Elapsed{}
 			if c.timer.Wait(ctx, action.Duration()) != nil {
@@ -90,21 +90,21 @@
 
 func (c *claims) read(ctx context.Context, key string) bfclaim.Event {
 	rows, err := c.table.Get(ctx, key)
-	c.breaker.note(c.timer.Now(), err != nil)
+	c.breaker.record(c.timer.Now(), err != nil)
 	if err != nil {
 		return bfclaim.RowRead{Err: err}
 	}
 	return bfclaim.RowRead{Row: rows[0]}
 }
 
-// ask asks another home about the request that holds a key.
-func (c *claims) ask(ctx context.Context, request bfrecord.ResolveRequest) bfclaim.Event {
+// resolve queries the node of the request that holds a key.
+func (c *claims) resolve(ctx context.Context, request bfrecord.ResolveRequest) bfclaim.Event {
 	member, found := c.directory.Member(request.Home.Instance)
 	if !found {
-		// It left the fleet, and nobody else knows what it did.
+		// The instance has left the membership, and its records with it.
 		return bfclaim.HomeAnswered{Resolution: bfrecord.HomeLost{}}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askHomeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	reply, err := c.resolver.Resolve(ctx, member.Peer, request)
 	if err != nil {
@@ -118,26 +118,26 @@
 	return bfclaim.HomeAnswered{Resolution: resolution}
 }
 
-// commit puts the machine's commit into the next batch and waits for its end.
+// commit adds the commit to the next batch and waits for its result.
 func (c *claims) commit(ctx context.Context, commit bfclaim.Commit) bfclaim.Event {
-	ended := make(chan bfclaim.Event, 1)
+	result := make(chan bfclaim.Event, 1)
 	c.mu.Lock()
-	c.group.Add(c.timer.Now(), ended, commit)
+	c.group.Add(c.timer.Now(), result, commit)
 	c.schedule()
 	c.mu.Unlock()
 	select {
-	case event := <-ended:
+	case event := <-result:
 		return event
 	case <-ctx.Done():
-		c.breaker.note(c.timer.Now(), true)
+		c.breaker.record(c.timer.Now(), true)
 		return bfclaim.CommitEnded{Err: &bfstore.UnknownError{Reason: ctx.Err().Error()}}
 	}
 }
 
-// schedule needs the lock.
+// schedule schedules the next flush; c.mu must be held.
 func (c *claims) schedule() {
-	at, waits := c.group.Due()
-	if !waits || c.flush != nil {
+	at, pending := c.group.Due()
+	if !pending || c.flush != nil {
 		return
 	}
 	c.flush = c.timer.After(at.Sub(c.timer.Now()), func(now time.Time) {
@@ -145,33 +145,33 @@
 		defer c.mu.Unlock()
 		c.flush = nil
 		for {
-			batch, leaves := c.group.Take(now)
-			if !leaves {
+			batch, ok := c.group.Take(now)
+			if !ok {
 				break
 			}
-			c.spawn("commit claims", func(ctx context.Context) error { c.send(ctx, batch); return nil })
+			c.spawn("commit claims", func(ctx context.Context) error { c.commitBatch(ctx, batch); return nil })
 		}
 		c.schedule()
 	})
 }
 
-func (c *claims) send(ctx context.Context, batch *bfclaim.Batch[chan bfclaim.Event]) {
+func (c *claims) commitBatch(ctx context.Context, batch *bfclaim.Batch[chan bfclaim.Event]) {
 	err := c.table.Commit(ctx, batch.Transaction())
 	var conflict *bfstore.ConflictError
-	c.breaker.note(c.timer.Now(), err != nil && !errors.As(err, &conflict))
-	ended, again := batch.End(err)
-	for _, end := range ended {
+	c.breaker.record(c.timer.Now(), err != nil && !errors.As(err, &conflict))
+	finished, retries := batch.End(err)
+	for _, end := range finished {
 		end.Owner() <- end.Event()
 	}
-	for _, rest := range again {
-		c.send(ctx, rest)
+	for _, rest := range retries {
+		c.commitBatch(ctx, rest)
 	}
 }
 
-// settle writes the end of a claim, for as long as it takes.
+// settle writes the outcome of a claim, retrying as needed.
 //
-// The caller has its answer already. If this node dies first the key stays
-// claimed by a home that is gone, and a resend is told "unknown", which is true.
+// The caller already has its response. If this node fails first, the key stays
+// claimed by a node that is gone, and a retry correctly gets "unknown".
 func (c *claims) settle(s *bfclaim.Settlement) {
 	c.settling.Add(1)
 	c.spawn("settle claim", func(ctx context.Context) error {
--- a/lib/bfguard/doc.go
+++ b/lib/bfguard/doc.go
@@ -1,5 +1,5 @@
-// Package bfguard is the target's node as seen by requests: all traffic to the
-// target passes it, so it knows exactly what runs there. It keeps the record of
-// each request, admits it or refuses it at once, claims callers' keys, and hands
-// the request to the target at most once.
+// Package bfguard implements the node's proxy in front of its local target. All
+// requests to the target pass it, so its records show exactly what ran there: it
+// admits or rejects each request, claims callers' idempotency keys, and forwards a
+// request to the target at most once.
 package bfguard
--- a/lib/bfguard/flight.go
+++ b/lib/bfguard/flight.go
@@ -17,11 +17,11 @@
 
 func (g *Guard) newFlights() *bfflight.Register {
 	return bfflight.New(bfflight.Options{
-		Book: g.parts.Quarantine, Now: g.parts.Timer.Now, Dial: dial, Crashed: g.parts.Crashed,
+		Book: g.config.Quarantine, Now: g.config.Timer.Now, Dial: dial, Crashed: g.config.Crashed,
 	})
 }
 
-// dial shows whether something listens at an address.
+// dial reports whether something listens at address.
 func dial(ctx context.Context, address string) error {
 	var dialer net.Dialer
 	opened, err := dialer.DialContext(ctx, "tcp", address)
@@ -31,21 +31,21 @@
 	return opened.Close()
 }
 
-// flightTarget is a target process as the register of flights knows it.
+// flightTarget adapts a target process to the register of flights.
 type flightTarget struct {
 	guard  *Guard
 	status Status
 }
 
-// Name tells the process from every other one.
+// Name identifies the target process.
 func (f flightTarget) Name() string { return fmt.Sprint(f.status.Address, " ", f.status.Incarnation) }
 
-// Address is where the target takes requests.
+// Address is the address at which the target serves requests.
 func (f flightTarget) Address() string { return f.status.Address }
 
-// Fate is what was heard of the target.
+// Fate returns what is known of the target process from announcements.
 func (f flightTarget) Fate() bfflight.Fate {
-	now := f.guard.Status(f.guard.parts.Timer.Now())
+	now := f.guard.Status(f.guard.config.Timer.Now())
 	switch {
 	case now.Incarnation != f.status.Incarnation:
 		return bfflight.Succeeded
@@ -55,28 +55,28 @@
 	return bfflight.Present
 }
 
-func (v *visit) asked() bfquarantine.Request {
-	return bfhop.QuarantineRequest(v.r.Method, v.r.RequestURI, v.meta.Tenant, v.body)
+func (in *inboundRequest) quarantineRequest() bfquarantine.Request {
+	return bfhop.QuarantineRequest(in.r.Method, in.r.RequestURI, in.meta.Tenant, in.body)
 }
 
-// apartPause is when to come back to a target that runs another suspected request.
-const apartPause = 100 * time.Millisecond
+// suspectRetryAfter is the retry delay while the target runs another request that is suspected of crashing targets.
+const suspectRetryAfter = 100 * time.Millisecond
 
-// notBegun refuses a request that the register did not take. Where it is held, no other
-// node runs it.
-func (v *visit) notBegun(err error) (end, bfadmit.Outcome) {
+// refuseFlight refuses a request that the register rejected. A quarantined request is
+// refused for all nodes.
+func (in *inboundRequest) refuseFlight(err error) (inboundResult, bfadmit.Outcome) {
 	var held *bfflight.HeldError
 	if !errors.As(err, &held) {
-		return v.abort(bfrecord.ReasonOverload, apartPause), bfadmit.Unused
+		return in.abort(bfrecord.ReasonOverload, suspectRetryAfter), bfadmit.Unused
 	}
-	refusal := v.abort(bfrecord.ReasonQuarantined, held.For).(refused)
+	refusal := in.abort(bfrecord.ReasonQuarantined, held.For).(refused)
 	refusal.final = true
 	return refusal, bfadmit.Unused
 }
 
-// noteLoss has it found out whether the target has ended.
-func (v *visit) noteLoss() {
-	if v.guard.parts.Timer.Now().Before(v.deadline) {
-		v.flight.Lost(v.r.Context())
+// reportLoss makes the register check whether the target has ended.
+func (in *inboundRequest) reportLoss() {
+	if in.guard.config.Timer.Now().Before(in.deadline) {
+		in.flight.Lost(in.r.Context())
 	}
 }
--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -24,159 +24,157 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Parts is what a Guard works with.
+// Parts holds the dependencies of a Guard.
 type Parts struct {
-	// Home is the node's own name and the incarnation it started with.
+	// Home is the node's instance name and its incarnation at start.
 	Home bfrecord.Home
-	// Service is the service whose target runs beside the node.
+	// Service is the service of the local target.
 	Service string
-	// ColdStart gives the ramp of the service's targets.
+	// ColdStart returns the duration of the slow start of the service's targets.
 	ColdStart func() time.Duration
-	// View gives the view in force, or nil before the node has one.
+	// View returns the current view, or nil before the node has one.
 	View    func() *bfroute.View
 	Client  *bfforward.Client
 	Minter  *bfrecord.Minter
 	Timer   *bftimer.Service
 	Logger  *bflog.Logger
 	Metrics *bfmetric.Registry
-	// Table, Directory, Resolver and Spawn serve the claims of callers' keys.
+	// Table, Directory, Resolver and Spawn are used to claim callers' keys.
 	Table     bfstore.Table
 	Directory *bfdirectory.Directory
 	Resolver  Resolver
 	Spawn     func(name string, fn func(ctx context.Context) error)
-	// Tell tells the fleet of a change of the target's state.
+	// Tell propagates a change of the target's state through the membership.
 	Tell func(state bfroster.TargetState, slots int)
-	// Quarantine holds the requests under which targets end; nil is an empty one.
+	// Quarantine lists the requests that crash targets; nil means none.
 	Quarantine *bfquarantine.Book
-	// Crashed is called after the target's end without a word, nil where nobody asks.
+	// Crashed is called after the target ended without announcing it; nil means no call.
 	Crashed func(bfflight.Crash)
 }
 
-// Guard stands between the mesh and one target.
+// Guard proxies requests from entry nodes to one target.
 type Guard struct {
-	parts  Parts
-	books  *bfrecord.Sharded
-	target local
-	claims *claims
-	// flights are the requests that the target works on.
+	config    Parts
+	records   *bfrecord.Sharded
+	announced announcedTarget
+	claims    *claims
+	// flights tracks the requests that the target is processing.
 	flights *bfflight.Register
-	// present is what arrivals see of the target, swapped whole by Observe; nil before it has announced itself.
-	present atomic.Pointer[present]
-	// working counts the requests that are with the target or wait for it,
-	// visits all that have no answer yet.
-	working, visits atomic.Int64
-	leaving         atomic.Bool
-	// observing orders the changes of present and what the fleet is told.
-	observing sync.Mutex
-	// homes are the incarnations that this process has had in the membership.
-	homes atomic.Pointer[map[uint64]bool]
+	// current is replaced as a whole by Observe; nil before the target's first announcement.
+	current atomic.Pointer[targetProcess]
+	// inFlight counts the requests that the target processes or that are queued for it,
+	// unanswered all that have no response yet.
+	inFlight, unanswered atomic.Int64
+	leaving              atomic.Bool
+	// stateMu serializes changes of current and their publication.
+	stateMu sync.Mutex
+	// ownIncarnations are the incarnations that this process has had in the membership.
+	ownIncarnations atomic.Pointer[map[uint64]bool]
 
 	latency *bfmetric.Family
 	refused *bfmetric.Counter
 	unknown *bfmetric.Counter
-	// skewed counts requests stamped further ahead of this node's clock than clocks may differ.
+	// skewed counts requests whose timestamp is ahead of this node's clock by more than the allowed skew.
 	skewed *bfmetric.Counter
 }
 
-// present is one target process with its own admission.
-type present struct {
+// targetProcess is one process of the target with its admission limiter.
+type targetProcess struct {
 	status  Status
 	limiter *bfadmit.Limiter
 }
 
-// bookShards is how many locks the records are spread over.
-const bookShards = 16
+// recordShards is the number of locks that the records are spread over.
+const recordShards = 16
 
-// New makes the guard of one target.
-func New(parts Parts) *Guard {
-	if parts.Quarantine == nil {
-		parts.Quarantine = bfquarantine.New("")
+// New returns the guard of one target.
+func New(config Parts) *Guard {
+	if config.Quarantine == nil {
+		config.Quarantine = bfquarantine.New("")
 	}
 	g := &Guard{
-		parts: parts, books: bfrecord.NewSharded(parts.Home, bfrecord.DefaultLimits(), bookShards),
-		target:  local{service: parts.Service, coldStart: parts.ColdStart},
-		claims:  newClaims(parts),
-		latency: parts.Metrics.Family("target_latency_by_class"),
-		refused: parts.Metrics.Counter("guard_refused"),
-		unknown: parts.Metrics.Counter("guard_outcome_unknown"),
-		skewed:  parts.Metrics.Counter("guard_clock_skew"),
+		config: config, records: bfrecord.NewSharded(config.Home, bfrecord.DefaultLimits(), recordShards),
+		announced: announcedTarget{service: config.Service, coldStart: config.ColdStart},
+		claims:    newClaims(config),
+		latency:   config.Metrics.Family("target_latency_by_class"),
+		refused:   config.Metrics.Counter("guard_refused"),
+		unknown:   config.Metrics.Counter("guard_outcome_unknown"),
+		skewed:    config.Metrics.Counter("guard_clock_skew"),
 	}
 	g.flights = g.newFlights()
-	g.homes.Store(&map[uint64]bool{parts.Home.Incarnation: true})
-	parts.Metrics.Gauge("guard_in_flight", g.working.Load)
+	g.ownIncarnations.Store(&map[uint64]bool{config.Home.Incarnation: true})
+	config.Metrics.Gauge("guard_in_flight", g.inFlight.Load)
 	return g
 }
 
-// AddIncarnation tells of another incarnation that the membership gives this same process.
+// AddIncarnation adds an incarnation that the membership assigned to this process.
 //
-// A node that was held dead while it was paused comes back under a new
-// incarnation. Its memory is whole, so requests sent to either are its own;
-// were the new one taken for a stranger's, it would refuse everything from then on.
+// A node that was declared dead while it was paused rejoins under a new
+// incarnation. Its records are intact, so it must accept requests sent to either;
+// otherwise it would reject every request from then on.
 func (g *Guard) AddIncarnation(incarnation uint64) {
-	g.observing.Lock()
-	defer g.observing.Unlock()
-	next := maps.Clone(*g.homes.Load())
+	g.stateMu.Lock()
+	defer g.stateMu.Unlock()
+	next := maps.Clone(*g.ownIncarnations.Load())
 	next[incarnation] = true
-	g.homes.Store(&next)
+	g.ownIncarnations.Store(&next)
 }
 
-// ownHome maps any of this process's incarnations to the one that the books know.
-func (g *Guard) ownHome(home bfrecord.Home) bfrecord.Home {
-	if home.Instance == g.parts.Home.Instance && (*g.homes.Load())[home.Incarnation] {
-		return g.parts.Home
+// canonicalHome maps any incarnation of this process to the one used in the records.
+func (g *Guard) canonicalHome(home bfrecord.Home) bfrecord.Home {
+	if home.Instance == g.config.Home.Instance && (*g.ownIncarnations.Load())[home.Incarnation] {
+		return g.config.Home
 	}
 	return home
 }
 
-// InFlight is how many requests are with the target or wait for it: a target that leaves exits at 0.
-func (g *Guard) InFlight() int { return int(g.working.Load()) }
+// InFlight returns the number of requests at the target or queued for it; a leaving target exits at 0.
+func (g *Guard) InFlight() int { return int(g.inFlight.Load()) }
 
-// Leave refuses new work for the target from now on; what is in flight is finished.
+// Leave rejects new requests for the target; requests in flight are completed.
 func (g *Guard) Leave() {
 	g.leaving.Store(true)
-	g.Observe(g.parts.Timer.Now())
+	g.Observe(g.config.Timer.Now())
 }
 
-// DrainTarget makes the present target leave; another target process takes work again.
+// DrainTarget marks the current target process as leaving; its successor accepts requests again.
 func (g *Guard) DrainTarget() {
-	g.target.drain()
-	g.Observe(g.parts.Timer.Now())
+	g.announced.drain()
+	g.Observe(g.config.Timer.Now())
 }
 
-// Status is what is known of the target now.
+// Status returns the target's status at now.
 func (g *Guard) Status(now time.Time) Status {
-	status := g.target.status(now)
+	status := g.announced.status(now)
 	if g.leaving.Load() && status.State != bfroster.TargetNone {
 		status.State = bfroster.TargetLeaving
 	}
 	return status
 }
 
-// Observe makes arrivals see the target's state as it is now, and tells the fleet of a change.
+// Observe applies the target's status at now to admission and publishes a change.
 //
-// Two observations may come at once, from an announcement and from the timer.
-// They go one after the other: out of order, the gate of a target that is gone
-// would stay, or the fleet would hear last what was true first.
+// Announcements and the timer may call it at once. The calls are serialized: out
+// of order, the limiter of an ended target could stay in use, or the last state
+// published could be an old one.
 func (g *Guard) Observe(now time.Time) {
-	g.observing.Lock()
-	defer g.observing.Unlock()
+	g.stateMu.Lock()
+	defer g.stateMu.Unlock()
 	status := g.Status(now)
-	before := g.present.Load()
+	before := g.current.Load()
 	if status.State == bfroster.TargetNone || before != nil && before.status == status {
 		return
 	}
-	g.present.Store(g.next(before, status))
-	g.log(before, status)
-	g.parts.Tell(status.State, status.Slots)
+	g.current.Store(g.nextProcess(before, status))
+	g.logChange(before, status)
+	g.config.Tell(status.State, status.Slots)
 }
 
-// next makes admission follow the target.
-//
-// Another target process starts with all its slots free, whatever the one
-// before it had in use, so it gets a gate of its own.
-func (g *Guard) next(before *present, status Status) *present {
+// nextProcess updates admission to the status. A new target process gets a limiter of
+// its own, since all its slots are free whatever its predecessor had in use.
+func (g *Guard) nextProcess(before *targetProcess, status Status) *targetProcess {
 	if before == nil || before.status.Incarnation != status.Incarnation {
-		return &present{status: status, limiter: g.newLimiter(status)}
+		return &targetProcess{status: status, limiter: g.newLimiter(status)}
 	}
 	switch {
 	case status.State == bfroster.TargetLeaving:
@@ -184,48 +182,47 @@
 	case status.Slots != before.status.Slots:
 		before.limiter.Resize(status.Slots)
 	}
-	return &present{status: status, limiter: before.limiter}
+	return &targetProcess{status: status, limiter: before.limiter}
 }
 
 func (g *Guard) newLimiter(status Status) *bfadmit.Limiter {
 	gate := bfadmit.NewGate(bfadmit.Config{
-		Slots: status.Slots, ColdSince: status.ColdSince, ColdStart: g.parts.ColdStart(),
-		Seed: g.parts.Home.Incarnation,
+		Slots: status.Slots, ColdSince: status.ColdSince, ColdStart: g.config.ColdStart(),
+		Seed: g.config.Home.Incarnation,
 	})
-	return bfadmit.NewLimiter(gate, g.parts.Timer.Now, g.parts.Timer)
+	return bfadmit.NewLimiter(gate, g.config.Timer.Now, g.config.Timer)
 }
 
-// load is what goes back with each answer.
+// load returns the load that is reported with each response.
 func (g *Guard) load() bfhop.Load {
-	present := g.present.Load()
-	if present == nil {
+	current := g.current.Load()
+	if current == nil {
 		return bfhop.Load{}
 	}
-	load := present.limiter.Load()
+	load := current.limiter.Load()
 	return bfhop.Load{
 		InUse: load.InUse(), Queued: load.Queued(), Slots: load.Slots(), ServiceTime: load.ServiceTime(),
 	}
 }
 
-func (g *Guard) log(before *present, after Status) {
-	service := slog.String("service", g.parts.Service)
+func (g *Guard) logChange(before *targetProcess, after Status) {
+	service := slog.String("service", g.config.Service)
 	switch {
 	case after.State == bfroster.TargetLeaving:
-		g.parts.Logger.Emit(bflog.TargetLeaving, service)
+		g.config.Logger.Emit(bflog.TargetLeaving, service)
 	case after.State == bfroster.TargetSilent:
-		g.parts.Logger.Emit(bflog.TargetSilent, service)
+		g.config.Logger.Emit(bflog.TargetSilent, service)
 	case before == nil || before.status.Incarnation != after.Incarnation:
-		g.parts.Logger.Emit(bflog.TargetAnnounced, service, slog.Int("slots", after.Slots))
+		g.config.Logger.Emit(bflog.TargetAnnounced, service, slog.Int("slots", after.Slots))
 	}
 }
 
-// Idle waits until every arrival has its answer and every claimed key its outcome, or ctx ends.
-//
-// A node that left before the outcome of a key is written would take it along:
-// a resend of that key would be told "unknown" for a request that was answered.
+// Idle waits until every request has its response and every claimed key its recorded
+// outcome, or ctx ends. If the node exited before an outcome is written, a retry
+// with that key would get "unknown" for a request that was answered.
 func (g *Guard) Idle(ctx context.Context) {
 	const poll = 20 * time.Millisecond
-	for g.visits.Load()+g.claims.settling.Load() > 0 && g.parts.Timer.Wait(ctx, poll) == nil {
+	for g.unanswered.Load()+g.claims.settling.Load() > 0 && g.config.Timer.Wait(ctx, poll) == nil {
 	}
 }
 
--- a/lib/bfguard/relay.go
+++ b/lib/bfguard/relay.go
@@ -16,110 +16,110 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// keepBytes is the largest answer that is read whole before any of it goes on,
-// and kept for whoever asks later.
-const keepBytes = 16 << 10
+// maxRecordedAnswer is the largest response body in bytes that is buffered in full and
+// kept in the record.
+const maxRecordedAnswer = 16 << 10
 
-// StatusError reports an answer of the target's that is none.
+// StatusError reports a response of the target with an invalid status.
 type StatusError struct{ Status int }
 
 // Error names the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("target answered with status %d", e.Status) }
 
-// relay takes the target's answer: whole, or as far as it can be held.
-func (v *visit) relay(response *http.Response) (end, bfadmit.Outcome) {
+// relay reads the target's response, and streams it if it is too large to buffer.
+func (in *inboundRequest) relay(response *http.Response) (inboundResult, bfadmit.Outcome) {
 	if response.StatusCode < http.StatusOK {
-		return v.lost(&StatusError{Status: response.StatusCode}), bfadmit.Abandoned
+		return in.recordLost(&StatusError{Status: response.StatusCode}), bfadmit.Abandoned
 	}
 	bfheader.Strip(response.Header)
 	var body bytes.Buffer
-	body.Grow(int(min(max(response.ContentLength, 0), keepBytes)) + bytes.MinRead)
-	_, err := io.CopyN(&body, response.Body, keepBytes+1)
+	body.Grow(int(min(max(response.ContentLength, 0), maxRecordedAnswer)) + bytes.MinRead)
+	_, err := io.CopyN(&body, response.Body, maxRecordedAnswer+1)
 	switch {
 	case err == nil:
-		return v.stream(response, body.Bytes())
+		return in.stream(response, body.Bytes())
 	case !errors.Is(err, io.EOF):
-		return v.lost(err), bfadmit.Abandoned
+		return in.recordLost(err), bfadmit.Abandoned
 	}
 	answer := bfrecord.NewWholeAnswer(response.StatusCode, response.Header, body.Bytes())
-	v.flight.Answered()
-	v.finish(answer)
-	return ended{answer}, bfadmit.Done
+	in.flight.Answered()
+	in.finish(answer)
+	return finished{answer}, bfadmit.Done
 }
 
-// stream hands on an answer too large to hold; the target works until it has written the end.
-func (v *visit) stream(response *http.Response, head []byte) (end, bfadmit.Outcome) {
-	v.writeHeader(response.Header)
-	v.w.WriteHeader(response.StatusCode)
-	writeErr := bfhop.Write(v.w, head)
+// stream forwards a large response; the target's slot is held until its end.
+func (in *inboundRequest) stream(response *http.Response, head []byte) (inboundResult, bfadmit.Outcome) {
+	in.writeHeader(response.Header)
+	in.w.WriteHeader(response.StatusCode)
+	writeErr := bfhop.Write(in.w, head)
 	var readErr error
 	if writeErr == nil {
-		readErr, writeErr = bfhop.Copy(v.w, response.Body)
+		readErr, writeErr = bfhop.Copy(in.w, response.Body)
 	}
 	if readErr != nil {
-		v.noteLoss()
+		in.reportLoss()
 	} else {
-		v.flight.Answered()
+		in.flight.Answered()
 	}
-	v.finish(bfrecord.NewDroppedAnswer(response.StatusCode))
-	v.cut = readErr != nil || writeErr != nil
+	in.finish(bfrecord.NewDroppedAnswer(response.StatusCode))
+	in.truncated = readErr != nil || writeErr != nil
 	if readErr != nil {
 		return streamed{}, bfadmit.Abandoned
 	}
 	return streamed{}, bfadmit.Done
 }
 
-// deliver tells the entry what the request came to.
-func (v *visit) deliver(end end) {
-	switch e := end.(type) {
+// writeResult writes the result to the entry node.
+func (in *inboundRequest) writeResult(result inboundResult) {
+	switch e := result.(type) {
 	case refused:
-		v.refuse(e)
-	case busy:
-		bfhop.WriteInProgress(v.w, e.id)
-	case ended:
-		v.answer(e.answer)
+		in.writeRefusal(e)
+	case inProgress:
+		bfhop.WriteInProgress(in.w, e.id)
+	case finished:
+		in.writeAnswer(e.answer)
 	case streamed:
 	}
 }
 
-func (v *visit) refuse(e refused) {
-	v.guard.refused.Add(1)
-	v.setLoad()
+func (in *inboundRequest) writeRefusal(e refused) {
+	in.guard.refused.Add(1)
+	in.setLoad()
 	if e.final {
-		v.w.Header().Set(bfheader.Final, bfheader.FinalMark)
+		in.w.Header().Set(bfheader.Final, bfheader.FinalMark)
 	}
-	if err := bfhop.WriteRefusal(v.w, e.refusal); err != nil {
-		v.guard.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+	if err := bfhop.WriteRefusal(in.w, e.refusal); err != nil {
+		in.guard.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
 }
 
-func (v *visit) answer(answer bfrecord.Answer) {
+func (in *inboundRequest) writeAnswer(answer bfrecord.Answer) {
 	switch a := answer.(type) {
 	case bfrecord.WholeAnswer:
-		v.whole(a)
+		in.writeWhole(a)
 	case bfrecord.DroppedAnswer:
-		bfhop.WriteDropped(v.w, a.Status())
+		bfhop.WriteDropped(in.w, a.Status())
 	case bfrecord.LostAnswer:
-		bfhop.WriteLost(v.w)
+		bfhop.WriteLost(in.w)
 	}
 }
 
-func (v *visit) whole(answer bfrecord.WholeAnswer) {
-	v.writeHeader(answer.Header())
-	if bfhop.HasBody(v.r.Method, answer.Status()) {
-		v.w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body())))
+func (in *inboundRequest) writeWhole(answer bfrecord.WholeAnswer) {
+	in.writeHeader(answer.Header())
+	if bfhop.HasBody(in.r.Method, answer.Status()) {
+		in.w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body())))
 	}
-	v.w.WriteHeader(answer.Status())
-	// An entry that went away asks what became of the request.
-	_ = bfhop.Write(v.w, answer.Body())
+	in.w.WriteHeader(answer.Status())
+	// An entry node that disconnected queries the outcome.
+	_ = bfhop.Write(in.w, answer.Body())
 }
 
-// writeHeader leaves the answer's own Content-Length, where it has one.
-func (v *visit) writeHeader(from http.Header) {
-	to := v.w.Header()
+// writeHeader copies the response header, including a Content-Length.
+func (in *inboundRequest) writeHeader(from http.Header) {
+	to := in.w.Header()
 	maps.Copy(to, from)
 	to.Set(bfheader.Outcome, bfheader.OutcomeDone)
-	v.setLoad()
+	in.setLoad()
 }
 
-func (v *visit) setLoad() { v.w.Header().Set(bfheader.Load, v.guard.load().String()) }
+func (in *inboundRequest) setLoad() { in.w.Header().Set(bfheader.Load, in.guard.load().String()) }
--- a/lib/bfguard/resolve.go
+++ b/lib/bfguard/resolve.go
@@ -8,7 +8,7 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// Calls between nodes about requests.
+// Names of the calls between nodes.
 const (
 	resolveMethod = "request.resolve"
 	mintMethod    = "request.mint"
@@ -20,42 +20,42 @@
 	Key string `json:"key"`
 }
 
-// Methods are the calls that a guard answers.
+// Methods returns the calls that the guard serves to other nodes.
 func (g *Guard) Methods() bfpeer.Methods {
 	return bfpeer.Methods{
 		resolveMethod: {Purpose: bfpeer.Requests, Handle: g.resolve},
 		mintMethod: {Purpose: bfpeer.Requests, Handle: func(context.Context, json.RawMessage) (any, error) {
-			return &mintReply{Key: g.parts.Minter.NextKey(g.parts.Timer.Now()).String()}, nil
+			return &mintReply{Key: g.config.Minter.NextKey(g.config.Timer.Now()).String()}, nil
 		}},
 	}
 }
 
-// resolve tells what became of a request, and bars it if it was never seen.
+// resolve returns the outcome of a request; one that was never seen is recorded as never to run.
 func (g *Guard) resolve(_ context.Context, params json.RawMessage) (any, error) {
 	var request bfrecord.ResolveRequest
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, err
 	}
-	resolution := g.books.Resolve(g.parts.Timer.Now(), request.ID, g.ownHome(request.Home))
-	reply := bfrecord.NewResolveReply(request.ID, g.parts.Home, resolution)
+	resolution := g.records.Resolve(g.config.Timer.Now(), request.ID, g.canonicalHome(request.Home))
+	reply := bfrecord.NewResolveReply(request.ID, g.config.Home, resolution)
 	if reply.State != bfrecord.ResolvedHomeLost {
-		// The asker knows this process by the incarnation that it named.
+		// The caller uses the incarnation that it named.
 		reply.Home = request.Home
 	}
 	return &reply, nil
 }
 
-// Resolver asks other nodes about requests.
+// Resolver queries other nodes about requests.
 type Resolver struct{ Calls *bfpeer.Calls }
 
-// Resolve asks the node at address what became of a request.
+// Resolve returns the state of a request at the node at address.
 func (r Resolver) Resolve(ctx context.Context, address string, request bfrecord.ResolveRequest) (bfrecord.ResolveReply, error) {
 	var reply bfrecord.ResolveReply
 	err := r.Calls.Call(ctx, address, resolveMethod, &request, &reply)
 	return reply, err
 }
 
-// Mint asks the node at address for a key that only its present incarnation may run.
+// Mint returns an idempotency key that only the current incarnation of the node at address accepts.
 func (r Resolver) Mint(ctx context.Context, address string) (string, error) {
 	var reply mintReply
 	err := r.Calls.Call(ctx, address, mintMethod, &mintRequest{}, &reply)
--- a/lib/bfguard/run.go
+++ b/lib/bfguard/run.go
@@ -15,139 +15,139 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// run admits the request and hands it to the target.
+// run admits the request and sends it to the target.
 //
-// The slot is given back before the answer goes out: an entry that reads slowly
-// would hold it while the target is idle, and the load told with the answer
-// would count a request that has ended.
-func (v *visit) run() end {
-	g := v.guard
-	// Counted before the target's state is read: a target that leaves is told
-	// how many are in flight after its state was swapped, so whoever saw the
-	// earlier state is among them, and the target does not exit under it.
-	g.working.Add(1)
-	defer g.working.Add(-1)
-	present := g.present.Load()
-	if present == nil || !present.status.Takes() {
-		return v.abort(bfrecord.ReasonLeaving, comeBack)
-	}
-	if err := g.flights.Check(v.asked()); err != nil {
-		end, _ := v.notBegun(err)
-		return end
-	}
-	if v.needsClaim() {
-		if wait := g.claims.breaker.wait(v.arrived); wait > 0 {
-			return v.abort(bfrecord.ReasonTableAway, wait)
+// The slot is released before the response is written: otherwise an entry node that
+// reads slowly would hold it while the target is idle, and the reported load would
+// count a request that has ended.
+func (in *inboundRequest) run() inboundResult {
+	g := in.guard
+	// Counted before the state is read, so that a target which announces that it
+	// leaves sees every request that was admitted by its earlier state and does not
+	// exit before they end.
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
+	current := g.current.Load()
+	if current == nil || !current.status.AcceptsRequests() {
+		return in.abort(bfrecord.ReasonLeaving, targetRetryAfter)
+	}
+	if err := g.flights.Check(in.quarantineRequest()); err != nil {
+		result, _ := in.refuseFlight(err)
+		return result
+	}
+	if in.needsClaim() {
+		if wait := g.claims.breaker.delay(in.arrived); wait > 0 {
+			return in.abort(bfrecord.ReasonTableAway, wait)
 		}
 	}
-	// A request that waits is given up with its entry's connection, whatever its
-	// kind: it was not run, and it is barred.
-	slot, err := present.limiter.Acquire(v.r.Context(), v.admission())
+	// A queued request is dropped when its entry node disconnects, whether idempotent
+	// or not: it has not run, and its record prevents a later run.
+	slot, err := current.limiter.Acquire(in.r.Context(), in.admissionRequest())
 	if err != nil {
-		return v.notAdmitted(err)
+		return in.refuseAdmission(err)
 	}
-	end, outcome := v.useSlot(present.status)
+	result, outcome := in.runInSlot(current.status)
 	if err := slot.Release(outcome); err != nil {
-		g.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+		g.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
-	return end
+	return result
 }
 
-func (v *visit) useSlot(target Status) (end, bfadmit.Outcome) {
-	ctx, cancel := v.context()
+func (in *inboundRequest) runInSlot(target Status) (inboundResult, bfadmit.Outcome) {
+	ctx, cancel := in.context()
 	defer cancel()
-	if v.needsClaim() {
-		return v.handOverClaimed(ctx, target)
+	if in.needsClaim() {
+		return in.sendClaimed(ctx, target)
 	}
-	return v.handOver(ctx, target)
+	return in.sendToTarget(ctx, target)
 }
 
-// admission is the request as the gate sees it: the entry decided on its
-// policy, and this node's own view gives the limits in force at its target.
-func (v *visit) admission() bfadmit.Request {
+// admissionRequest returns the limiter's view of the request: the policy is that
+// of the entry node, the limits are those of this node's current view.
+func (in *inboundRequest) admissionRequest() bfadmit.Request {
 	request := bfadmit.Request{
-		ID: v.r.Header.Get(bfheader.RequestID), Class: v.meta.Stamp.Class, Tenant: v.meta.Tenant,
-		Deadline: v.deadline,
+		ID: in.r.Header.Get(bfheader.RequestID), Class: in.meta.Stamp.Class, Tenant: in.meta.Tenant,
+		Deadline: in.deadline,
 	}
-	view := v.guard.parts.View()
+	view := in.guard.config.View()
 	if view == nil {
 		return request
 	}
-	limits, err := view.Events().Reconcile(v.meta.Stamp, v.meta.Route, v.arrived)
+	limits, err := view.Events().Reconcile(in.meta.Stamp, in.meta.Route, in.arrived)
 	if err != nil {
-		v.guard.skewed.Add(1)
+		in.guard.skewed.Add(1)
 	}
 	request.Class, request.Priority, request.Queue = limits.Class(), limits.Priority(), limits.Queue()
 	request.Concurrency, request.TenantLimit = limits.Concurrency(), limits.TenantLimit()
 	return request
 }
 
-func (v *visit) notAdmitted(err error) end {
+func (in *inboundRequest) refuseAdmission(err error) inboundResult {
 	var refused *bfadmit.RefusedError
 	if !errors.As(err, &refused) {
-		return v.abort(bfrecord.ReasonCanceled, 0)
+		return in.abort(bfrecord.ReasonCanceled, 0)
 	}
 	reason := bfrecord.ReasonOverload
 	switch refused.Refuse.Reason() {
 	case bfadmit.Draining:
 		reason = bfrecord.ReasonLeaving
 	case bfadmit.Duplicate:
-		// The book lets an ID run once, so the gate can't know it.
-		v.guard.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+		// Records allow an ID to run once, so the limiter must not contain it yet.
+		in.guard.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	case bfadmit.QueueFull, bfadmit.Unreachable, bfadmit.Displaced:
 	}
-	return v.abort(reason, refused.Refuse.RetryAfter())
+	return in.abort(reason, refused.Refuse.RetryAfter())
 }
 
-// handOver gives the request to the target once and says what that showed of the target.
-func (v *visit) handOver(ctx context.Context, target Status) (end, bfadmit.Outcome) {
-	g := v.guard
-	now := g.parts.Timer.Now()
+// sendToTarget sends the request to the target once and returns what that showed about the target.
+func (in *inboundRequest) sendToTarget(ctx context.Context, target Status) (inboundResult, bfadmit.Outcome) {
+	g := in.guard
+	now := g.config.Timer.Now()
 	switch {
-	case v.r.Context().Err() != nil:
-		return v.abort(bfrecord.ReasonCanceled, 0), bfadmit.Unused
-	case !now.Before(v.deadline):
-		return v.abort(bfrecord.ReasonDeadline, 0), bfadmit.Unused
+	case in.r.Context().Err() != nil:
+		return in.abort(bfrecord.ReasonCanceled, 0), bfadmit.Unused
+	case !now.Before(in.deadline):
+		return in.abort(bfrecord.ReasonDeadline, 0), bfadmit.Unused
 	}
-	// Targets may have ended under the request while it waited.
-	flight, err := g.flights.Begin(flightTarget{g, target}, v.meta.ID.String(), v.asked())
+	// Targets may have crashed on the request while it was queued.
+	flight, err := g.flights.Begin(flightTarget{g, target}, in.meta.ID.String(), in.quarantineRequest())
 	if err != nil {
-		return v.notBegun(err)
+		return in.refuseFlight(err)
 	}
-	v.flight = flight
+	in.flight = flight
 	defer flight.End()
-	header := v.r.Header
-	targetHeader(header, v.meta.Depth)
-	// The time that the request waited here is gone.
-	bfheader.WriteDeadline(header, v.deadline.Sub(now))
-	response, err := g.parts.Client.Send(ctx, target.Address, bfforward.Request{
-		Method: v.r.Method, Target: v.r.RequestURI, Header: header, Body: v.body,
+	header := in.r.Header
+	targetHeader(header, in.meta.Depth)
+	// The time spent in the queue is deducted.
+	bfheader.WriteDeadline(header, in.deadline.Sub(now))
+	response, err := g.config.Client.Send(ctx, target.Address, bfforward.Request{
+		Method: in.r.Method, Target: in.r.RequestURI, Header: header, Body: in.body,
 	}, nil)
 	var notSent *bfforward.NotSentError
 	switch {
 	case errors.As(err, &notSent):
-		return v.abort(bfrecord.ReasonUnreachable, comeBack), bfadmit.Unused
+		return in.abort(bfrecord.ReasonUnreachable, targetRetryAfter), bfadmit.Unused
 	case err != nil:
-		return v.lost(err), bfadmit.Abandoned
+		return in.recordLost(err), bfadmit.Abandoned
 	}
 	defer response.Body.Close()
-	g.latency.Observe(v.meta.Stamp.Class, g.parts.Timer.Now().Sub(v.arrived))
-	if shed(response) {
-		refusal := v.abort(bfhop.ReasonShed, bfheader.ReadRetryAfter(response.Header)).(refused)
+	g.latency.Observe(in.meta.Stamp.Class, g.config.Timer.Now().Sub(in.arrived))
+	if isShed(response) {
+		refusal := in.abort(bfhop.ReasonShed, bfheader.ReadRetryAfter(response.Header)).(refused)
 		refusal.final = response.Header.Get(bfheader.Final) != ""
 		return refusal, bfadmit.Shed
 	}
-	return v.relay(response)
+	return in.relay(response)
 }
 
-// shed is the target's own word that it did not run the request.
-func shed(response *http.Response) bool {
+// isShed reports whether the target itself states that it did not run the request.
+func isShed(response *http.Response) bool {
 	return response.StatusCode == http.StatusServiceUnavailable &&
 		response.Header.Get(bfheader.Outcome) == bfheader.OutcomeNotRun
 }
 
-// targetHeader makes the hop's header the target's: it learns the request's ID,
-// tenant, key and depth, and nothing of the nodes.
+// targetHeader removes the headers meant for nodes. The target receives the
+// request's ID, tenant, key and depth.
 func targetHeader(header http.Header, depth int) {
 	for _, name := range []string{bfheader.Home, bfheader.Route, bfheader.Policy, "Connection"} {
 		delete(header, name)
@@ -155,11 +155,11 @@
 	header[bfheader.Depth] = []string{strconv.Itoa(depth + 1)}
 }
 
-func (v *visit) lost(err error) end {
-	v.noteLoss()
-	v.guard.unknown.Add(1)
-	v.guard.parts.Logger.Emit(bflog.OutcomeUnknown, slog.String("request", v.meta.ID.String()), bflog.Err(err))
+func (in *inboundRequest) recordLost(err error) inboundResult {
+	in.reportLoss()
+	in.guard.unknown.Add(1)
+	in.guard.config.Logger.Emit(bflog.OutcomeUnknown, slog.String("request", in.meta.ID.String()), bflog.Err(err))
 	lost := bfrecord.NewLostAnswer(err.Error())
-	v.finish(lost)
-	return ended{lost}
+	in.finish(lost)
+	return finished{lost}
 }
--- a/lib/bfguard/serve.go
+++ b/lib/bfguard/serve.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxBody is the largest request body in bytes; entries refuse larger ones.
+	// maxBody is the largest request body in bytes; entry nodes reject larger ones.
 	maxBody = 64 << 20
-	// comeBack is when to come back to a target that takes no work.
-	comeBack = time.Second
+	// targetRetryAfter is the retry delay for a target that accepts no requests.
+	targetRetryAfter = time.Second
 )
 
-// visit is one arrival of a request.
-type visit struct {
+// inboundRequest is one received copy of a request.
+type inboundRequest struct {
 	guard    *Guard
 	w        http.ResponseWriter
 	r        *http.Request
@@ -31,138 +31,136 @@
 	body     []byte
 	deadline time.Time
 	arrived  time.Time
-	// sentTo is the incarnation that the entry named.
+	// sentTo is the home that the entry node named.
 	sentTo bfrecord.Home
-	// content identifies what is asked.
+	// content is a digest of the request's content.
 	content bfrecord.Digest
-	// ran is the end of the run, nil if the request was not handed to the target.
-	ran bfrecord.Answer
-	// flight is the request in the hands of the target, nil before.
+	// answer is the result of the run, nil if the request was not sent to the target.
+	answer bfrecord.Answer
+	// flight tracks the request at the target, nil before it was sent.
 	flight *bfflight.Flight
-	// cut says that part of an answer was handed on and the rest will not come.
-	cut bool
+	// truncated is set if only part of a response was forwarded.
+	truncated bool
 }
 
-// end is the sealed set of what an arrival comes to: refused, ended, busy and streamed.
-type end interface{ end() }
+// inboundResult is the sealed set of results: refused, finished, inProgress and streamed.
+type inboundResult interface{ isInboundResult() }
 
-// refused was not run; final says that nobody above should send it again.
+// refused means that the request was not run; final means that no node should retry it.
 type refused struct {
 	refusal bfrecord.Refusal
 	final   bool
 }
 
-// ended is what the target's run came to, of this arrival or an earlier one.
-type ended struct{ answer bfrecord.Answer }
+// finished is the result of a run for this copy of the request or an earlier one.
+type finished struct{ answer bfrecord.Answer }
 
-// busy says that an earlier sending has not ended.
-type busy struct{ id bfrecord.ID }
+// inProgress means that an earlier copy of the request has not ended.
+type inProgress struct{ id bfrecord.ID }
 
-// streamed is an answer too large to hold, which has been handed on.
+// streamed means that the response was too large to buffer and has been forwarded.
 type streamed struct{}
 
-func (refused) end()  {}
-func (ended) end()    {}
-func (busy) end()     {}
-func (streamed) end() {}
+func (refused) isInboundResult()    {}
+func (finished) isInboundResult()   {}
+func (inProgress) isInboundResult() {}
+func (streamed) isInboundResult()   {}
 
-// ServeHTTP takes a request from an entry node.
+// ServeHTTP serves a request from an entry node.
 func (g *Guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.visits.Add(1)
-	defer g.visits.Add(-1)
-	now := g.parts.Timer.Now()
+	g.unanswered.Add(1)
+	defer g.unanswered.Add(-1)
+	now := g.config.Timer.Now()
 	meta, err := bfhop.Read(r.Header)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	v := &visit{guard: g, w: w, r: r, meta: meta, sentTo: meta.Home, arrived: now, deadline: now.Add(meta.TimeLeft)}
-	v.meta.Home = g.ownHome(meta.Home)
-	if v.body, err = bfhop.ReadBody(w, r, maxBody, meta.TimeLeft); err != nil {
-		// The request did not come whole, so no record of it is made.
+	in := &inboundRequest{guard: g, w: w, r: r, meta: meta, sentTo: meta.Home, arrived: now, deadline: now.Add(meta.TimeLeft)}
+	in.meta.Home = g.canonicalHome(meta.Home)
+	if in.body, err = bfhop.ReadBody(w, r, maxBody, meta.TimeLeft); err != nil {
+		// The request is incomplete, so no record of it is made.
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	v.deliver(v.begin())
-	if v.cut {
-		// Ending in the ordinary way would pass a part off as the whole.
+	in.writeResult(in.begin())
+	if in.truncated {
+		// A normal return would make a truncated response look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// begin takes the request up once, whatever copies of it arrive.
-func (v *visit) begin() end {
-	g := v.guard
-	v.digest()
-	verdict := g.books.Begin(v.arrived, bfrecord.Request{
-		ID: v.meta.ID, Home: v.meta.Home, Content: v.content, Class: v.meta.Stamp.Class,
+// begin looks up or creates the request's record, and runs the request if it is new.
+func (in *inboundRequest) begin() inboundResult {
+	g := in.guard
+	in.computeDigest()
+	verdict := g.records.Begin(in.arrived, bfrecord.Request{
+		ID: in.meta.ID, Home: in.meta.Home, Content: in.content, Class: in.meta.Stamp.Class,
 	})
 	switch verdict := verdict.(type) {
 	case bfrecord.Run:
-		return v.run()
+		return in.run()
 	case bfrecord.Replay:
-		return ended{verdict.Answer()}
+		return finished{verdict.Answer()}
 	case bfrecord.StillRunning:
-		return busy{v.meta.ID}
+		return inProgress{in.meta.ID}
 	}
-	refusal, isRefusal := bfrecord.NewVerdictRefusal(v.meta.ID, v.sentTo, verdict)
+	refusal, isRefusal := bfrecord.NewVerdictRefusal(in.meta.ID, in.sentTo, verdict)
 	if !isRefusal {
-		g.parts.Logger.Emit(bflog.InvariantBroken, slog.String("request", v.meta.ID.String()))
+		g.config.Logger.Emit(bflog.InvariantBroken, slog.String("request", in.meta.ID.String()))
 	}
 	return refused{refusal: refusal}
 }
 
-// digest identifies what is asked, so that a key used for something else is
-// noticed. Without a key the request's ID stands for one sending.
-func (v *visit) digest() {
-	if v.meta.Key == "" {
+// computeDigest sets the digest of a request with a key, to detect a key that is used
+// with other content. Without a key the ID is unique to one attempt.
+func (in *inboundRequest) computeDigest() {
+	if in.meta.Key == "" {
 		return
 	}
 	hash := sha256.New()
-	for _, part := range []string{v.r.Method, v.r.RequestURI, v.meta.Tenant, strconv.Itoa(len(v.body))} {
-		// A hash never fails to take bytes.
+	for _, part := range []string{in.r.Method, in.r.RequestURI, in.meta.Tenant, strconv.Itoa(len(in.body))} {
+		// hash.Hash never returns an error.
 		_, _ = io.WriteString(hash, part+"\n")
 	}
-	_, _ = hash.Write(v.body)
-	v.content = bfrecord.Digest(hash.Sum(nil)[:16])
+	_, _ = hash.Write(in.body)
+	in.content = bfrecord.Digest(hash.Sum(nil)[:16])
 }
 
-// bar records that the request was never handed to the target and never will be.
-func (v *visit) bar() {
-	if err := v.guard.books.Abort(v.guard.parts.Timer.Now(), v.meta.ID); err != nil {
-		v.guard.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+// recordAbort records that the request was not sent to the target and never will be.
+func (in *inboundRequest) recordAbort() {
+	if err := in.guard.records.Abort(in.guard.config.Timer.Now(), in.meta.ID); err != nil {
+		in.guard.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
 }
 
-// abort bars the request: it was not run.
-func (v *visit) abort(reason bfrecord.Reason, retryAfter time.Duration) end {
-	v.bar()
-	// The entry knows this process by the incarnation that it sent to.
-	return refused{refusal: bfrecord.NewAbortRefusal(v.meta.ID, v.sentTo, reason, retryAfter)}
+// abort records that the request was not run and returns the refusal.
+func (in *inboundRequest) abort(reason bfrecord.Reason, retryAfter time.Duration) inboundResult {
+	in.recordAbort()
+	// The entry node uses the incarnation that it sent to.
+	return refused{refusal: bfrecord.NewAbortRefusal(in.meta.ID, in.sentTo, reason, retryAfter)}
 }
 
-// finish records the end of a request that was handed to the target.
-func (v *visit) finish(answer bfrecord.Answer) {
-	g := v.guard
-	v.ran = answer
-	if err := g.books.Finish(g.parts.Timer.Now(), v.meta.ID, answer); err != nil {
-		g.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+// finish records the result of a request that was sent to the target.
+func (in *inboundRequest) finish(answer bfrecord.Answer) {
+	g := in.guard
+	in.answer = answer
+	if err := g.records.Finish(g.config.Timer.Now(), in.meta.ID, answer); err != nil {
+		g.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
 }
 
-// finishGrace is how much longer than its deadline a request that is not
-// idempotent may run: its caller is told "unknown" meanwhile, and whoever asks
-// later gets the truth.
+// finishGrace is how much longer than its deadline a request that is not idempotent
+// may run. Its caller already received "unknown"; later queries get the outcome.
 const finishGrace = 2 * time.Second
 
-// context bounds the run.
+// context returns the context of the run.
 //
-// A request that is not idempotent goes on when its entry goes away: the entry
-// may ask what became of it, and to have stopped halfway is the one answer that
-// helps nobody.
-func (v *visit) context() (context.Context, context.CancelFunc) {
-	if v.meta.Stamp.Idempotent {
-		return context.WithDeadline(v.r.Context(), v.deadline)
+// A request that is not idempotent continues when its entry node disconnects, since
+// canceling it halfway would leave its outcome unknown.
+func (in *inboundRequest) context() (context.Context, context.CancelFunc) {
+	if in.meta.Stamp.Idempotent {
+		return context.WithDeadline(in.r.Context(), in.deadline)
 	}
-	return context.WithDeadline(context.WithoutCancel(v.r.Context()), v.deadline.Add(finishGrace))
+	return context.WithDeadline(context.WithoutCancel(in.r.Context()), in.deadline.Add(finishGrace))
 }
--- a/lib/bfguard/target.go
+++ b/lib/bfguard/target.go
@@ -12,55 +12,55 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// silentAfter is how long a target may be quiet before it gets no new work: three heartbeats.
+// silentAfter is the time without a heartbeat after which a target gets no new requests.
 const silentAfter = 3 * bfannounce.Heartbeat
 
-// AnnouncementError reports an announcement that the node does not take.
+// AnnouncementError reports an announcement that the node rejects.
 type AnnouncementError struct {
 	Field   string
 	Value   string
 	Allowed string
 }
 
-// Error names the field, its value and what is allowed.
+// Error names the field, its value and the allowed values.
 func (e *AnnouncementError) Error() string {
 	return fmt.Sprintf("announcement field %s: value %q: allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
-// Status is what is known of the target at one moment.
+// Status is the state of the target at one moment.
 type Status struct {
 	State   bfroster.TargetState
 	Address string
 	Slots   int
-	// Incarnation changes when another target process announces itself.
+	// Incarnation identifies the target process.
 	Incarnation int64
-	// ColdSince is when the target announced itself first.
+	// ColdSince is the time of the process's first announcement.
 	ColdSince time.Time
 }
 
-// Takes reports whether the target takes new work.
-func (s Status) Takes() bool {
+// AcceptsRequests reports whether the target accepts new requests.
+func (s Status) AcceptsRequests() bool {
 	return s.State == bfroster.TargetReady || s.State == bfroster.TargetCold
 }
 
-// local holds what the target beside the node says of itself.
-type local struct {
-	mu        sync.Mutex
-	service   string
-	coldStart func() time.Duration
-	last      bfannounce.Announcement
-	heard     time.Time
-	first     time.Time
-	left      bool
+// announcedTarget holds the state that the local target announced.
+type announcedTarget struct {
+	mu             sync.Mutex
+	service        string
+	coldStart      func() time.Duration
+	latest         bfannounce.Announcement
+	lastHeartbeat  time.Time
+	firstHeartbeat time.Time
+	leaving        bool
 }
 
 const maxSlots = 100_000
 
-// announce takes an announcement.
-func (l *local) announce(now time.Time, a bfannounce.Announcement) error {
+// announce validates and applies an announcement.
+func (t *announcedTarget) announce(now time.Time, a bfannounce.Announcement) error {
 	switch {
-	case a.Service != l.service:
-		return &AnnouncementError{"service", a.Service, l.service + ", as in the node's settings"}
+	case a.Service != t.service:
+		return &AnnouncementError{"service", a.Service, t.service + ", as in the node's settings"}
 	case !isAddress(a.Address):
 		return &AnnouncementError{"address", a.Address, "host:port"}
 	case a.Incarnation < 1:
@@ -68,18 +68,18 @@
 	case a.Slots < 1 || a.Slots > maxSlots:
 		return &AnnouncementError{"slots", fmt.Sprint(a.Slots), fmt.Sprintf("1 to %d", maxSlots)}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	// A heartbeat that was overtaken comes soon after those of the new target. A
-	// lower one later is a target that started after the clock was set back.
-	if a.Incarnation < l.last.Incarnation && now.Sub(l.heard) <= silentAfter {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	// A delayed heartbeat of an old process arrives within silentAfter. A lower
+	// incarnation after that is a process started after the clock was set back.
+	if a.Incarnation < t.latest.Incarnation && now.Sub(t.lastHeartbeat) <= silentAfter {
 		return &AnnouncementError{"incarnation", fmt.Sprint(a.Incarnation), "that of the newest target"}
 	}
-	if a.Incarnation != l.last.Incarnation {
-		l.first, l.left = now, false
+	if a.Incarnation != t.latest.Incarnation {
+		t.firstHeartbeat, t.leaving = now, false
 	}
-	l.left = l.left || a.Leaving
-	l.last, l.heard = a, now
+	t.leaving = t.leaving || a.Leaving
+	t.latest, t.lastHeartbeat = a, now
 	return nil
 }
 
@@ -88,26 +88,26 @@
 	return err == nil && host != "" && port != ""
 }
 
-// drain has the present target take no new work, as if it had said so itself.
-func (l *local) drain() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.left = true
+// drain marks the current process as leaving, as if it had announced that.
+func (t *announcedTarget) drain() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.leaving = true
 }
 
-// status is what is known of the target now.
-func (l *local) status(now time.Time) Status {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := Status{Address: l.last.Address, Slots: l.last.Slots, Incarnation: l.last.Incarnation, ColdSince: l.first}
+// status returns the target's status at now.
+func (t *announcedTarget) status(now time.Time) Status {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := Status{Address: t.latest.Address, Slots: t.latest.Slots, Incarnation: t.latest.Incarnation, ColdSince: t.firstHeartbeat}
 	switch {
-	case l.heard.IsZero():
+	case t.lastHeartbeat.IsZero():
 		s.State = bfroster.TargetNone
-	case l.left:
+	case t.leaving:
 		s.State = bfroster.TargetLeaving
-	case now.Sub(l.heard) > silentAfter:
+	case now.Sub(t.lastHeartbeat) > silentAfter:
 		s.State = bfroster.TargetSilent
-	case now.Sub(l.first) < l.coldStart():
+	case now.Sub(t.firstHeartbeat) < t.coldStart():
 		s.State = bfroster.TargetCold
 	default:
 		s.State = bfroster.TargetReady
@@ -115,22 +115,22 @@
 	return s
 }
 
-// ServeAnnouncements is the target port: it takes the target's announcements.
+// ServeAnnouncements serves the target port, which receives the target's announcements.
 func (g *Guard) ServeAnnouncements(w http.ResponseWriter, r *http.Request) {
 	var announcement bfannounce.Announcement
-	const longest = 4 << 10
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, longest))
+	const maxBytes = 4 << 10
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&announcement); err != nil {
 		http.Error(w, "not an announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := g.target.announce(g.parts.Timer.Now(), announcement); err != nil {
+	if err := g.announced.announce(g.config.Timer.Now(), announcement); err != nil {
 		http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 		return
 	}
-	g.Observe(g.parts.Timer.Now())
+	g.Observe(g.config.Timer.Now())
 	w.Header().Set("Content-Type", "application/json")
-	// The target asks again at its next heartbeat.
+	// A lost response is made up for by the next heartbeat.
 	_ = json.NewEncoder(w).Encode(bfannounce.Answer{InFlight: g.InFlight()})
 }
--- a/lib/bfguard/target_test.go
+++ b/lib/bfguard/target_test.go
@@ -24,15 +24,15 @@
 	return bfannounce.Announcement{Incarnation: incarnation, Service: "docs", Address: "127.0.0.1:80", Slots: 3}
 }
 
-// A target announces itself with a field that is wrong. It is told which one
-// and what is allowed, and the node goes on with what it knew.
-func TestWrongAnnouncementsNameTheField(t *testing.T) {
+// Guards against an announcement with an invalid field being accepted, or rejected
+// without naming the field.
+func TestInvalidAnnouncementNamesField(t *testing.T) {
 	is := is.New(t)
-	var told []bfroster.TargetState
+	var published []bfroster.TargetState
 	g := New(Parts{
 		Home: bfrecord.Home{Instance: "a", Incarnation: 1}, Service: "docs", ColdStart: func() time.Duration { return 0 },
 		Timer: bftimer.New(1), Logger: bflog.Discard(), Metrics: bfmetric.New(),
-		Tell: func(state bfroster.TargetState, _ int) { told = append(told, state) },
+		Tell: func(state bfroster.TargetState, _ int) { published = append(published, state) },
 	})
 	server := httptest.NewServer(http.HandlerFunc(g.ServeAnnouncements))
 	defer server.Close()
@@ -43,9 +43,9 @@
 		"slots":       func(a *bfannounce.Announcement) { a.Slots = 0 },
 		"incarnation": func(a *bfannounce.Announcement) { a.Incarnation = 0 },
 	} {
-		wrong := announcement(5)
-		change(&wrong)
-		_, err := bfannounce.Send(context.Background(), server.Client(), address, wrong)
+		invalid := announcement(5)
+		change(&invalid)
+		_, err := bfannounce.Send(context.Background(), server.Client(), address, invalid)
 		var refused *bfannounce.RefusedError
 		is.True(errors.As(err, &refused))
 		is.True(strings.Contains(refused.Reason, "field "+field))
@@ -58,26 +58,25 @@
 		response.Body.Close()
 		is.Equal(response.StatusCode, http.StatusBadRequest)
 	}
-	is.Equal(told, []bfroster.TargetState{bfroster.TargetReady})
+	is.Equal(published, []bfroster.TargetState{bfroster.TargetReady})
 	is.Equal(g.Status(time.Now()).Slots, 3)
 }
 
-// A target's heartbeats arrive out of order around its stop and its restart. A
-// target that leaves must not get new work by a late heartbeat, nor may an old
-// process's take the place of the new one; but one that started after its
-// clock was set back must be heard in the end.
+// Guards against heartbeats out of order: a late one must not reactivate a leaving
+// target or replace a newer process, but a process started after its clock was set
+// back must be accepted in the end.
 func TestHeartbeatsOutOfOrder(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	l := local{service: "docs", coldStart: func() time.Duration { return time.Second }}
-	is.Equal(l.status(start).State, bfroster.TargetNone)
+	target := announcedTarget{service: "docs", coldStart: func() time.Duration { return time.Second }}
+	is.Equal(target.status(start).State, bfroster.TargetNone)
 	leaving := announcement(5)
 	leaving.Leaving = true
 	steps := []struct {
-		at    time.Duration
-		say   bfannounce.Announcement
-		taken bool
-		state bfroster.TargetState
+		at           time.Duration
+		announcement bfannounce.Announcement
+		accepted     bool
+		state        bfroster.TargetState
 	}{
 		{0, announcement(5), true, bfroster.TargetCold},
 		{time.Second, announcement(5), true, bfroster.TargetReady},
@@ -90,10 +89,10 @@
 	}
 	for _, step := range steps {
 		now := start.Add(step.at)
-		err := l.announce(now, step.say)
-		is.Equal(err == nil, step.taken)
-		is.Equal(l.status(now).State, step.state)
+		err := target.announce(now, step.announcement)
+		is.Equal(err == nil, step.accepted)
+		is.Equal(target.status(now).State, step.state)
 	}
-	is.Equal(l.status(start.Add(9*time.Second)).State, bfroster.TargetReady)
-	is.Equal(l.status(start.Add(9*time.Second+1)).State, bfroster.TargetSilent)
+	is.Equal(target.status(start.Add(9*time.Second)).State, bfroster.TargetReady)
+	is.Equal(target.status(start.Add(9*time.Second+1)).State, bfroster.TargetSilent)
 }
