--- a/lib/bfheader/doc.go
+++ b/lib/bfheader/doc.go
@@ -1,3 +1,3 @@
-// Package bfheader names the HTTP headers that callers, nodes and targets
-// exchange, and reads and writes those with a form of their own.
+// Package bfheader defines the HTTP headers that callers, nodes and targets
+// exchange, and reads and writes those with a structured value.
 package bfheader
--- a/lib/bfheader/forward.go
+++ b/lib/bfheader/forward.go
@@ -6,30 +6,32 @@
 	"strings"
 )
 
-// hopHeaders are those of one connection; they do not go on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Host": true,
 }
 
-const ownPrefix = "Bilberry-"
+// internalPrefix is the prefix of the headers that only nodes may set.
+const internalPrefix = "Bilberry-"
 
-// Strip removes the headers that do not go on to the next hop: the connection's,
-// and the mesh's own, which only nodes set.
+// Strip removes the headers that are not forwarded to the next hop: hop-by-hop headers and
+// those with ownPrefix.
 //
-// A caller that could set them would choose the identity, the home or the
-// policy of its request; a target's would end the connections between nodes.
+// A caller that could set the latter would choose the identity, home or policy of its
+// request, and a target's Connection header would close connections between nodes.
 func Strip(h http.Header) {
 	named := h["Connection"]
 	for name := range h {
-		if hopHeaders[name] || strings.HasPrefix(name, ownPrefix) || namedIn(named, name) {
+		if hopHeaders[name] || strings.HasPrefix(name, internalPrefix) || listsContain(named, name) {
 			delete(h, name)
 		}
 	}
 }
 
-func namedIn(lists []string, name string) bool {
+// listsContain reports whether comma-separated lists contain a header name.
+func listsContain(lists []string, name string) bool {
 	for _, list := range lists {
 		for item := range strings.SplitSeq(list, ",") {
 			if textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(item)) == name {
@@ -40,10 +42,8 @@
 	return false
 }
 
-// Once reads a header that may be given once at most.
-//
-// Of two values one reader takes the first and another the last: a request
-// could be claimed under one key here and known by another at the target.
+// Once returns the value of a header, "" if it is missing. It returns a ValueError
+// if there is more than one value: different hops might use different ones.
 func Once(h http.Header, name string) (string, error) {
 	values := h[name]
 	switch len(values) {
@@ -55,18 +55,18 @@
 	return "", &ValueError{Header: name, Value: strings.Join(values, ", "), Allowed: "one value"}
 }
 
-// Names are the headers of one interface between callers, nodes and targets.
+// Names are the header names of one protocol version between callers, nodes and targets.
 type Names struct {
-	// RequestID names one request of a caller; the target's answer repeats it.
+	// RequestID identifies a caller's request; the target's answer repeats it.
 	RequestID string
 	// Deadline is the time left, in whole milliseconds.
 	Deadline string
-	// ExpectTarget has any target but the one of that incarnation refuse the request.
+	// ExpectTarget is the incarnation that the request is meant for; any other target refuses it.
 	ExpectTarget string
-	// Target is the incarnation of the target that answers.
+	// Target is the incarnation of the answering target.
 	Target string
 	// NotRun marks a target's answer to a request that it did not run.
 	NotRun string
-	// CallerService is the service beside the node where the request began.
+	// CallerService is the service of the entry node's own target.
 	CallerService string
 }
--- a/lib/bfheader/header.go
+++ b/lib/bfheader/header.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Headers that callers use.
+// Headers between callers and nodes.
 const (
 	// IdempotencyKey is the caller's key for a request that must run at most once.
 	IdempotencyKey = "Idempotency-Key"
-	// RetryAfter is the time to come back, in whole seconds.
+	// RetryAfter is the retry delay, in whole seconds.
 	RetryAfter = "Retry-After"
-	// Tenant names the agency or agent on whose behalf the caller asks.
+	// Tenant is the agency or agent on whose behalf the caller sends the request.
 	Tenant = "Bilberry-Tenant"
 	// Deadline is the time left for the request, in milliseconds.
 	Deadline = "Bilberry-Deadline"
-	// RequestID names the request in logs and for questions about its outcome.
+	// RequestID identifies the request in logs and in outcome queries.
 	RequestID = "Bilberry-Request-Id"
-	// Outcome tells done, not-run and unknown apart.
+	// Outcome is one of OutcomeDone, OutcomeNotRun and OutcomeUnknown.
 	Outcome = "Bilberry-Outcome"
-	// RetryAfterExact is the time to come back in milliseconds.
+	// RetryAfterExact is the retry delay, in milliseconds.
 	RetryAfterExact = "Bilberry-Retry-After"
-	// Depth counts the calls above this one.
+	// Depth is the number of calls that the request is nested in.
 	Depth = "Bilberry-Depth"
 )
 
@@ -32,24 +32,24 @@
 const (
 	// Home is the incarnation of the node that the request was sent to.
 	Home = "Bilberry-Home"
-	// Route and Policy are the entry's decision, which goes with the request.
+	// Route and Policy are the entry's decisions for the request.
 	Route  = "Bilberry-Route"
 	Policy = "Bilberry-Policy"
-	// Load is the target node's load as of its answer.
+	// Load is the used and total number of the target's slots as of the answer.
 	Load = "Bilberry-Load"
-	// Backlog is how many milliseconds the node's link takes for the long answers in progress.
+	// Backlog is how long the node's link needs for the long answers in progress, in milliseconds.
 	Backlog = "Bilberry-Backlog"
-	// Track is how the target has fared lately.
+	// Track is the target's recent share of failures and run time.
 	Track = "Bilberry-Track"
-	// Spent is how the time at the target's node was spent.
+	// Spent is a breakdown of the time spent at the target's node, in microseconds.
 	Spent = "Bilberry-Spent"
-	// Resent marks a copy that a node above sent as a retry.
+	// Resent marks a request that an upstream node sent as a retry.
 	Resent = "Bilberry-Resent"
-	// Refusal is the home's refusal in full.
+	// Refusal is the complete refusal of the home node.
 	Refusal = "Bilberry-Refusal"
-	// Final marks a refusal after which no node above sends the request again.
+	// Final marks a refusal after which no upstream node retries the request.
 	Final = "Bilberry-Final"
-	// Reason says why a request was not run.
+	// Reason is why a request was not run.
 	Reason = "Bilberry-Reason"
 )
 
@@ -63,22 +63,23 @@
 // FinalMark is the value of Final.
 const FinalMark = "1"
 
-// ValueError reports a header that can't be read.
+// ValueError reports a header with an invalid value.
 type ValueError struct {
 	Header  string
 	Value   string
 	Allowed string
 }
 
-// Error names the header, its value and what is allowed.
+// Error includes the header, its value and what is allowed.
 func (e *ValueError) Error() string {
 	return fmt.Sprintf("header %s: value %q: allowed: %s", e.Header, e.Value, e.Allowed)
 }
 
-// MaxDeadline is the longest time a caller may ask for.
+// MaxDeadline is the longest deadline that a caller may set.
 const MaxDeadline = time.Hour
 
-// ReadDeadline gives the time left that the headers name, or 0 where they name none.
+// ReadDeadline returns the time left according to the Deadline header, 0 if it is missing.
+// Its errors are of type ValueError.
 func ReadDeadline(h http.Header) (time.Duration, error) {
 	text, err := Once(h, Deadline)
 	if text == "" || err != nil {
@@ -91,15 +92,17 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// WriteDeadline names the time left; what is less than a millisecond becomes one.
+// WriteDeadline sets the Deadline header, to at least one millisecond.
 func WriteDeadline(h http.Header, left time.Duration) {
 	h.Set(Deadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 }
 
-// MaxDepth bounds how deep calls may nest; the letter's callers go 6 deep.
+// MaxDepth bounds the nesting depth of calls. It stops call cycles and is well above the
+// depth of real call chains.
 const MaxDepth = 32
 
-// ReadDepth gives how many calls are above this one.
+// ReadDepth returns the number of calls that the request is nested in. Its errors are of
+// type ValueError.
 func ReadDepth(h http.Header) (int, error) {
 	text, err := Once(h, Depth)
 	if text == "" || err != nil {
@@ -112,10 +115,11 @@
 	return depth, nil
 }
 
-// ResentMark is the one value of Resent.
+// ResentMark is the value of Resent.
 const ResentMark = "1"
 
-// ReadResent reports whether a node above sent this copy as a retry.
+// ReadResent reports whether an upstream node sent the request as a retry. Its errors are
+// of type ValueError.
 func ReadResent(h http.Header) (bool, error) {
 	text, err := Once(h, Resent)
 	if err == nil && text != "" && text != ResentMark {
@@ -124,16 +128,17 @@
 	return text != "", err
 }
 
-// WriteRetryAfter names the time to come back, rounded up to the standard header's seconds.
+// WriteRetryAfter sets the retry delay, rounded up to whole seconds in the standard header.
 func WriteRetryAfter(h http.Header, d time.Duration) {
 	h.Set(RetryAfter, strconv.Itoa(max(1, int(math.Ceil(d.Seconds())))))
 	h.Set(RetryAfterExact, strconv.FormatInt(max(d.Milliseconds(), 1), 10))
 }
 
-// maxRetryAfter bounds what a target may say: a slip there must not send callers away for days.
+// maxRetryAfter bounds the delay accepted from a target, so that an invalid value does not
+// keep callers away for days.
 const maxRetryAfter = time.Hour
 
-// ReadRetryAfter gives the time to come back, or 0 where none is named.
+// ReadRetryAfter returns the retry delay, 0 if there is none.
 func ReadRetryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(h.Get(RetryAfterExact), 10, 64); err == nil && ms >= 0 {
 		return time.Duration(min(ms, maxRetryAfter.Milliseconds())) * time.Millisecond
--- a/lib/bfheader/header_test.go
+++ b/lib/bfheader/header_test.go
@@ -16,9 +16,9 @@
 		is.Equal(ReadRetryAfter(h), d)
 		h.Del(RetryAfterExact)
 		read := ReadRetryAfter(h)
-		is.True(read >= d && read < d+time.Second) // whole seconds, and never too early
+		is.True(read >= d && read < d+time.Second) // rounded up to whole seconds
 	}
-	// A target's slip must neither overflow nor send callers away for days.
+	// Invalid and huge values neither overflow nor keep callers away for days.
 	for text, want := range map[string]time.Duration{
 		"": 0, "x": 0, "-1": 0, "99999999999999": time.Hour, "99999999999999999999": 0, "Wed, 02 Dec 2026 20:00:00 GMT": 0,
 	} {
