--- a/lib/bfspan/doc.go
+++ b/lib/bfspan/doc.go
@@ -1,6 +1,6 @@
-// Package bfspan divides the fleet's Order among relays.
+// Package bfspan partitions the fleet's Order among the relays of a broadcast tree.
 //
-// A Span is an interval of keys, and Splitter cuts it into one part for each
-// relay, so that every region and every domain is entered once. A Range is how a
-// Span is written for its receiver.
+// A Span is an interval of keys, and Splitter cuts it into one part per relay, so that
+// each region and failure domain is entered by one message. A Range is the encoding of a
+// Span relative to its receiver.
 package bfspan
--- a/lib/bfspan/range.go
+++ b/lib/bfspan/range.go
@@ -2,27 +2,28 @@
 
 import "bilberryflow.org/lib/bfroster"
 
-// Scope says how the bounds of a Range are written.
+// Scope is how the bounds of a Range are encoded.
 type Scope uint8
 
-// The scopes; the shorter forms keep a push near the size of its deltas.
+// Scopes of a Range. The shorter ones keep a push message small.
 const (
-	// ScopeReceiver is the receiver alone, without bounds.
+	// ScopeReceiver covers the receiver alone and has no bounds.
 	ScopeReceiver Scope = iota
-	// ScopeDomain is within the receiver's domain, by hashes alone; To.Hash 0 is the domain's end.
+	// ScopeDomain is within the receiver's domain, with hashes as bounds; a To.Hash of 0 is the
+	// end of the domain.
 	ScopeDomain
-	// ScopeFleet has whole keys; an empty To is the end of the order.
+	// ScopeFleet has complete keys as bounds; an empty To is the end of the order.
 	ScopeFleet
 )
 
-// Range is the part of the Order that the receiver is to cover.
+// Range is the part of the Order that the receiver must cover.
 type Range struct {
 	Scope Scope        `cbor:"1,keyasint,omitempty"`
 	From  bfroster.Key `cbor:"2,keyasint,omitzero"`
 	To    bfroster.Key `cbor:"3,keyasint,omitzero"`
 }
 
-// Range writes the span for a receiver.
+// Range encodes the span for a receiver.
 func (s Span) Range(receiver bfroster.Key) Range {
 	if single(receiver).Covers(s) {
 		return Range{}
@@ -38,7 +39,7 @@
 	return r
 }
 
-// Span reads what Span.Range wrote for the receiver.
+// Span decodes what Span.Range encoded for the receiver.
 func (r Range) Span(receiver bfroster.Key) Span {
 	switch r.Scope {
 	case ScopeFleet:
--- a/lib/bfspan/span.go
+++ b/lib/bfspan/span.go
@@ -2,31 +2,31 @@
 
 import "bilberryflow.org/lib/bfroster"
 
-// Span is a half-open interval of keys; an empty To is the end of the order, so
-// the zero Span is the whole fleet.
+// Span is a half-open interval of keys. An empty To is the end of the order, so the zero
+// Span is the whole fleet.
 //
-// Spans are compared by key and not by rank, so that nodes whose views differ
-// by a few members still agree on who falls into which part, and nobody falls
-// between two.
+// The bounds are keys and not ranks, so that nodes whose member lists differ slightly still
+// agree on the part that each member belongs to, and no member is left out.
 type Span struct{ From, To bfroster.Key }
 
-// single is the span of one key.
+// single is the span that contains only key.
 func single(key bfroster.Key) Span { return Span{key, key.After()} }
 
-func (s Span) open() bool { return s.To == bfroster.Key{} }
+// unbounded reports whether the span extends to the end of the order.
+func (s Span) unbounded() bool { return s.To == bfroster.Key{} }
 
-// Covers reports whether o lies in s.
+// Covers reports whether s contains o.
 func (s Span) Covers(o Span) bool {
 	if s.From.Compare(o.From) > 0 {
 		return false
 	}
-	return s.open() || !o.open() && o.To.Compare(s.To) <= 0
+	return s.unbounded() || !o.unbounded() && o.To.Compare(s.To) <= 0
 }
 
-// Ranks is where the span begins and ends in an order.
+// Ranks returns the half-open range of ranks of the span's members in an order.
 func (s Span) Ranks(order *bfroster.Order) (int, int) {
 	low := order.Search(s.From)
-	if s.open() {
+	if s.unbounded() {
 		return low, order.Len()
 	}
 	return low, max(low, order.Search(s.To))
--- a/lib/bfspan/splitter.go
+++ b/lib/bfspan/splitter.go
@@ -2,20 +2,20 @@
 
 import "bilberryflow.org/lib/bfroster"
 
-// Splitter divides a span among relays.
+// Splitter partitions a span among relays.
 type Splitter struct {
 	Order *bfroster.Order
-	// Self is this node, which is in no part.
+	// Self is this node's key; it is excluded from all parts.
 	Self bfroster.Key
-	// Fanout is into how many parts a span is split.
+	// Fanout is the number of parts that a span is split into.
 	Fanout int
 }
 
-// Split covers the span, this node excepted, by disjoint spans of members.
+// Split partitions the members of the span, except this node, into disjoint spans.
 //
-// It cuts between regions first, then between domains, and only within one
-// domain by count. Each region and domain is thereby entered by one message,
-// whichever relay is drawn; cutting by count alone crosses them many times.
+// It splits by region first, then by domain, and only within a domain by count. Each region
+// and domain is thus entered by one message, whichever member becomes the relay; splitting
+// by count alone would cross their boundaries many times.
 func (p Splitter) Split(s Span) []Span {
 	low, high := s.Ranks(p.Order)
 	if low >= high {
@@ -28,28 +28,28 @@
 	case first.Domain != last.Domain:
 		return p.splitUnits(s, bfroster.Key.DomainEnd)
 	}
-	return append(p.chunks(Span{s.From, lesser(s.To, p.Self, s)}), p.chunks(p.behindSelf(s))...)
+	return append(p.chunks(Span{s.From, endBeforeSelf(s.To, p.Self, s)}), p.chunks(p.afterSelf(s))...)
 }
 
-// lesser is self where it lies in s, else the end of s.
-func lesser(end, self bfroster.Key, s Span) bfroster.Key {
+// endBeforeSelf is the smaller of end and self if s contains self, else end.
+func endBeforeSelf(end, self bfroster.Key, s Span) bfroster.Key {
 	if s.Covers(single(self)) {
 		return self
 	}
 	return end
 }
 
-// behindSelf is the part of s behind this node, empty where the node is not in s.
-func (p Splitter) behindSelf(s Span) Span {
+// afterSelf is the part of s after this node, empty if s does not contain it.
+func (p Splitter) afterSelf(s Span) Span {
 	if s.Covers(single(p.Self)) {
 		return Span{p.Self.After(), s.To}
 	}
 	return Span{p.Self, p.Self}
 }
 
-// splitUnits keeps the unit that this node is in to itself, and groups the others.
+// splitUnits splits the region or domain of this node on its own, and groups the others.
 func (p Splitter) splitUnits(s Span, endOf func(bfroster.Key) bfroster.Key) []Span {
-	var before, behind []Span
+	var before, after []Span
 	var own []Span
 	seen := false
 	for _, unit := range p.units(s, endOf) {
@@ -57,18 +57,18 @@
 		case unit.Covers(single(p.Self)):
 			own, seen = p.Split(unit), true
 		case seen:
-			behind = append(behind, unit)
+			after = append(after, unit)
 		default:
 			before = append(before, unit)
 		}
 	}
-	total := len(before) + len(behind)
+	total := len(before) + len(after)
 	parts := p.group(before, total)
 	parts = append(parts, own...)
-	return append(parts, p.group(behind, total)...)
+	return append(parts, p.group(after, total)...)
 }
 
-// units cuts the span at the ends of regions or domains that have members in it.
+// units splits the span at the ends of the regions or domains that have members in it.
 func (p Splitter) units(s Span, endOf func(bfroster.Key) bfroster.Key) []Span {
 	low, high := s.Ranks(p.Order)
 	var list []Span
@@ -85,7 +85,8 @@
 	return list
 }
 
-// group joins neighbouring units into about fanout spans in all, of like weight.
+// group joins adjacent units into about Fanout spans of similar weight. total is the number
+// of units in all groups of the split.
 func (p Splitter) group(units []Span, total int) []Span {
 	if len(units) == 0 {
 		return nil
@@ -109,14 +110,15 @@
 	return list
 }
 
+// weight is the number of members in the span.
 func (p Splitter) weight(s Span) int {
 	low, high := s.Ranks(p.Order)
 	return high - low
 }
 
-// chunks cuts a span within one domain by count.
+// chunks splits a span within one domain into parts with equal member counts.
 func (p Splitter) chunks(s Span) []Span {
-	if s.From == s.To && !s.open() {
+	if s.From == s.To && !s.unbounded() {
 		return nil
 	}
 	low, high := s.Ranks(p.Order)
--- a/lib/bfspan/splitter_test.go
+++ b/lib/bfspan/splitter_test.go
@@ -13,7 +13,7 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain sets a fixed seed for rapid, so that the test is reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -36,19 +36,18 @@
 	return bfroster.NewOrder(rows)
 }
 
-// The parts of any split are disjoint and cover every other member of the span
-// exactly once, also read by a receiver with its own key; or members would be
-// told twice or never.
+// The parts of a split, decoded with the relay's key, cover each other member of the span
+// exactly once. Guards against members that receive a broadcast twice or never.
 func TestSplitCoversEachMemberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 120).Draw(t, "size")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		order := newOrder(size, rapid.IntRange(1, 9).Draw(t, "domains"))
 		fanout := rapid.IntRange(2, 9).Draw(t, "fanout")
-		told := map[uint64]int{}
+		received := map[uint64]int{}
 		var cover func(self bfroster.Key, over Span)
 		cover = func(self bfroster.Key, over Span) {
-			told[self.Hash]++
+			received[self.Hash]++
 			for _, part := range (Splitter{Order: order, Self: self, Fanout: fanout}).Split(over) {
 				low, high := part.Ranks(order)
 				relay := order.At(low + rng.IntN(high-low)).Key()
@@ -57,14 +56,14 @@
 		}
 		cover(order.At(rng.IntN(size)).Key(), Span{})
 		for rank := range size {
-			if told[order.At(rank).Key().Hash] != 1 {
-				t.Fatalf("member %d of %d was told %d times", rank, size, told[order.At(rank).Key().Hash])
+			if received[order.At(rank).Key().Hash] != 1 {
+				t.Fatalf("member %d of %d was reached %d times", rank, size, received[order.At(rank).Key().Hash])
 			}
 		}
 	})
 }
 
-// BenchmarkTree walks the splits alone at the size of two years from now.
+// BenchmarkTree builds the broadcast tree of 25,000 members and reports its shape.
 func BenchmarkTree(b *testing.B) {
 	const size = 25_000
 	rng := rand.New(rand.NewPCG(9, 3))
