--- a/lib/bfpeer/call.go
+++ b/lib/bfpeer/call.go
@@ -14,18 +14,18 @@
 	"bilberryflow.org/lib/bfgroup"
 )
 
-// Method answers one kind of call from a peer.
+// Method handles one kind of call from a peer.
 type Method struct {
-	// Purpose is what its bytes are counted as.
+	// Purpose is what the bytes of its messages are counted as.
 	Purpose Purpose
-	// Handle decodes params and answers; it may block.
+	// Handle decodes params and returns the result. It may block.
 	Handle func(ctx context.Context, params json.RawMessage) (any, error)
 }
 
-// Methods are the calls that a node answers, by name.
+// Methods are the calls that a node serves, by name.
 type Methods map[string]Method
 
-// Calls answers peers' calls and makes calls to peers.
+// Calls serves peers' calls and makes calls to peers.
 type Calls struct {
 	methods Methods
 	traffic *Traffic
@@ -33,26 +33,28 @@
 	dialer  net.Dialer
 
 	mu    sync.Mutex
-	conns map[string]*pooled
+	conns map[string]*pooledConn
 }
 
-// pooled is a connection to one peer, and when it was last used.
-type pooled struct {
+// pooledConn is a connection to one peer.
+type pooledConn struct {
 	conn *jsonrpc2.Connection
-	used time.Time
-	// ended is done once the connection can bring no more answers.
+	// lastUsed is when the latest call began.
+	lastUsed time.Time
+	// ended is cancelled once the connection can't deliver any more answers.
 	ended context.Context
-	// calls counts those in progress; a retired connection closes with the last.
+	// calls counts the calls in progress; a retired connection is closed with the last one.
 	calls   int
 	retired bool
 }
 
-// NewCalls makes the calls of one node; purposes of methods that it only calls are taken from methods too.
+// NewCalls makes the calls of one node. Methods that the node only calls are listed too, for
+// their purpose.
 func NewCalls(methods Methods, traffic *Traffic, group *bfgroup.Group) *Calls {
 	const dialTimeout = 2 * time.Second
 	return &Calls{
 		methods: methods, traffic: traffic, group: group,
-		dialer: net.Dialer{Timeout: dialTimeout}, conns: map[string]*pooled{},
+		dialer: net.Dialer{Timeout: dialTimeout}, conns: map[string]*pooledConn{},
 	}
 }
 
@@ -66,16 +68,15 @@
 	}
 }
 
-// Bind gives each connection its own framing and handler.
+// Bind sets up the framing and the handler of a new connection.
 //
-// The library leaves a connection open whose reading ended: without the close
-// each peer that went away, or sent bytes that are no message, would cost this
-// process a file until none is left.
+// jsonrpc2 does not close a connection whose reader ended. Bind does, since each peer that
+// disconnects or sends malformed messages would otherwise leak a file descriptor.
 func (c *Calls) Bind(_ context.Context, conn *jsonrpc2.Connection) (jsonrpc2.ConnectionOptions, error) {
 	options := c.options()
 	options.Handler = &handler{calls: c, conn: conn}
 	c.group.Go("watch connection", func(context.Context) error {
-		// How a connection ended makes no difference: its calls are told by Call.
+		// The error is irrelevant here: Call reports it to the pending calls.
 		_ = conn.Wait()
 		_ = conn.Close()
 		return nil
@@ -83,15 +84,14 @@
 	return options, nil
 }
 
-// handler answers the calls of one connection, each in a goroutine of its own:
-// the library delivers calls one after another, and one that waits would hold
-// back all that came after it.
+// handler serves the calls of one connection, each in its own goroutine: jsonrpc2 delivers
+// calls sequentially, so a call that blocks would delay all later ones.
 type handler struct {
 	calls *Calls
 	conn  *jsonrpc2.Connection
 }
 
-// Handle starts the answer to one call.
+// Handle starts serving one call.
 func (h *handler) Handle(ctx context.Context, request *jsonrpc2.Request) (any, error) {
 	method, found := h.calls.methods[request.Method]
 	if !found {
@@ -103,14 +103,14 @@
 	}
 	h.calls.group.Go("call "+request.Method, func(context.Context) error {
 		result, err := method.Handle(ctx, request.Params)
-		// A peer that went away while it was answered asks again elsewhere.
+		// If the peer has disconnected, it retries at another node.
 		_ = h.conn.Respond(request.ID, result, err)
 		return nil
 	})
 	return nil, jsonrpc2.ErrAsyncResponse
 }
 
-// Serve answers peers at listener until ctx ends.
+// Serve serves peers that connect to listener until ctx ends.
 func (c *Calls) Serve(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
@@ -125,41 +125,41 @@
 	return err
 }
 
-// UnreachableError reports a call that got no answer: it may have been run.
+// UnreachableError reports a call without an answer: it may have been executed.
 type UnreachableError struct {
 	Address string
 	Method  string
 	Reason  error
 }
 
-// Error names the peer and the method.
+// Error includes the peer's address, the method and the reason.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("no answer from %s to %s: %v", e.Address, e.Method, e.Reason)
 }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *UnreachableError) Unwrap() error { return e.Reason }
 
-// Call asks the peer at address and reads its answer into result.
+// Call calls a method of the peer at address and decodes its answer into result. If no
+// answer arrives, it returns an UnreachableError.
 //
-// A connection that gives no answer in time is used for no later call:
-// something between the nodes may have lost track of it, and it would swallow
-// those too. Calls in progress on it keep it until they end, since a single
-// slow answer looks the same and must not cut the others.
+// A connection on which a call timed out is not used for later calls, since a middlebox may
+// have dropped its state. It is closed only after its other calls have ended: a single slow
+// answer looks the same and must not cancel them.
 func (c *Calls) Call(ctx context.Context, address, method string, params, result any) error {
 	began := time.Now()
 	conn, err := c.connection(ctx, address)
 	if err != nil {
 		return &UnreachableError{Address: address, Method: method, Reason: err}
 	}
-	defer c.end(conn)
-	// The library never answers a call whose connection broke; without this
-	// one the caller would wait for its whole timeout after a peer's crash.
+	defer c.release(conn)
+	// jsonrpc2 never completes a call whose connection broke. Without this
+	// the caller would wait for its full timeout after a peer's crash.
 	waiting, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(conn.ended, func() { cancel(errConnectionLost) })
 	defer stop()
-	err = c.await(waiting, conn, method, params, result)
+	err = c.send(waiting, conn, method, params, result)
 	if waiting.Err() == nil {
 		return err
 	}
@@ -169,16 +169,16 @@
 	return &UnreachableError{Address: address, Method: method, Reason: context.Cause(waiting)}
 }
 
-// suspectAfter is how long a call that its caller gave up must have waited to
-// speak against the connection: callers give up for reasons of their own.
+// suspectAfter is how long a call must have waited for its cancellation to count against
+// the connection: callers also cancel for reasons of their own.
 const suspectAfter = time.Second
 
 var errConnectionLost = errors.New("connection lost")
 
-// await sends the call from a goroutine of its own: the library's write waits
-// for the other writes on the connection whatever the context says, and a
-// caller's deadline would pass while it stands behind a peer that stopped reading.
-func (c *Calls) await(ctx context.Context, conn *pooled, method string, params, result any) error {
+// send sends the call from a separate goroutine: jsonrpc2 serializes the writes of a
+// connection regardless of ctx, so a peer that stopped reading would delay the caller past
+// its deadline.
+func (c *Calls) send(ctx context.Context, conn *pooledConn, method string, params, result any) error {
 	sent := make(chan *jsonrpc2.AsyncCall, 1)
 	c.group.Go("send call", func(context.Context) error {
 		sent <- conn.conn.Call(ctx, method, params)
@@ -192,22 +192,22 @@
 	}
 }
 
-// connection gives the connection to address with one call more on it.
-func (c *Calls) connection(ctx context.Context, address string) (*pooled, error) {
-	if p := c.pooled(address); p != nil {
+// connection returns the connection to address and counts one more call on it.
+func (c *Calls) connection(ctx context.Context, address string) (*pooledConn, error) {
+	if p := c.acquire(address); p != nil {
 		return p, nil
 	}
 	life := c.group.Context()
-	// The connection outlives the call that opened it.
+	// The connection outlives the call that opens it.
 	conn, err := jsonrpc2.Dial(context.WithoutCancel(ctx), streamDialer{&c.dialer, address, ctx, life}, c)
 	if err != nil {
 		return nil, err
 	}
 	ended, end := context.WithCancel(context.Background())
-	opened := &pooled{conn: conn, used: time.Now(), ended: ended, calls: 1}
+	opened := &pooledConn{conn: conn, lastUsed: time.Now(), ended: ended, calls: 1}
 	c.group.Go("watch calls", func(context.Context) error {
 		defer end()
-		// How it ended makes no difference to its calls.
+		// The calls only need to know that it ended.
 		_ = conn.Wait()
 		return nil
 	})
@@ -222,8 +222,8 @@
 	return opened, nil
 }
 
-// pooled gives the open connection to address, or nil.
-func (c *Calls) pooled(address string) *pooled {
+// acquire returns the open connection to address and counts one more call on it, or nil.
+func (c *Calls) acquire(address string) *pooledConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, found := c.conns[address]
@@ -234,13 +234,13 @@
 		delete(c.conns, address)
 		return nil
 	}
-	p.used = time.Now()
+	p.lastUsed = time.Now()
 	p.calls++
 	return p
 }
 
-// end takes one call off the connection.
-func (c *Calls) end(p *pooled) {
+// release ends one call on the connection.
+func (c *Calls) release(p *pooledConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p.calls--; p.retired && p.calls == 0 {
@@ -248,8 +248,8 @@
 	}
 }
 
-// retire keeps later calls off the connection; its last call closes it.
-func (c *Calls) retire(address string, lost *pooled) {
+// retire excludes the connection from later calls; it is closed with its last call.
+func (c *Calls) retire(address string, lost *pooledConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lost.retired = true
@@ -258,27 +258,27 @@
 	}
 }
 
-// close closes the connection without waiting for what is in flight on it.
-func (c *Calls) close(p *pooled) {
+// close closes the connection in the background, since closing waits for the calls in flight.
+func (c *Calls) close(p *pooledConn) {
 	c.group.Go("close connection", func(context.Context) error { return ignoreClosed(p.conn.Close()) })
 }
 
-// ignoreClosed drops the error of a connection that was already lost.
+// ignoreClosed drops the error of closing a connection that is already broken.
 func ignoreClosed(error) error { return nil }
 
-// CloseIdle closes connections on which nothing is in progress and no call began for idle.
+// CloseIdle closes connections without calls on which no call began for idle.
 func (c *Calls) CloseIdle(now time.Time, idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, p := range c.conns {
-		if now.Sub(p.used) > idle && p.calls == 0 {
+		if now.Sub(p.lastUsed) > idle && p.calls == 0 {
 			delete(c.conns, address)
 			c.close(p)
 		}
 	}
 }
 
-// CloseAll closes every connection to a peer.
+// CloseAll closes all connections to peers.
 func (c *Calls) CloseAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lib/bfpeer/datagram.go
+++ b/lib/bfpeer/datagram.go
@@ -9,26 +9,25 @@
 	"time"
 )
 
-// MaxDatagram is the largest datagram in bytes: with IP and UDP headers it
-// still fits an Ethernet frame, so it is never split on the way.
+// MaxDatagram is the maximum datagram size in bytes. With IP and UDP headers it fits an
+// Ethernet frame, so it is never fragmented.
 const MaxDatagram = 1400
 
-// SizeError reports a message too large for a datagram.
+// SizeError reports a message that is too large for a datagram.
 type SizeError struct{ Size int }
 
-// Error names the size and the limit.
+// Error includes the size and the limit.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("message of %d bytes is over the %d of a datagram", e.Size, MaxDatagram)
+	return fmt.Sprintf("message of %d bytes exceeds the datagram limit of %d", e.Size, MaxDatagram)
 }
 
-// Datagrams sends and receives small messages; any of them may be lost,
-// doubled or overtaken on the way.
+// Datagrams sends and receives small messages, which may be lost, duplicated or reordered.
 type Datagrams struct {
 	conn    *net.UDPConn
 	traffic *Traffic
 }
 
-// ListenDatagrams opens the UDP socket at address.
+// ListenDatagrams opens a UDP socket at address.
 func ListenDatagrams(address string, traffic *Traffic) (*Datagrams, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -41,7 +40,7 @@
 	return &Datagrams{conn: conn, traffic: traffic}, nil
 }
 
-// Send sends data for a purpose.
+// Send sends data in one datagram. Data over MaxDatagram is rejected with a SizeError.
 func (d *Datagrams) Send(to netip.AddrPort, purpose Purpose, data []byte) error {
 	if len(data) > MaxDatagram {
 		return &SizeError{Size: len(data)}
@@ -53,8 +52,8 @@
 	return err
 }
 
-// Receive calls handle for each datagram until ctx ends; handle says what it
-// was for and must not keep data.
+// Receive calls handle for each datagram until ctx ends. handle returns the purpose that the
+// datagram is counted as, and must not retain data.
 func (d *Datagrams) Receive(ctx context.Context, handle func(from netip.AddrPort, data []byte) Purpose) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() })
 	defer stop()
@@ -68,8 +67,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		default:
-			// An ICMP answer to an earlier datagram can surface here; it says
-			// nothing about the socket, which goes on.
+			// An ICMP error for an earlier datagram can surface here. It does
+			// not affect the socket.
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/lib/bfpeer/doc.go
+++ b/lib/bfpeer/doc.go
@@ -1,4 +1,3 @@
-// Package bfpeer carries messages between nodes: small ones as UDP datagrams,
-// large ones and questions as jsonrpc2 calls over TCP. It counts every byte at
-// the socket by the purpose it was sent for.
+// Package bfpeer carries messages between nodes: small ones as UDP datagrams, large ones
+// and calls as JSON-RPC 2.0 over TCP. It counts the bytes of each message by purpose.
 package bfpeer
--- a/lib/bfpeer/figures_test.go
+++ b/lib/bfpeer/figures_test.go
@@ -24,7 +24,7 @@
 	"bilberryflow.org/lib/bfspread"
 )
 
-// measured is one message: by its fields as JSON, as a datagram, and as a call.
+// measured is a message in each of its encodings: fields as JSON, datagram, and call.
 type measured struct {
 	name        string
 	plain, cbor []byte
@@ -41,7 +41,8 @@
 	}
 }
 
-// versions makes a state of n objects by changes of one route each, and the last deltas.
+// versions makes a state of n objects, applies one-route changes to it, and returns the
+// state and the deltas of these changes.
 func versions(is *is.I, n, last int) (*bfconfig.State, [][]byte) {
 	var ops []bfconfig.Op
 	for i := range n / 3 {
@@ -83,11 +84,11 @@
 			Incarnation uint64 `json:"incarnation"`
 		} `json:"home"`
 	}
-	ask := resolve{ID: id{"wien-nord-00017", 1<<40 + 12345}}
-	ask.Home.Instance, ask.Home.Incarnation = "wien-sued-00311", 1_800_000_000_123_456
-	plain, err := json.Marshal(ask)
+	params := resolve{ID: id{"wien-nord-00017", 1<<40 + 12345}}
+	params.Home.Instance, params.Home.Incarnation = "wien-sued-00311", 1_800_000_000_123_456
+	plain, err := json.Marshal(params)
 	is.NoErr(err)
-	call, err := jsonrpc2.NewCall(jsonrpc2.Int64ID(1234), "request.resolve", ask)
+	call, err := jsonrpc2.NewCall(jsonrpc2.Int64ID(1234), "request.resolve", params)
 	is.NoErr(err)
 	all := []measured{{name: "resolve", plain: plain, call: call}}
 	deliver := func(name string, message any, encoded []byte, err error) {
@@ -125,7 +126,7 @@
 	return all
 }
 
-// sizeBy is how many bytes one of the library's framings writes.
+// sizeBy returns the number of bytes that a framer writes for a call.
 func sizeBy(is *is.I, framer jsonrpc2.Framer, message jsonrpc2.Message) int {
 	var out bytes.Buffer
 	_, err := framer.Writer(&out).Write(context.Background(), message)
@@ -133,7 +134,8 @@
 	return out.Len()
 }
 
-// The figures that docs/design/wire.md quotes. Sizes only: the same on every machine.
+// Records message sizes by framing, which docs/design/wire.md quotes. They are the same on
+// every machine.
 func TestFramingFigures(t *testing.T) {
 	is := is.New(t)
 	_, training := versions(is, 300, 200)
@@ -165,7 +167,7 @@
 	bfgolden.Check(t, filepath.Join("testdata", "framing.golden"), page.String())
 }
 
-// BenchmarkFrame is what a message costs to frame and to read.
+// BenchmarkFrame measures framing and parsing a message.
 func BenchmarkFrame(b *testing.B) {
 	for _, m := range measuredMessages(is.New(b)) {
 		data, err := jsonrpc2.EncodeMessage(m.call)
@@ -186,7 +188,7 @@
 	return int(size)
 }
 
-// BenchmarkBody is a probe with two rows in both codecs.
+// BenchmarkBody measures both codecs with a probe that carries two rows.
 func BenchmarkBody(b *testing.B) {
 	probe := bfgossip.Probe{From: 1 << 63, Nonce: 1 << 31, Advert: bfgossip.Advert{Version: 96_000, Digest: 1 << 62, Members: 1 << 61}}
 	probe.News.Rows = []bfroster.Row{row(1), row(2)}
--- a/lib/bfpeer/frame.go
+++ b/lib/bfpeer/frame.go
@@ -14,41 +14,40 @@
 	"golang.org/x/exp/jsonrpc2"
 )
 
-// framer puts JSON-RPC messages on a stream as a length and a zstd frame.
-//
-// The library's own framings spend a header line and plain JSON on each
-// message; docs/design/wire.md has the figures.
+// framer frames JSON-RPC messages as a varint length, a mark byte, and the plain or
+// zstd-compressed message. jsonrpc2's own framers add header lines and don't compress.
 type framer struct {
 	traffic *Traffic
-	// purposes maps methods to what they are counted as.
+	// purposes maps methods to the purposes that their messages are counted as.
 	purposes map[string]Purpose
-	// calls remembers the purpose of each outgoing call until its answer.
+	// calls holds the purpose of each call until its answer.
 	calls *sync.Map
 }
 
 const (
-	// maxMessage bounds what a message may unpack to, in bytes. A node has 128 MB
-	// in all; docs/design/wire.md has the size of the largest snapshot.
+	// maxMessage bounds the decompressed size of a message in bytes. It fits the largest
+	// snapshot and a node's memory of 128 MB.
 	maxMessage = 16 << 20
-	// firstRead is how much is allocated on the word of a length alone.
-	firstRead = 64 << 10
-	// compressAbove is the message size in bytes from which compression pays.
-	compressAbove = 128
-	plainMark     = 0
-	packedMark    = 1
+	// initialBuffer bounds the bytes allocated before any of the message has arrived.
+	initialBuffer = 64 << 10
+	// compressAbove is the message size in bytes from which compression reduces the size.
+	compressAbove  = 128
+	plainMark      = 0
+	compressedMark = 1
 )
 
 var (
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxMessage))
+	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20))
+	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxMessage))
 )
 
-// FrameError reports bytes on a connection that are not a message.
+// FrameError reports a malformed message on a connection.
 type FrameError struct{ Reason string }
 
-// Error gives the reason.
-func (e *FrameError) Error() string { return "unreadable frame: " + e.Reason }
+// Error includes the reason.
+func (e *FrameError) Error() string { return "malformed frame: " + e.Reason }
 
+// purposeOf returns the purpose of a message. A response has the purpose of its call.
 func (f *framer) purposeOf(message jsonrpc2.Message, outgoing bool) Purpose {
 	switch m := message.(type) {
 	case *jsonrpc2.Request:
@@ -70,12 +69,12 @@
 	outgoing bool
 }
 
-// Reader reads messages from one end of a connection.
+// Reader reads messages from a connection.
 func (f *framer) Reader(r io.Reader) jsonrpc2.Reader {
 	return &frameReader{framer: f, in: bufio.NewReader(r)}
 }
 
-// Writer writes messages to one end of a connection.
+// Writer writes messages to a connection.
 func (f *framer) Writer(w io.Writer) jsonrpc2.Writer { return &frameWriter{framer: f, out: w} }
 
 type frameReader struct {
@@ -93,7 +92,7 @@
 		return nil, 0, err
 	}
 	if size < 1 || size > maxMessage {
-		return nil, 0, &FrameError{Reason: fmt.Sprintf("length %d", size)}
+		return nil, 0, &FrameError{Reason: fmt.Sprintf("length %d out of range", size)}
 	}
 	data, err := readBody(r.in, int64(size))
 	if err != nil {
@@ -108,10 +107,10 @@
 	return message, total, nil
 }
 
-// readBody grows with what has come: on the word of a length alone a few
-// connections of a stranger could make the node allocate all of its memory.
+// readBody reads size bytes into a buffer that grows with the received bytes. Allocating by
+// the stated length alone would let a few connections exhaust the node's memory.
 func readBody(in io.Reader, size int64) ([]byte, error) {
-	body := bytes.NewBuffer(make([]byte, 0, min(size, firstRead)))
+	body := bytes.NewBuffer(make([]byte, 0, min(size, initialBuffer)))
 	n, err := io.CopyN(body, in, size)
 	if n < size && errors.Is(err, io.EOF) {
 		return nil, io.ErrUnexpectedEOF
@@ -123,13 +122,13 @@
 	mark, body := data[0], data[1:]
 	switch mark {
 	case plainMark:
-	case packedMark:
+	case compressedMark:
 		var err error
-		if body, err = unpacker.DecodeAll(body, nil); err != nil {
+		if body, err = decoder.DecodeAll(body, nil); err != nil {
 			return nil, &FrameError{Reason: err.Error()}
 		}
 	default:
-		return nil, &FrameError{Reason: fmt.Sprintf("mark %d", mark)}
+		return nil, &FrameError{Reason: fmt.Sprintf("unknown mark %d", mark)}
 	}
 	return jsonrpc2.DecodeMessage(body)
 }
@@ -149,20 +148,21 @@
 		return 0, err
 	}
 	frame := encodeFrame(data)
-	// The purpose of a call is noted before its bytes leave: an answer that came
-	// first would find none, be counted as another's, and leave the note for good.
+	// The purpose of a call is stored before it is written: otherwise an answer that
+	// arrives first would be counted wrongly, and the entry would never be removed.
 	purpose := w.framer.purposeOf(message, true)
 	n, err := w.out.Write(frame)
 	w.framer.traffic.addSent(purpose, n)
 	return int64(n), err
 }
 
-// encodeFrame packs what gets smaller by it; a snapshot is packed already.
+// encodeFrame compresses the message if that makes it smaller. A snapshot is already
+// compressed.
 func encodeFrame(data []byte) []byte {
 	body := append([]byte{plainMark}, data...)
 	if len(data) >= compressAbove {
-		if packed := packer.EncodeAll(data, []byte{packedMark}); len(packed) < len(body) {
-			body = packed
+		if compressed := encoder.EncodeAll(data, []byte{compressedMark}); len(compressed) < len(body) {
+			body = compressed
 		}
 	}
 	frame := binary.AppendUvarint(make([]byte, 0, len(body)+binary.MaxVarintLen64), uint64(len(body)))
--- a/lib/bfpeer/hostile_test.go
+++ b/lib/bfpeer/hostile_test.go
@@ -25,18 +25,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// failAfter only bounds how long a test that fails takes to say so.
+// failAfter bounds the duration of a failing test.
 const failAfter = 3 * time.Second
 
-// watched is a listener whose connections tell when they are closed, and whose
-// first accepts fail.
-type watched struct {
+// watchedListener reports when its connections are closed, and fails its first accepts.
+type watchedListener struct {
 	net.Listener
 	failures atomic.Int32
 	closed   chan struct{}
 }
 
-func (w *watched) Accept() (net.Conn, error) {
+func (w *watchedListener) Accept() (net.Conn, error) {
 	if w.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
@@ -55,11 +54,11 @@
 	return c.Conn.Close()
 }
 
-func serveWatched(t *testing.T, failures int32) *watched {
+func serveWatched(t *testing.T, failures int32) *watchedListener {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	w := &watched{Listener: listener, closed: make(chan struct{}, 64)}
+	w := &watchedListener{Listener: listener, closed: make(chan struct{}, 64)}
 	w.failures.Store(failures)
 	group := bfgroup.New(context.Background())
 	calls := NewCalls(echoMethods(nil), NewTraffic(bfmetric.New()), group)
@@ -68,22 +67,20 @@
 	return w
 }
 
-func (w *watched) awaitClose(t *testing.T, what string) {
+func (w *watchedListener) awaitClose(t *testing.T, what string) {
 	t.Helper()
 	select {
 	case <-w.closed:
 	case <-time.After(failAfter):
-		t.Fatalf("%s: the connection was left open", what)
+		t.Fatalf("%s: the connection was not closed", what)
 	}
 }
 
-// A stranger, or a peer of another version, sends bytes that are no message:
-// noise, a length without end, a frame that unpacks to a gigabyte, half a frame,
-// or nothing at all. The node must close each such connection. Left open, each
-// costs it a file, until it can open none to its target.
-func TestForeignBytesEndTheConnection(t *testing.T) {
+// A malformed message closes its connection. Guards against leaking a file descriptor per
+// connection.
+func TestMalformedMessageClosesTheConnection(t *testing.T) {
 	w := serveWatched(t, 0)
-	bomb := packer.EncodeAll(make([]byte, maxMessage+1), []byte{packedMark})
+	bomb := encoder.EncodeAll(make([]byte, maxMessage+1), []byte{compressedMark})
 	for name, data := range map[string][]byte{
 		"noise":       []byte("GET / HTTP/1.1\r\nHost: " + strings.Repeat("h", 100)),
 		"huge length": binary.AppendUvarint(nil, 1<<40),
@@ -105,8 +102,7 @@
 	}
 }
 
-// A length alone is all that a stranger has sent. The node must not allocate by
-// it, or a few connections fill its 128 MB and it is killed with all requests.
+// Guards against allocating memory by the stated length of a message before it arrives.
 func TestLengthAloneAllocatesLittle(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -117,9 +113,8 @@
 	is.True(after.TotalAlloc-before.TotalAlloc < 1<<20)
 }
 
-// The peer answers with noise, then with an answer to a question never asked.
-// The caller is told at once that it got no answer, and nothing crashes.
-func TestForeignAnswerIsNoAnswer(t *testing.T) {
+// A malformed or unsolicited answer makes the call fail at once.
+func TestMalformedAnswerFailsTheCall(t *testing.T) {
 	is := is.New(t)
 	for _, answer := range [][]byte{
 		[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"),
@@ -145,10 +140,9 @@
 	}
 }
 
-// The process has run out of files for a moment, so accepts fail. Once it has
-// some again peers must reach it, or every question about its requests stays
-// unanswered until it is restarted.
-func TestListeningOutlivesFailedAccepts(t *testing.T) {
+// Guards against a temporary accept error, such as a lack of file descriptors, ending the
+// listener.
+func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	w := serveWatched(t, 2)
 	calls, _ := client(t, echoMethods(nil))
 	ctx, cancel := context.WithTimeout(context.Background(), failAfter)
@@ -156,50 +150,48 @@
 	is.New(t).NoErr(calls.Call(ctx, w.Addr().String(), "echo", &echo{}, nil))
 }
 
-// Two questions are in progress on one connection when the asker of one gives
-// up, because its own caller went away. The other must still get its answer; a
-// connection closed for the one would report the other's request as lost.
-func TestGivingUpLeavesOtherCalls(t *testing.T) {
+// Guards against a cancelled call closing the connection that other calls are using.
+func TestCancelKeepsOtherCalls(t *testing.T) {
 	is := is.New(t)
 	block := make(chan struct{})
 	address, _ := serve(t, echoMethods(block))
 	calls, _ := client(t, echoMethods(nil))
 	is.NoErr(calls.Call(context.Background(), address, "echo", &echo{}, nil))
-	kept, given := make(chan error, 1), make(chan error, 1)
+	other, cancelled := make(chan error, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { kept <- calls.Call(context.Background(), address, "block", &echo{}, nil) }()
-	go func() { given <- calls.Call(ctx, address, "block", &echo{}, nil) }()
+	go func() { other <- calls.Call(context.Background(), address, "block", &echo{}, nil) }()
+	go func() { cancelled <- calls.Call(ctx, address, "block", &echo{}, nil) }()
 	calls.awaitCalls(address, 2)
 	cancel()
-	is.True(<-given != nil)
+	is.True(<-cancelled != nil)
 	close(block)
-	is.NoErr(<-kept)
+	is.NoErr(<-other)
 }
 
-// A question's deadline ends while another waits on the same connection. The
-// next question uses a new connection, and the one that waits still gets its answer.
-func TestTimeoutLeavesOtherCalls(t *testing.T) {
+// After a call timed out, the next call uses a new connection, and other calls on the old
+// one still get their answers.
+func TestTimeoutKeepsOtherCalls(t *testing.T) {
 	is := is.New(t)
 	block := make(chan struct{})
 	address, _ := serve(t, echoMethods(block))
 	calls, _ := client(t, echoMethods(nil))
-	kept := make(chan error, 1)
-	go func() { kept <- calls.Call(context.Background(), address, "block", &echo{}, nil) }()
+	other := make(chan error, 1)
+	go func() { other <- calls.Call(context.Background(), address, "block", &echo{}, nil) }()
 	calls.awaitCalls(address, 1)
-	old := calls.pooled(address)
-	calls.end(old)
+	old := calls.acquire(address)
+	calls.release(old)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	is.True(calls.Call(ctx, address, "block", &echo{}, nil) != nil)
 	is.NoErr(calls.Call(context.Background(), address, "echo", &echo{}, nil))
-	next := calls.pooled(address)
-	calls.end(next)
+	next := calls.acquire(address)
+	calls.release(next)
 	is.True(next != old)
 	close(block)
-	is.NoErr(<-kept)
+	is.NoErr(<-other)
 }
 
-// awaitCalls returns once n calls are in progress to address.
+// awaitCalls returns once n calls to address are in progress.
 func (c *Calls) awaitCalls(address string, n int) {
 	for {
 		c.mu.Lock()
@@ -213,9 +205,7 @@
 	}
 }
 
-// The peer's machine is gone: nothing answers the opening of a connection. The
-// caller's own deadline must bound it, not the longer one of the dialer, or an
-// answer that was due in a moment comes seconds later.
+// Guards against connecting to a dead host for longer than the caller's deadline.
 func TestDeadlineBoundsConnecting(t *testing.T) {
 	is := is.New(t)
 	calls, _ := client(t, echoMethods(nil))
@@ -232,8 +222,7 @@
 	is.True(!dialed.After(want))
 }
 
-// The peer stopped reading in the middle of a large message. The caller must
-// hear at its deadline, not when the write is given up seconds later.
+// Guards against a blocked write keeping the caller past its deadline.
 func TestDeadlineBoundsWriting(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -258,13 +247,13 @@
 	case err := <-result:
 		is.True(errors.Is(err, context.DeadlineExceeded))
 	case <-time.After(failAfter):
-		t.Fatal("the caller waited for the write")
+		t.Fatal("Call blocked on the write")
 	}
 }
 
-// Two nodes ask each other many things at once, with no connection open yet.
-// Every question is answered, and each node keeps one connection to the other.
-func TestNodesConnectToEachOtherAtOnce(t *testing.T) {
+// Concurrent calls between two nodes without a connection all succeed and leave one
+// connection per direction.
+func TestNodesConnectToEachOtherConcurrently(t *testing.T) {
 	is := is.New(t)
 	nodes := make([]*Calls, 2)
 	addresses := make([]string, 2)
--- a/lib/bfpeer/outbox.go
+++ b/lib/bfpeer/outbox.go
@@ -12,7 +12,7 @@
 	Send(to netip.AddrPort, purpose Purpose, data []byte) error
 }
 
-// datagram is a small message on its way out.
+// datagram is a queued datagram.
 type datagram struct {
 	to      netip.AddrPort
 	purpose Purpose
@@ -20,43 +20,44 @@
 }
 
 const (
-	// OutboxLength bounds the datagrams that wait for the socket.
+	// OutboxLength bounds the queued datagrams.
 	OutboxLength = 4096
-	// maxOutgoing bounds the large messages on their way.
-	maxOutgoing = 256
+	// maxLarge bounds the large messages in transit.
+	maxLarge = 256
 )
 
-// Outbox takes messages from a loop and never makes it wait: a full socket
-// buffer would stop the loop, its probes would go unanswered and the fleet would
-// hold the node dead. What does not fit is dropped, as the network may do anyway.
+// Outbox queues messages for sending without blocking its caller. If a full socket buffer
+// blocked the event loop, its probes would go unanswered and the fleet would declare the
+// node dead. Messages that exceed the queue are dropped, as they may be on the network.
 type Outbox struct {
-	sender   Sender
-	waiting  chan datagram
-	outgoing chan struct{}
-	dropped  *bfmetric.Counter
+	sender     Sender
+	queue      chan datagram
+	largeSlots chan struct{}
+	dropped    *bfmetric.Counter
 }
 
-// NewOutbox makes an empty outbox; what it drops is counted in metrics.
+// NewOutbox makes an empty outbox. Dropped messages are counted in metrics.
 func NewOutbox(sender Sender, metrics *bfmetric.Registry) *Outbox {
 	return &Outbox{
-		sender: sender, waiting: make(chan datagram, OutboxLength), outgoing: make(chan struct{}, maxOutgoing),
+		sender: sender, queue: make(chan datagram, OutboxLength), largeSlots: make(chan struct{}, maxLarge),
 		dropped: metrics.Counter("control_dropped"),
 	}
 }
 
-// Put queues a datagram.
+// Put queues a datagram, or drops it if the queue is full.
 func (o *Outbox) Put(to netip.AddrPort, purpose Purpose, data []byte) {
 	select {
-	case o.waiting <- datagram{to, purpose, data}:
+	case o.queue <- datagram{to, purpose, data}:
 	default:
 		o.dropped.Add(1)
 	}
 }
 
-// Begin takes one of the places of large messages, if any is left; End gives it back.
+// Begin reserves one of the slots for large messages and reports whether one was free. A
+// reserved slot must be returned with End.
 func (o *Outbox) Begin() bool {
 	select {
-	case o.outgoing <- struct{}{}:
+	case o.largeSlots <- struct{}{}:
 		return true
 	default:
 		o.dropped.Add(1)
@@ -64,20 +65,20 @@
 	}
 }
 
-// End gives a place of a large message back.
-func (o *Outbox) End() { <-o.outgoing }
+// End returns a slot reserved by Begin.
+func (o *Outbox) End() { <-o.largeSlots }
 
-// Dropped counts what did not fit.
+// Dropped is the number of dropped messages.
 func (o *Outbox) Dropped() int64 { return o.dropped.Value() }
 
-// Run sends what was put until ctx ends.
+// Run sends the queued datagrams until ctx ends.
 func (o *Outbox) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-o.waiting:
-			// A datagram that could not be sent is one that was lost.
+		case d := <-o.queue:
+			// A failed send is treated like a lost datagram.
 			_ = o.sender.Send(d.to, d.purpose, d.data)
 		}
 	}
--- a/lib/bfpeer/peer_test.go
+++ b/lib/bfpeer/peer_test.go
@@ -66,8 +66,8 @@
 	is.NoErr(calls.Call(context.Background(), address, "echo", &sent, &answer))
 	is.Equal(answer, sent)
 	is.Equal(traffic.Sent(Repair), served.Received(Repair))
-	// The peer counts its answer once the write returns, which may be a moment
-	// after the answer is here.
+	// The peer counts its answer after the write returns, which may be shortly
+	// after the answer has arrived.
 	for deadline := time.Now().Add(10 * time.Second); served.Sent(Repair) == 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
@@ -77,21 +77,20 @@
 	is.Equal(traffic.Sent(Operators), int64(0))
 }
 
-// quickPeer answers a call before the caller's write returns.
-type quickPeer struct {
+// immediatePeer answers a call before the caller's write returns.
+type immediatePeer struct {
 	reader jsonrpc2.Reader
 }
 
-// Write takes the call and has its answer read at once.
-func (p *quickPeer) Write(b []byte) (int, error) {
+// Write discards the call and reads its answer.
+func (p *immediatePeer) Write(b []byte) (int, error) {
 	_, _, err := p.reader.Read(context.Background())
 	return len(b), err
 }
 
-// The answer to a call comes before the caller's write has returned. Its bytes
-// must count for the call's purpose; counted as another's, the operators' figure
-// of what control costs would be wrong by whatever is quick.
-func TestQuickAnswerCountsForItsCall(t *testing.T) {
+// Guards against counting an answer for the wrong purpose if it arrives before the write of
+// its call returns.
+func TestAnswerBeforeWriteReturnsIsCounted(t *testing.T) {
 	is := is.New(t)
 	traffic := NewTraffic(bfmetric.New())
 	framer := &framer{traffic: traffic, purposes: map[string]Purpose{"echo": Repair}, calls: &sync.Map{}}
@@ -100,7 +99,7 @@
 	is.NoErr(err)
 	data, err := jsonrpc2.EncodeMessage(response)
 	is.NoErr(err)
-	peer := &quickPeer{reader: framer.Reader(bytes.NewReader(encodeFrame(data)))}
+	peer := &immediatePeer{reader: framer.Reader(bytes.NewReader(encodeFrame(data)))}
 	call, err := jsonrpc2.NewCall(id, "echo", &echo{})
 	is.NoErr(err)
 	_, err = framer.Writer(peer).Write(context.Background(), call)
@@ -110,9 +109,7 @@
 	is.True(!left)
 }
 
-// A slow call is in progress on a connection when a quick one comes on the same
-// connection. The quick one must be answered first, or one waiting question
-// would hold back all later ones between two nodes.
+// Guards against a slow call delaying other calls on the same connection.
 func TestCallsDoNotWaitForEachOther(t *testing.T) {
 	is := is.New(t)
 	block := make(chan struct{})
@@ -125,8 +122,7 @@
 	is.NoErr(<-slow)
 }
 
-// The peer's process dies while a call waits. The caller must be told at once,
-// not when its timeout ends, and the next call must use a new connection.
+// Guards against a call waiting for its full timeout after the peer's crash.
 func TestCallEndsWhenTheConnectionBreaks(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,9 +145,7 @@
 	is.True(errors.As(calls.Call(context.Background(), listener.Addr().String(), "echo", &echo{}, nil), &unreachable))
 }
 
-// A connection goes silent while new ones work: the peer's machine lost track
-// of it. The call on it ends with its timeout, and the next call must get its
-// answer over a new connection.
+// Guards against reusing a connection on which a call has timed out.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -175,9 +169,9 @@
 	(<-silent).Close()
 }
 
-func TestDecodeFrameRefusesForeignBytes(t *testing.T) {
+func TestDecodeFrameRejectsMalformedData(t *testing.T) {
 	is := is.New(t)
-	for _, data := range [][]byte{{7, 1}, {packedMark, 1, 2, 3}, {plainMark, '{'}, []byte("\x00[]")} {
+	for _, data := range [][]byte{{7, 1}, {compressedMark, 1, 2, 3}, {plainMark, '{'}, []byte("\x00[]")} {
 		_, err := decodeFrame(data)
 		is.True(err != nil)
 	}
--- a/lib/bfpeer/stream.go
+++ b/lib/bfpeer/stream.go
@@ -11,36 +11,35 @@
 )
 
 const (
-	// writeTimeout bounds one write. A peer that stopped reading fills the
-	// socket's buffer, and the write would hold the connection's other
-	// messages back for good.
+	// writeTimeout bounds one write. A peer that stopped reading fills the socket buffer, and
+	// the blocked write would hold up all other messages of the connection.
 	writeTimeout = 5 * time.Second
-	// idleTimeout ends an accepted connection on which nothing comes: the
-	// caller closes its own idle ones sooner, so this one has lost its peer.
+	// idleTimeout bounds the silence on an accepted connection. The caller closes its idle
+	// connections sooner, so a longer silence means that the peer is gone.
 	idleTimeout = 2 * time.Minute
 )
 
-// stream is a connection whose reads and writes can't wait for good.
+// stream is a connection with timeouts for reads and writes.
 type stream struct {
 	net.Conn
 	idle time.Duration
-	// release ends the subscription to the context that closes the connection.
-	release func() bool
+	// stopClose stops the AfterFunc that closes the connection when its context ends.
+	stopClose func() bool
 }
 
-// newStream makes a stream that is closed when ctx ends.
+// newStream makes a stream that is closed when ctx ends. An idle timeout of 0 means none.
 func newStream(ctx context.Context, conn net.Conn, idle time.Duration) *stream {
-	return &stream{Conn: conn, idle: idle, release: context.AfterFunc(ctx, func() { conn.Close() })}
+	return &stream{Conn: conn, idle: idle, stopClose: context.AfterFunc(ctx, func() { conn.Close() })}
 }
 
-// Close closes the connection and forgets it: kept with the context, each
-// connection ever accepted would stay in memory for as long as the process runs.
+// Close closes the connection and releases its AfterFunc, which would otherwise keep the
+// connection in memory until the context ends.
 func (s *stream) Close() error {
-	s.release()
+	s.stopClose()
 	return s.Conn.Close()
 }
 
-// Read reads, or fails after the idle time if there is one.
+// Read reads with the idle timeout.
 func (s *stream) Read(p []byte) (int, error) {
 	if s.idle > 0 {
 		if err := s.SetReadDeadline(time.Now().Add(s.idle)); err != nil {
@@ -50,7 +49,7 @@
 	return s.Conn.Read(p)
 }
 
-// Write writes, or closes the connection.
+// Write writes with writeTimeout and closes the connection on an error.
 func (s *stream) Write(p []byte) (int, error) {
 	if err := s.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
@@ -62,20 +61,19 @@
 	return n, err
 }
 
-// streamListener hands a listener's connections to jsonrpc2.
+// streamListener adapts a net.Listener to jsonrpc2.
 type streamListener struct {
 	net.Listener
 	ctx context.Context
 }
 
-// acceptWait is the pause after an accept that failed for lack of something.
-const acceptWait = 50 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// Accept waits for a connection; it is closed when the listener's context ends.
+// Accept waits for a connection, which is closed when the listener's context ends.
 //
-// A process that runs out of files, or a peer that resets before it is
-// accepted, fails one accept only. Handed to the library the error would end
-// the listening for good, and no other node could ask this one again.
+// It retries after temporary errors, such as a lack of file descriptors: jsonrpc2 would stop
+// serving on any error, and peers could not call this node any more.
 func (l streamListener) Accept(context.Context) (io.ReadWriteCloser, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -85,20 +83,20 @@
 		if errors.Is(err, net.ErrClosed) || l.ctx.Err() != nil {
 			return nil, err
 		}
-		pause, cancel := context.WithTimeout(l.ctx, acceptWait)
+		pause, cancel := context.WithTimeout(l.ctx, acceptRetryDelay)
 		<-pause.Done()
 		cancel()
 	}
 }
 
-// Dialer is not offered: peers dial by address.
+// Dialer returns nil, since peers are dialled by address.
 func (l streamListener) Dialer() jsonrpc2.Dialer { return nil }
 
 // streamDialer opens one connection.
 type streamDialer struct {
 	dialer  *net.Dialer
 	address string
-	// dialing bounds the opening, life the open connection.
+	// dialing bounds the connection setup, life the open connection.
 	dialing, life context.Context
 }
 
--- a/lib/bfpeer/traffic.go
+++ b/lib/bfpeer/traffic.go
@@ -6,10 +6,10 @@
 	"bilberryflow.org/lib/bfmetric"
 )
 
-// Purpose is what control bytes were spent on.
+// Purpose classifies control traffic for metrics.
 type Purpose uint8
 
-// The purposes by which control bytes are counted.
+// Purposes of control traffic.
 const (
 	Membership Purpose = iota
 	Versions
@@ -21,7 +21,7 @@
 	purposeCount
 )
 
-// String is the purpose's name in metrics.
+// String returns the purpose's name in metrics.
 func (p Purpose) String() string {
 	switch p {
 	case Membership:
@@ -42,20 +42,20 @@
 	return "unknown"
 }
 
-// Traffic counts payload bytes by purpose; IP, UDP and TCP headers are not in it.
+// Traffic counts messages and payload bytes by purpose, without IP, UDP and TCP headers.
 type Traffic struct {
-	sent, received         [purposeCount]atomic.Int64
-	sentCount, receivedCnt [purposeCount]atomic.Int64
+	sent, received           [purposeCount]atomic.Int64
+	sentCount, receivedCount [purposeCount]atomic.Int64
 }
 
-// NewTraffic makes a count and shows it in metrics.
+// NewTraffic makes counters and registers them in metrics.
 func NewTraffic(metrics *bfmetric.Registry) *Traffic {
 	t := &Traffic{}
 	for p := range purposeCount {
 		metrics.Gauge("control_sent_bytes_"+p.String(), t.sent[p].Load)
 		metrics.Gauge("control_received_bytes_"+p.String(), t.received[p].Load)
 		metrics.Gauge("control_sent_messages_"+p.String(), t.sentCount[p].Load)
-		metrics.Gauge("control_received_messages_"+p.String(), t.receivedCnt[p].Load)
+		metrics.Gauge("control_received_messages_"+p.String(), t.receivedCount[p].Load)
 	}
 	return t
 }
@@ -67,11 +67,11 @@
 
 func (t *Traffic) addReceived(p Purpose, n int) {
 	t.received[p].Add(int64(n))
-	t.receivedCnt[p].Add(1)
+	t.receivedCount[p].Add(1)
 }
 
-// Sent is how many bytes were sent for a purpose.
+// Sent is the number of bytes sent for a purpose.
 func (t *Traffic) Sent(p Purpose) int64 { return t.sent[p].Load() }
 
-// Received is how many bytes were received for a purpose.
+// Received is the number of bytes received for a purpose.
 func (t *Traffic) Received(p Purpose) int64 { return t.received[p].Load() }
