--- a/lib/bfpipeline/body.go
+++ b/lib/bfpipeline/body.go
@@ -9,46 +9,46 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// requestBody tells when the body was read to its end, and asks for it where the
-// caller waits to be asked.
+// requestBody reports when the body has been read to its end, and sends 100 Continue to
+// callers that expect it.
 type requestBody struct {
 	exchange *exchange
-	// mu is held while the body is read: a long body is sent on beside the answer.
-	mu    sync.Mutex
-	from  io.ReadCloser
-	asked bool
-	over  bool
+	// mu is held during reads: a long body may still be forwarded while the answer is written.
+	mu        sync.Mutex
+	from      io.ReadCloser
+	continued bool
+	closed    bool
 }
 
 // Read reads the body.
 func (b *requestBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.over {
+	if b.closed {
 		return 0, http.ErrBodyReadAfterClose
 	}
-	if err := b.ask(); err != nil {
+	if err := b.sendContinue(); err != nil {
 		return 0, err
 	}
 	n, err := b.from.Read(p)
 	if err != nil {
-		b.exchange.bodyEnds()
+		b.exchange.finishBody()
 	}
 	return n, err
 }
 
-// isAwaited reports whether the caller waits to be asked for the body; it needs the lock.
-func (b *requestBody) isAwaited() bool {
-	return !b.asked && httpguts.HeaderValuesContainsToken(b.exchange.request.Header["Expect"], "100-continue")
+// awaitsContinue reports whether the caller waits for 100 Continue. b.mu must be held.
+func (b *requestBody) awaitsContinue() bool {
+	return !b.continued && httpguts.HeaderValuesContainsToken(b.exchange.request.Header["Expect"], "100-continue")
 }
 
-// ask sends the interim answer that the caller waits for before it sends the body.
-// The request's turn has come: one with a body runs alone.
-func (b *requestBody) ask() error {
-	if !b.isAwaited() {
+// sendContinue sends 100 Continue if the caller waits for it. It may write without waiting
+// for its turn, since a request with a body runs alone.
+func (b *requestBody) sendContinue() error {
+	if !b.awaitsContinue() {
 		return nil
 	}
-	b.asked = true
+	b.continued = true
 	to := b.exchange.connection.writer
 	if _, err := io.WriteString(to, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
@@ -56,23 +56,24 @@
 	return to.Flush()
 }
 
-// skip reads past at most so many bytes, and reports whether that was all. It gives
-// up where somebody else reads, or the caller waits to be asked.
-func (b *requestBody) skip(most int64) bool {
+// discard reads at most limit bytes of the body and reports whether that was the rest of
+// it. It returns false at once during a concurrent read, or if the caller waits for 100
+// Continue.
+func (b *requestBody) discard(limit int64) bool {
 	if !b.mu.TryLock() {
 		return false
 	}
 	defer b.mu.Unlock()
-	if b.isAwaited() {
+	if b.awaitsContinue() {
 		return false
 	}
-	b.over = true
-	if _, err := io.CopyN(io.Discard, b.from, most); !errors.Is(err, io.EOF) {
+	b.closed = true
+	if _, err := io.CopyN(io.Discard, b.from, limit); !errors.Is(err, io.EOF) {
 		return false
 	}
-	b.exchange.bodyEnds()
+	b.exchange.finishBody()
 	return true
 }
 
-// Close leaves the rest of the body to the connection.
+// Close does nothing; the connection discards the rest of the body.
 func (b *requestBody) Close() error { return nil }
--- a/lib/bfpipeline/connection.go
+++ b/lib/bfpipeline/connection.go
@@ -12,39 +12,39 @@
 	"time"
 )
 
-// connection is one caller's connection. One goroutine reads its requests, and each
-// request has one that takes it to its end.
+// connection is a caller's connection. One goroutine reads its requests, and each request
+// is served by a goroutine of its own.
 type connection struct {
 	server  *Server
 	conn    net.Conn
 	limited *limitedReader
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// ctx ends when the caller leaves.
+	// ctx is cancelled when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// inFlight counts the requests that were read and not answered.
+	// inFlight counts the requests that have been read but not answered.
 	inFlight int
-	// newest is the request that was read last, nil before the first.
+	// newest is the latest request, nil before the first.
 	newest *exchange
-	// closing says that no further request is taken.
+	// closing is set once no further request is accepted.
 	closing bool
-	// idleUntil is how long the connection is kept while nothing is in flight.
+	// idleUntil is when the connection is closed if no request is in flight.
 	idleUntil time.Time
-	// awaiting says that the reading goroutine waits for bytes, and may be woken by
-	// the connection's read deadline.
+	// awaiting is set while the reading goroutine waits for bytes, so that it may be woken by
+	// setting the connection's read deadline.
 	awaiting bool
-	// held says that it found the next request to have to wait. Each end of a request
-	// wakes it until it has looked again: a wake that the next end took back, by the idle
-	// time that it set, left a connection with more requests than the bound silent.
-	held bool
+	// blocked is set while the next request has to wait. Each end of a request wakes the
+	// reading goroutine until it has checked again. If the wake-up were cleared by the idle
+	// deadline that the next end sets, the waiting request would never be read.
+	blocked bool
 	// changed is signalled when a request ends.
 	changed chan struct{}
 }
 
-// readBuffer is what is read ahead of a request; most requests are shorter.
+// readBuffer is the size of the connection's buffers in bytes, larger than most requests.
 const readBuffer = 4 << 10
 
 func newConnection(ctx context.Context, s *Server, conn net.Conn) *connection {
@@ -56,47 +56,47 @@
 	return c
 }
 
-// errEnded says that the connection was ended in order.
-var errEnded = errors.New("connection ended")
+// errClosed means that the connection is closed gracefully.
+var errClosed = errors.New("connection closed")
 
-// serve reads requests until the caller leaves or the connection is to end.
+// serve reads requests until the caller disconnects or the connection is closed.
 func (c *connection) serve() {
 	defer c.conn.Close()
 	defer c.cancel()
 	for {
 		if err := c.await(); err != nil {
-			c.end(err)
+			c.shutdown(err)
 			return
 		}
 		e, err := c.read()
 		if err != nil {
-			c.end(err)
+			c.shutdown(err)
 			return
 		}
-		if !c.begin(e) {
+		if !c.admit(e) {
 			continue
 		}
 		c.server.group.Go(c.server.parts.Name+" request", e.run)
-		// Only one goroutine may use the reader: the body is the handler's.
-		<-e.bodyOver
+		// The handler reads the body from c.reader, so the next request must not be read before.
+		<-e.bodyDone
 	}
 }
 
-// await returns once the first byte of a request is there that may be read. Bytes
-// that come meanwhile are held, so that the end of the connection is seen behind them.
+// await returns once the first byte of a request is available and the request may be read.
+// Until then it buffers incoming bytes, so that it detects the end of the connection.
 func (c *connection) await() error {
-	defer c.moveOn()
+	defer c.stopAwaiting()
 	for {
-		held, err := c.wait()
+		blocked, err := c.wait()
 		buffered := c.reader.Buffered()
-		if err != nil || !held && buffered > 0 {
+		if err != nil || !blocked && buffered > 0 {
 			return err
 		}
 		_, err = c.reader.Peek(buffered + 1)
 		switch {
 		case err == nil, errors.Is(err, os.ErrDeadlineExceeded):
 		case errors.Is(err, bufio.ErrBufferFull):
-			// No more is held; what comes behind it is seen once a request has ended.
+			// The buffer is full; more is read once a request has ended.
 			<-c.changed
 		default:
 			return err
@@ -104,9 +104,9 @@
 	}
 }
 
-// wait tells whether the next request has to wait, and sets until when its bytes are
-// waited for. It gives errEnded where nothing is in flight and nothing more is taken.
-func (c *connection) wait() (held bool, err error) {
+// wait reports whether the next request has to wait, and sets the read deadline. It returns
+// errClosed if nothing is in flight and no further request is accepted.
+func (c *connection) wait() (blocked bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaiting = true
@@ -114,32 +114,32 @@
 	if c.inFlight == 0 {
 		deadline = c.idleUntil
 		if c.closing || !time.Now().Before(deadline) {
-			return false, errEnded
+			return false, errClosed
 		}
 	}
-	c.held = c.holds()
-	return c.held, c.conn.SetReadDeadline(deadline)
+	c.blocked = c.mustWait()
+	return c.blocked, c.conn.SetReadDeadline(deadline)
 }
 
-// holds reports whether the next request has to wait for one that is in flight; it needs the lock.
-func (c *connection) holds() bool {
+// mustWait reports whether the next request has to wait for one in flight. c.mu must be held.
+func (c *connection) mustWait() bool {
 	switch {
-	case c.closing, c.inFlight >= maxBeside:
+	case c.closing, c.inFlight >= maxConcurrentPerConn:
 		return true
 	case c.inFlight == 0:
 		return false
 	}
-	return c.newest.alone || c.server.beside.Load() >= maxBesideAll
+	return c.newest.exclusive || c.server.concurrent.Load() >= maxConcurrentTotal
 }
 
-// moveOn ends the wait: from now on nobody else sets the read deadline.
-func (c *connection) moveOn() {
+// stopAwaiting ends the wait; after it no other goroutine sets the read deadline.
+func (c *connection) stopAwaiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaiting = false
 }
 
-// read reads a request. One that can't be read becomes one that is refused.
+// read reads a request. A malformed one is replaced by one that is answered with an error.
 func (c *connection) read() (*exchange, error) {
 	limits := c.server.limits()
 	if err := c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)); err != nil {
@@ -149,17 +149,17 @@
 	request, err := http.ReadRequest(c.reader)
 	c.limited.allowAll()
 	switch {
-	case c.limited.hit:
-		return c.refused(http.StatusRequestHeaderFieldsTooLarge), nil
+	case c.limited.exceeded:
+		return c.rejection(http.StatusRequestHeaderFieldsTooLarge), nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		// The caller is there still, and waits for what it asked before.
-		return nil, errEnded
-	case errors.Is(err, io.ErrUnexpectedEOF), isReset(err):
+		// The caller is still connected and waits for the answers to earlier requests.
+		return nil, errClosed
+	case errors.Is(err, io.ErrUnexpectedEOF), isNetworkError(err):
 		return nil, err
-	case err != nil, !sound(request):
-		return c.refused(http.StatusBadRequest), nil
+	case err != nil, !isValid(request):
+		return c.rejection(http.StatusBadRequest), nil
 	case limits.BodyBytes > 0 && request.ContentLength > limits.BodyBytes:
-		return c.refused(http.StatusRequestEntityTooLarge), nil
+		return c.rejection(http.StatusRequestEntityTooLarge), nil
 	}
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		return nil, err
@@ -169,33 +169,35 @@
 	return e, nil
 }
 
-func isReset(err error) bool {
-	var failed *net.OpError
-	return errors.As(err, &failed)
+// isNetworkError reports whether err is a network error.
+func isNetworkError(err error) bool {
+	var netErr *net.OpError
+	return errors.As(err, &netErr)
 }
 
-// refused is a request that is answered by a status alone, after which the connection ends.
-func (c *connection) refused(status int) *exchange {
+// rejection makes a request that is answered with an error status, after which the
+// connection is closed.
+func (c *connection) rejection(status int) *exchange {
 	request := &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1, Body: http.NoBody, Close: true}
 	return newExchange(c, request, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, http.StatusText(status), status)
 	}))
 }
 
-// begin takes a request up, unless the connection has begun to end meanwhile: then it
-// counts as not read, and its caller sends it again.
-func (c *connection) begin(e *exchange) bool {
+// admit adds a request to the connection, unless the connection began to close meanwhile:
+// then the request counts as not read, and its caller retries it.
+func (c *connection) admit(e *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return false
 	}
 	if c.newest != nil {
-		e.turn = c.newest.over
+		e.turn = c.newest.done
 	}
-	e.beside = c.inFlight > 0
-	if e.beside {
-		c.server.beside.Add(1)
+	e.concurrent = c.inFlight > 0
+	if e.concurrent {
+		c.server.concurrent.Add(1)
 	}
 	c.inFlight++
 	c.newest = e
@@ -203,9 +205,9 @@
 	return true
 }
 
-// announceClose decides whether an answer that would end the connection says so: only
-// the newest does. Its caller would send what is behind it again, which the targets
-// are at work on already.
+// announceClose reports whether an answer carries Connection: close. Only the newest
+// request's answer does: otherwise the caller would resend later requests, which may
+// already be running.
 func (c *connection) announceClose(e *exchange, wanted bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,13 +215,13 @@
 	return c.closing && c.newest == e
 }
 
-// ended takes the end of a request.
-func (c *connection) ended(e *exchange) {
+// remove removes an remove request from the connection.
+func (c *connection) remove(e *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
-	if e.beside {
-		c.server.beside.Add(-1)
+	if e.concurrent {
+		c.server.concurrent.Add(-1)
 	}
 	if c.inFlight == 0 {
 		c.idleUntil = time.Now().Add(c.server.limits().IdleTimeout)
@@ -230,21 +232,21 @@
 	}
 	switch {
 	case !c.awaiting:
-	case c.held:
+	case c.blocked:
 		c.wake()
 	case c.inFlight == 0:
-		// The reading goroutine need not wake for it: its read goes on until then.
+		// No wake-up is needed: the pending read takes over the new deadline.
 		_ = c.conn.SetReadDeadline(c.idleUntil)
 	}
 }
 
-// wake has the reading goroutine look at the state again; it needs the lock.
+// wake makes the reading goroutine check the state again. c.mu must be held.
 func (c *connection) wake() {
-	// A connection that is gone wakes its reader anyway.
+	// An error means that the connection is broken, which wakes the reader as well.
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// stop has the connection end once what was read is answered.
+// stop closes the connection once all requests that were read are answered.
 func (c *connection) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,17 +257,16 @@
 }
 
 const (
-	// lingerTime is how long the end of a caller's sending is waited for after the last
-	// answer: a connection that is closed with unread bytes is reset, and the reset
-	// may overtake the answer.
+	// lingerTime is how long to wait for the caller to close its side after the last answer.
+	// Closing a connection with unread bytes resets it, and the caller may lose the answer.
 	lingerTime = 500 * time.Millisecond
-	// lingerBytes bounds what is read past meanwhile.
+	// lingerBytes bounds the bytes discarded meanwhile.
 	lingerBytes = 256 << 10
 )
 
-// end ends the connection after an error of its reading.
-func (c *connection) end(reason error) {
-	if !errors.Is(reason, errEnded) {
+// shutdown closes the connection after reading has ended with reason.
+func (c *connection) shutdown(reason error) {
+	if !errors.Is(reason, errClosed) {
 		c.cancel()
 	}
 	c.mu.Lock()
@@ -275,41 +276,43 @@
 	if newest == nil {
 		return
 	}
-	<-newest.over
-	if !errors.Is(reason, errEnded) {
+	<-newest.done
+	if !errors.Is(reason, errClosed) {
 		return
 	}
 	half, ok := c.conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil || c.conn.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
 		return
 	}
-	// Whatever ends this, the connection is closed next.
+	// The connection is closed next, whatever the error.
 	_, _ = io.CopyN(io.Discard, c.conn, lingerBytes)
 }
 
-// limitedReader bounds what is read for one header.
+// limitedReader bounds the bytes read for one header.
 type limitedReader struct {
-	from    io.Reader
-	limited bool
-	left    int
-	// hit says that a header was longer than allowed.
-	hit bool
+	from      io.Reader
+	limited   bool
+	remaining int
+	// exceeded is set once a header was longer than allowed.
+	exceeded bool
 }
 
-func (r *limitedReader) allow(n int) { r.limited, r.left = true, n }
+// allow limits the following reads to n bytes in total.
+func (r *limitedReader) allow(n int) { r.limited, r.remaining = true, n }
 
+// allowAll removes the limit.
 func (r *limitedReader) allowAll() { r.limited = false }
 
-// Read reads on while the limit allows.
+// Read reads up to the limit and returns io.EOF beyond it.
 func (r *limitedReader) Read(p []byte) (int, error) {
 	if !r.limited {
 		return r.from.Read(p)
 	}
-	if r.left <= 0 {
-		r.hit = true
+	if r.remaining <= 0 {
+		r.exceeded = true
 		return 0, io.EOF
 	}
-	n, err := r.from.Read(p[:min(len(p), r.left)])
-	r.left -= n
+	n, err := r.from.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
--- a/lib/bfpipeline/doc.go
+++ b/lib/bfpipeline/doc.go
@@ -1,9 +1,7 @@
-// Package bfpipeline serves HTTP/1.1 connections on which callers send further
-// requests before the first is answered.
+// Package bfpipeline is an HTTP/1.1 server that runs pipelined requests concurrently.
 //
-// The server of net/http reads a connection's next request once the one before it is
-// answered, so that a request waits for the whole run of each one ahead of it. Here
-// requests that may be repeated run side by side, and their answers leave in the order
-// in which the requests came. Requests are parsed by net/http; what this package
-// decides is which of them run together and when a connection ends.
+// The server of net/http reads a connection's next request only after it has answered the
+// previous one. Here idempotent requests of one connection run concurrently, and their
+// answers are written in the order of the requests. Requests are parsed by net/http; this
+// package decides which of them run together and when a connection is closed.
 package bfpipeline
--- a/lib/bfpipeline/exchange.go
+++ b/lib/bfpipeline/exchange.go
@@ -18,50 +18,52 @@
 	"bilberryflow.org/lib/bflog"
 )
 
-// exchange is one request with its answer; it is the handler's http.ResponseWriter.
+// exchange is a request and its answer; it is the handler's http.ResponseWriter.
 //
-// The handler's goroutine alone uses it, but for the channels.
+// Except for its channels it is used only by the handler's goroutine.
 type exchange struct {
 	connection *connection
 	request    *http.Request
 	handler    http.Handler
-	// alone says that the request runs only once all before it are answered, and
-	// that none behind it is read before it is answered itself.
-	alone  bool
-	beside bool
-	// turn is closed once all requests before this one are answered, nil for the first.
+	// exclusive is set if the request runs only after all earlier ones are answered, and no
+	// later one is read before it is answered itself.
+	exclusive bool
+	// concurrent is set if the request runs while an earlier one is in flight.
+	concurrent bool
+	// turn is closed once all earlier requests are answered, nil for the first.
 	turn <-chan struct{}
-	// body is the request's body, nil where it has none.
+	// body is the request's body, nil if it has none.
 	body *requestBody
-	// bodyOver is closed once the request's body needs no more reading.
-	bodyOver chan struct{}
+	// bodyDone is closed once no more of the request's body needs to be read.
+	bodyDone chan struct{}
 	bodyOnce sync.Once
-	// over is closed once the request is answered or given up.
-	over chan struct{}
+	// done is closed once the request is answered or aborted.
+	done chan struct{}
 
 	header  http.Header
 	status  int
 	closes  bool
 	chunked io.WriteCloser
-	// left is what is missing of an answer of a stated length.
-	left int64
-	// failed is why nothing more can be written.
-	failed error
+	// remaining is the unwritten rest of an answer with a stated length, -1 if it is delimited
+	// by the end of the connection.
+	remaining int64
+	// writeErr is why nothing more can be written.
+	writeErr error
 }
 
 func newExchange(c *connection, request *http.Request, handler http.Handler) *exchange {
 	e := &exchange{
 		connection: c, handler: handler, header: http.Header{},
-		bodyOver: make(chan struct{}), over: make(chan struct{}),
+		bodyDone: make(chan struct{}), done: make(chan struct{}),
 	}
 	e.request = request.WithContext(c.ctx)
 	if c.conn != nil {
 		e.request.RemoteAddr = c.conn.RemoteAddr().String()
 	}
-	beside := c.server.parts.Beside
-	e.alone = request.Body != http.NoBody || beside == nil || !beside(e.request)
+	mayRunConcurrently := c.server.parts.Beside
+	e.exclusive = request.Body != http.NoBody || mayRunConcurrently == nil || !mayRunConcurrently(e.request)
 	if request.Body == http.NoBody {
-		e.bodyEnds()
+		e.finishBody()
 	} else {
 		e.body = &requestBody{exchange: e, from: request.Body}
 		e.request.Body = e.body
@@ -69,8 +71,8 @@
 	return e
 }
 
-// sound reports whether a request that was parsed is one that may be passed on.
-func sound(r *http.Request) bool {
+// isValid reports whether a parsed request may be forwarded.
+func isValid(r *http.Request) bool {
 	if r.ProtoMajor != 1 || r.ProtoAtLeast(1, 1) && r.Host == "" || !httpguts.ValidHostHeader(r.Host) {
 		return false
 	}
@@ -87,37 +89,37 @@
 	return true
 }
 
-// limitBody bounds a body whose length is not stated.
-func (e *exchange) limitBody(most int64) {
-	if most > 0 && e.request.Body != http.NoBody {
-		e.request.Body = http.MaxBytesReader(e, e.request.Body, most)
+// limitBody limits the size of the request's body.
+func (e *exchange) limitBody(limit int64) {
+	if limit > 0 && e.request.Body != http.NoBody {
+		e.request.Body = http.MaxBytesReader(e, e.request.Body, limit)
 	}
 }
 
-// run takes the request to its end.
+// run serves the request.
 func (e *exchange) run(context.Context) error {
 	defer e.end()
-	if e.alone && !e.awaitTurn() {
+	if e.exclusive && !e.awaitTurn() {
 		return nil
 	}
 	if e.handle() {
 		e.finish()
 	} else {
-		e.cut()
+		e.abort()
 	}
 	return nil
 }
 
-// handle calls the handler; false means that the answer must not look whole.
-func (e *exchange) handle() (whole bool) {
+// handle calls the handler. If it returns false, the answer must look incomplete.
+func (e *exchange) handle() (complete bool) {
 	defer func() {
 		value := recover()
 		if value == nil {
 			return
 		}
-		whole = false
+		complete = false
 		if err, ok := value.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
-			// A fault of the program's own ends one request and not the process.
+			// A panic of the handler ends its request and not the process.
 			e.connection.server.parts.Logger.Emit(bflog.InvariantBroken,
 				slog.String("panic", fmt.Sprint(value)), slog.String("stack", string(debug.Stack())))
 		}
@@ -126,28 +128,30 @@
 	return true
 }
 
-// end takes the request off its connection, after all before it: one whose caller has
-// left ends early, and its end must not let the next one write beside an older one.
+// end removes the request from its connection, after all earlier ones. A request whose
+// caller disconnected ends early; waiting keeps the next one from writing its answer
+// while an earlier one is still being written.
 func (e *exchange) end() {
-	e.bodyEnds()
+	e.finishBody()
 	if e.turn != nil {
 		<-e.turn
 	}
-	e.connection.ended(e)
-	close(e.over)
+	e.connection.remove(e)
+	close(e.done)
 }
 
-func (e *exchange) bodyEnds() { e.bodyOnce.Do(func() { close(e.bodyOver) }) }
+// finishBody marks the request's body as done.
+func (e *exchange) finishBody() { e.bodyOnce.Do(func() { close(e.bodyDone) }) }
 
-// cut ends the connection in the middle.
-func (e *exchange) cut() {
-	e.failed = http.ErrAbortHandler
+// abort closes the connection at once.
+func (e *exchange) abort() {
+	e.writeErr = http.ErrAbortHandler
 	e.connection.cancel()
 	e.connection.conn.Close()
 }
 
-// awaitTurn waits until all requests before this one are answered; false means that
-// the connection ended first.
+// awaitTurn waits until all earlier requests are answered. It returns false if the
+// connection ended first.
 func (e *exchange) awaitTurn() bool {
 	if e.turn == nil {
 		return true
@@ -160,47 +164,48 @@
 	}
 }
 
-// Header is the answer's header.
+// Header returns the answer's header.
 func (e *exchange) Header() http.Header { return e.header }
 
-// WriteHeader begins the answer once its turn has come.
+// WriteHeader waits for the request's turn and begins the answer.
 func (e *exchange) WriteHeader(status int) {
 	if e.status != 0 {
 		return
 	}
 	e.status = status
 	if !e.awaitTurn() {
-		e.failed = http.ErrAbortHandler
+		e.writeErr = http.ErrAbortHandler
 		return
 	}
-	e.skipBody()
+	e.discardBody()
 	e.frame()
 	wanted := e.closes || httpguts.HeaderValuesContainsToken(e.header["Connection"], "close")
 	e.closes = e.connection.announceClose(e, wanted)
-	e.failed = e.writeHead()
+	e.writeErr = e.writeHead()
 }
 
-// skipBody reads past a short rest of the request's body, so that the connection can
-// be kept; where it can't, the connection ends.
-func (e *exchange) skipBody() {
-	if e.body == nil || e.bodyIsOver() {
+// discardBody reads the rest of a short request body, so that the connection can be kept
+// open. If more is left, the connection is closed after the answer.
+func (e *exchange) discardBody() {
+	if e.body == nil || e.bodyIsDone() {
 		return
 	}
-	if !e.body.skip(lingerBytes) {
+	if !e.body.discard(lingerBytes) {
 		e.closes = true
 	}
 }
 
-func (e *exchange) bodyIsOver() bool {
+// bodyIsDone reports whether no more of the request's body needs to be read.
+func (e *exchange) bodyIsDone() bool {
 	select {
-	case <-e.bodyOver:
+	case <-e.bodyDone:
 		return true
 	default:
 		return false
 	}
 }
 
-// writeHead writes the status line and the header, and chooses how the body ends.
+// writeHead writes the status line and the header.
 func (e *exchange) writeHead() error {
 	to := e.connection.writer
 	delete(e.header, "Connection")
@@ -221,22 +226,22 @@
 	return err
 }
 
-// frame chooses how the body is delimited: by the length that the handler stated, in
-// chunks, or for callers of HTTP/1.0 by the connection's end.
+// frame chooses the framing of the body: the stated Content-Length, chunked encoding, or
+// for HTTP/1.0 callers the end of the connection.
 func (e *exchange) frame() {
 	delete(e.header, "Transfer-Encoding")
 	length, err := strconv.ParseInt(e.header.Get("Content-Length"), 10, 64)
 	switch {
 	case e.bodiless():
-		e.left = 0
+		e.remaining = 0
 	case err == nil && length >= 0:
-		e.left = length
+		e.remaining = length
 	case e.request.ProtoAtLeast(1, 1):
 		delete(e.header, "Content-Length")
 		e.header["Transfer-Encoding"] = []string{"chunked"}
 		e.chunked = httputil.NewChunkedWriter(e.connection.writer)
 	default:
-		e.left, e.closes = -1, true
+		e.remaining, e.closes = -1, true
 	}
 }
 
@@ -245,51 +250,53 @@
 	return e.request.Method == http.MethodHead || e.status == http.StatusNoContent || e.status == http.StatusNotModified
 }
 
-// Write writes a part of the answer's body.
+// Write writes part of the answer's body.
 func (e *exchange) Write(p []byte) (int, error) {
 	if e.status == 0 {
 		e.WriteHeader(http.StatusOK)
 	}
 	switch {
-	case e.failed != nil:
-		return 0, e.failed
+	case e.writeErr != nil:
+		return 0, e.writeErr
 	case e.bodiless() || len(p) == 0:
 		return len(p), nil
 	case e.chunked != nil:
-		return e.keep(e.chunked.Write(p))
-	case e.left < 0:
-		return e.keep(e.connection.writer.Write(p))
-	case int64(len(p)) > e.left:
+		return e.recordErr(e.chunked.Write(p))
+	case e.remaining < 0:
+		return e.recordErr(e.connection.writer.Write(p))
+	case int64(len(p)) > e.remaining:
 		return 0, http.ErrContentLength
 	}
-	e.left -= int64(len(p))
-	return e.keep(e.connection.writer.Write(p))
+	e.remaining -= int64(len(p))
+	return e.recordErr(e.connection.writer.Write(p))
 }
 
-func (e *exchange) keep(n int, err error) (int, error) {
+// recordErr stores the error of a write and returns its arguments.
+func (e *exchange) recordErr(n int, err error) (int, error) {
 	if err != nil {
-		e.failed = err
+		e.writeErr = err
 	}
 	return n, err
 }
 
-// finish ends the answer. One that is shorter than it stated must not look whole.
+// finish completes the answer. An answer shorter than its Content-Length is aborted.
 func (e *exchange) finish() {
 	if e.status == 0 {
 		e.header.Set("Content-Length", "0")
 		e.WriteHeader(http.StatusOK)
 	}
-	if e.failed == nil && e.chunked != nil {
-		_, e.failed = e.keep(0, e.endChunks())
+	if e.writeErr == nil && e.chunked != nil {
+		_, e.writeErr = e.recordErr(0, e.endChunks())
 	}
-	if e.failed == nil && e.left <= 0 {
-		e.failed = e.connection.writer.Flush()
+	if e.writeErr == nil && e.remaining <= 0 {
+		e.writeErr = e.connection.writer.Flush()
 	}
-	if e.failed != nil || e.left > 0 {
-		e.cut()
+	if e.writeErr != nil || e.remaining > 0 {
+		e.abort()
 	}
 }
 
+// endChunks writes the last chunk and the empty trailer.
 func (e *exchange) endChunks() error {
 	if err := e.chunked.Close(); err != nil {
 		return err
--- a/lib/bfpipeline/naive_test.go
+++ b/lib/bfpipeline/naive_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// plain answers by the request alone, in all the ways in which an answer may end.
+// plain answers from the request alone, with one path per kind of answer framing.
 var plain = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -39,10 +39,9 @@
 	}
 })
 
-// Callers of the port and of net/http's own server send the same requests on one
-// connection, all at once. They must read the same statuses and bodies in the same
-// order, and the connection must end after the same one.
-func TestAnswersAreThoseOfTheNaiveServer(t *testing.T) {
+// For random pipelined requests, the answers and the point at which the connection closes
+// equal those of net/http's server.
+func TestAnswersEqualNetHTTP(t *testing.T) {
 	p := serve(t, plain, Limits{})
 	naive := httptest.NewServer(plain)
 	defer naive.Close()
@@ -60,9 +59,9 @@
 	})
 }
 
-type drawn struct{ method, raw string }
+type drawnRequest struct{ method, raw string }
 
-func drawRequest(t *rapid.T) drawn {
+func drawRequest(t *rapid.T) drawnRequest {
 	method := rapid.SampledFrom([]string{"GET", "HEAD", "POST", "PUT", "DELETE"}).Draw(t, "method")
 	path := rapid.SampledFrom([]string{"/empty", "/stated", "/long", "/silent", "/other?a=%2F"}).Draw(t, "path")
 	head := method + " " + path + " HTTP/1.1\r\nHost: h\r\n"
@@ -72,17 +71,17 @@
 	body := rapid.StringMatching("[a-z]{0,40}").Draw(t, "body")
 	switch rapid.IntRange(0, 2).Draw(t, "framing") {
 	case 0:
-		return drawn{method, head + "\r\n"}
+		return drawnRequest{method, head + "\r\n"}
 	case 1:
-		return drawn{method, head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)}
+		return drawnRequest{method, head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)}
 	}
 	if body == "" {
-		return drawn{method, head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}
+		return drawnRequest{method, head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}
 	}
-	return drawn{method, head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)}
+	return drawnRequest{method, head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)}
 }
 
-// exchangeAll sends raw and tells all answers until the connection ends or each has come.
+// exchangeAll sends raw and returns a summary of all answers until the connection ends.
 func exchangeAll(t *rapid.T, address, raw string, methods []string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -95,38 +94,37 @@
 	if _, err := io.WriteString(conn, raw); err != nil {
 		t.Fatal(err)
 	}
-	reader, told := bufio.NewReader(conn), ""
+	reader, summary := bufio.NewReader(conn), ""
 	for _, method := range methods {
 		response, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
-			return told + "end"
+			return summary + "end"
 		}
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
-		told += fmt.Sprintf("%d %v %s %v|", response.StatusCode, response.Close, body, err)
+		summary += fmt.Sprintf("%d %v %s %v|", response.StatusCode, response.Close, body, err)
 	}
-	return told
+	return summary
 }
 
-// Thousands of callers keep a connection each. What one costs while it is idle bounds
-// how many a node of 184 MB can hold.
+// Bounds the memory of an idle connection, which limits how many connections a node can hold.
 func TestIdleConnectionsAreCheap(t *testing.T) {
-	const connections, most = 1000, 24 << 10
+	const connections, maxBytes = 1000, 24 << 10
 	is := is.New(t)
 	p := serve(t, plain, Limits{})
-	before := inUse()
+	before := memoryInUse()
 	for range connections {
 		p.connect(t)
 		p.send(get("/stated"))
 		p.answer()
 	}
-	is.Equal(p.server.Open(), connections+1)
-	each := (inUse() - before) / connections
-	t.Logf("%d bytes for each of %d idle connections, those of the callers in this process included", each, connections)
-	is.True(each < most)
+	is.Equal(p.server.OpenConnections(), connections+1)
+	each := (memoryInUse() - before) / connections
+	t.Logf("%d bytes per connection with %d idle connections, including the callers' side", each, connections)
+	is.True(each < maxBytes)
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/lib/bfpipeline/pipeline_test.go
+++ b/lib/bfpipeline/pipeline_test.go
@@ -19,19 +19,20 @@
 	"bilberryflow.org/lib/bflog"
 )
 
-// script is a handler whose requests the test holds and lets go by their paths.
-type script struct {
+// gatedHandler is a handler whose requests block until the test opens the gate of their path.
+type gatedHandler struct {
 	mu    sync.Mutex
 	gates map[string]chan struct{}
-	// began gets the path of each request that is taken up, gone that of each whose caller left.
-	began, gone chan string
+	// started receives the path of each request that is served, cancelled that of each request
+	// whose caller disconnected.
+	started, cancelled chan string
 }
 
-func newScript() *script {
-	return &script{gates: map[string]chan struct{}{}, began: make(chan string, 100), gone: make(chan string, 100)}
+func newGatedHandler() *gatedHandler {
+	return &gatedHandler{gates: map[string]chan struct{}{}, started: make(chan string, 100), cancelled: make(chan string, 100)}
 }
 
-func (s *script) gate(path string) chan struct{} {
+func (s *gatedHandler) gate(path string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.gates[path] == nil {
@@ -40,12 +41,12 @@
 	return s.gates[path]
 }
 
-func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.began <- r.URL.Path
+func (s *gatedHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.started <- r.URL.Path
 	select {
 	case <-s.gate(r.URL.Path):
 	case <-r.Context().Done():
-		s.gone <- r.URL.Path
+		s.cancelled <- r.URL.Path
 		return
 	}
 	if strings.HasPrefix(r.URL.Path, "/closes") {
@@ -54,17 +55,17 @@
 	_, _ = io.WriteString(w, "answer of "+r.URL.Path)
 }
 
-// port is a served port and one connection to it.
-type port struct {
+// testPort is a served testPort and one connection to it.
+type testPort struct {
 	*is.I
 	server *Server
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func serve(t *testing.T, handler http.Handler, limits Limits) *port {
+func serve(t *testing.T, handler http.Handler, limits Limits) *testPort {
 	t.Helper()
-	p := &port{I: is.New(t)}
+	p := &testPort{I: is.New(t)}
 	group := bfgroup.New(context.Background())
 	server, err := Listen("127.0.0.1:0", Parts{
 		Name: "caller", Handler: handler, Logger: bflog.Discard(),
@@ -84,7 +85,7 @@
 	return p
 }
 
-func (p *port) connect(t *testing.T) {
+func (p *testPort) connect(t *testing.T) {
 	conn, err := net.Dial("tcp", p.server.Address())
 	p.NoErr(err)
 	p.conn, p.reader = conn, bufio.NewReader(conn)
@@ -92,35 +93,35 @@
 	t.Cleanup(func() { conn.Close() })
 }
 
-func (p *port) send(raw string) {
+func (p *testPort) send(raw string) {
 	_, err := io.WriteString(p.conn, raw)
 	p.NoErr(err)
 }
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 
-// head is what the caller reads before an answer's body; its status is 0 where the
-// connection ended in order instead.
-type head struct {
+// answerHead is the status and Connection: close of an answer; status is 0 if the connection
+// ended instead.
+type answerHead struct {
 	status int
 	closes bool
 }
 
 // answer reads the next answer.
-func (p *port) answer() (body string, h head) {
+func (p *testPort) answer() (body string, h answerHead) {
 	response, err := http.ReadResponse(p.reader, nil)
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-		return "", head{}
+		return "", answerHead{}
 	}
 	p.NoErr(err)
 	defer response.Body.Close()
 	read, err := io.ReadAll(response.Body)
 	p.NoErr(err)
-	return string(read), head{response.StatusCode, response.Close}
+	return string(read), answerHead{response.StatusCode, response.Close}
 }
 
-// within gives what comes, "" after a while.
-func within(from chan string, d time.Duration) string {
+// receive returns the next value from a channel, "" after a timeout.
+func receive(from chan string, d time.Duration) string {
 	select {
 	case got := <-from:
 		return got
@@ -129,16 +130,15 @@
 	}
 }
 
-// A caller sends three look-ups without waiting. The third is ready first. All three
-// run at once, so that none waits for another's run, and the caller gets the answers
-// in the order of its requests, since nothing else tells them apart.
-func TestRequestsRunSideBySide(t *testing.T) {
-	s := newScript()
+// Pipelined idempotent requests run concurrently, and their answers are written in the order
+// of the requests.
+func TestRequestsRunConcurrently(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{})
 	p.send(get("/1") + get("/2") + get("/3"))
 	seen := map[string]bool{}
 	for range 3 {
-		seen[within(s.began, time.Second)] = true
+		seen[receive(s.started, time.Second)] = true
 	}
 	p.True(seen["/1"] && seen["/2"] && seen["/3"])
 	close(s.gate("/3"))
@@ -151,20 +151,19 @@
 	}
 }
 
-// A caller sends a look-up, an approval and another look-up. The approval runs once
-// the look-up before it is answered, and the one behind it once the approval is: what
-// may run once only must not depend on what a broken connection does to its neighbours.
-func TestOthersRunInTurn(t *testing.T) {
-	s := newScript()
+// A non-idempotent request runs after all earlier requests are answered and before any later
+// one, so that failures of its neighbours can't cut it off.
+func TestNonIdempotentRequestsRunAlone(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{})
 	p.send(get("/1") + "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nok" + get("/3"))
-	p.Equal(within(s.began, time.Second), "/1")
-	p.Equal(within(s.began, 50*time.Millisecond), "")
+	p.Equal(receive(s.started, time.Second), "/1")
+	p.Equal(receive(s.started, 50*time.Millisecond), "")
 	close(s.gate("/1"))
-	p.Equal(within(s.began, time.Second), "/2")
-	p.Equal(within(s.began, 50*time.Millisecond), "")
+	p.Equal(receive(s.started, time.Second), "/2")
+	p.Equal(receive(s.started, 50*time.Millisecond), "")
 	close(s.gate("/2"))
-	p.Equal(within(s.began, time.Second), "/3")
+	p.Equal(receive(s.started, time.Second), "/3")
 	close(s.gate("/3"))
 	for _, want := range []string{"/1", "/2", "/3"} {
 		body, _ := p.answer()
@@ -172,16 +171,15 @@
 	}
 }
 
-// A node that leaves ends its connections with the next answer, while a second request
-// is at a target already and a third comes later. The first answer must not end the
-// connection: the caller would send the second again. The third is never passed on,
-// and the connection ends in order, so that the second answer is not lost to a reset.
-func TestOnlyTheNewestAnswerEndsTheConnection(t *testing.T) {
-	s := newScript()
+// Only the answer to the newest request announces Connection: close. Guards against a
+// caller resending a request that is already running, and against a reset that loses the
+// last answer.
+func TestOnlyTheNewestAnswerAnnouncesClose(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{})
 	p.send(get("/closes/1") + get("/2"))
-	within(s.began, time.Second)
-	within(s.began, time.Second)
+	receive(s.started, time.Second)
+	receive(s.started, time.Second)
 	close(s.gate("/closes/1"))
 	body, first := p.answer()
 	p.Equal(body, "answer of /closes/1")
@@ -192,55 +190,53 @@
 	p.Equal(body, "answer of /2")
 	p.True(second.closes)
 	body, _ = p.answer()
-	p.Equal(body, "") // the end, not a reset
-	p.Equal(within(s.began, 20*time.Millisecond), "")
+	p.Equal(body, "") // closed, not reset
+	p.Equal(receive(s.started, 20*time.Millisecond), "")
 }
 
-// A caller sends more requests than may run at once and leaves. All that run are told
-// within half a second, though bytes lie unread before the end of the connection;
-// else targets would go on for nobody.
-func TestLeavingIsSeenBehindUnreadRequests(t *testing.T) {
-	s := newScript()
+// A disconnect cancels all running requests even if unread requests are buffered before the
+// end of the connection.
+func TestDisconnectIsDetectedBehindUnreadRequests(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{})
-	p.send(strings.Repeat(get("/a"), maxBeside+5))
-	for range maxBeside {
-		p.Equal(within(s.began, time.Second), "/a")
+	p.send(strings.Repeat(get("/a"), maxConcurrentPerConn+5))
+	for range maxConcurrentPerConn {
+		p.Equal(receive(s.started, time.Second), "/a")
 	}
-	p.Equal(within(s.began, 50*time.Millisecond), "") // the bound
+	p.Equal(receive(s.started, 50*time.Millisecond), "") // no more than the bound run
 	p.conn.Close()
 	began := time.Now()
-	for range maxBeside {
-		p.Equal(within(s.gone, 500*time.Millisecond), "/a")
+	for range maxConcurrentPerConn {
+		p.Equal(receive(s.cancelled, 500*time.Millisecond), "/a")
 	}
 	p.True(time.Since(began) < 500*time.Millisecond)
 }
 
-// A caller sends more requests than may run at once. Those beyond the bound are read
-// as soon as one before them is answered, and none is lost.
-func TestRequestsBeyondTheBoundFollow(t *testing.T) {
-	var running, most atomic.Int32
+// Requests beyond the concurrency bound are served as earlier ones are answered, and none is
+// lost.
+func TestRequestsBeyondTheBoundAreServedLater(t *testing.T) {
+	var running, peak atomic.Int32
 	p := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		now := running.Add(1)
 		defer running.Add(-1)
-		for held := most.Load(); now > held && !most.CompareAndSwap(held, now); held = most.Load() {
+		for held := peak.Load(); now > held && !peak.CompareAndSwap(held, now); held = peak.Load() {
 		}
 		time.Sleep(time.Millisecond)
 		_, _ = io.WriteString(w, r.URL.Path)
 	}), Limits{})
-	const asked = 10 * maxBeside
-	p.send(strings.Repeat(get("/a"), asked))
-	for range asked {
+	const total = 10 * maxConcurrentPerConn
+	p.send(strings.Repeat(get("/a"), total))
+	for range total {
 		body, _ := p.answer()
 		p.Equal(body, "/a")
 	}
-	p.True(most.Load() <= maxBeside)
+	p.True(peak.Load() <= maxConcurrentPerConn)
 }
 
-// An answer breaks off in the middle while another waits behind it. The caller must
-// not take what came for whole, and the connection ends: what followed would be taken
-// for the rest of the broken answer.
-func TestBrokenAnswerEndsTheConnection(t *testing.T) {
-	for _, broken := range []http.HandlerFunc{
+// Guards against an aborted answer looking complete, or being continued by the answer to
+// the next request.
+func TestAbortedAnswerClosesTheConnection(t *testing.T) {
+	for _, handler := range []http.HandlerFunc{
 		func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "half")
@@ -254,7 +250,7 @@
 			panic("a fault of the program")
 		},
 	} {
-		p := serve(t, broken, Limits{})
+		p := serve(t, handler, Limits{})
 		p.send(get("/1") + get("/2"))
 		response, err := http.ReadResponse(p.reader, nil)
 		if err == nil {
@@ -262,14 +258,13 @@
 			response.Body.Close()
 		}
 		p.True(err != nil)
-		p.connect(t) // the port itself goes on
+		p.connect(t) // the server still accepts connections
 		p.send(get("/1"))
 	}
 }
 
-// A caller waits to be asked for its body, another sends one in chunks, a third sends a
-// long one that nobody reads. Each gets its answer, the next request on the connection
-// is read where it begins, and the connection of the unread body ends in order.
+// Covers Expect: 100-continue, chunked bodies, and unread bodies: the next request is read
+// where it begins, and a connection with a long unread body is closed gracefully.
 func TestBodies(t *testing.T) {
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/unread" {
@@ -310,8 +305,8 @@
 	p.True(response.closes)
 }
 
-// Requests that break a limit or can't be read are refused with the status that says
-// so, and never reach the handler; one that is never finished ends the connection.
+// Malformed or oversized requests are rejected with their status and don't reach the
+// handler; an incomplete one closes the connection.
 func TestLimits(t *testing.T) {
 	const bytes = 1 << 10
 	limits := Limits{HeaderBytes: bytes, BodyBytes: bytes, HeaderTimeout: 50 * time.Millisecond, IdleTimeout: 50 * time.Millisecond}
@@ -340,14 +335,14 @@
 	}
 }
 
-// A caller sends half of a header behind a request that takes its time. The header's
-// time ends first; the request goes on, and its answer tells that the connection ends.
-func TestHalfHeaderDoesNotEndWhatRuns(t *testing.T) {
-	s := newScript()
+// Guards against the header timeout of an incomplete request cancelling an earlier request
+// that is still running.
+func TestHeaderTimeoutKeepsRunningRequests(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{HeaderTimeout: 50 * time.Millisecond})
 	p.send(get("/1") + "GET /2 HTTP/1.1\r\n")
-	p.Equal(within(s.began, time.Second), "/1")
-	p.Equal(within(s.gone, 200*time.Millisecond), "")
+	p.Equal(receive(s.started, time.Second), "/1")
+	p.Equal(receive(s.cancelled, 200*time.Millisecond), "")
 	close(s.gate("/1"))
 	body, h := p.answer()
 	p.Equal(body, "answer of /1")
@@ -356,13 +351,12 @@
 	p.Equal(body, "")
 }
 
-// A body in chunks says its length only at its end. One that passes the bound breaks
-// off at the handler, however long it goes on.
+// A chunked body that exceeds the limit fails the handler's read.
 func TestChunkedBodyIsBounded(t *testing.T) {
 	p := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.ReadAll(r.Body)
-		var over *http.MaxBytesError
-		if errors.As(err, &over) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 		}
 	}), Limits{BodyBytes: 10})
@@ -371,9 +365,9 @@
 	p.Equal(response.status, http.StatusRequestEntityTooLarge)
 }
 
-// A connection that answers slowly is not idle: the idle time begins with its answer.
-func TestIdleTimeBeginsWithTheAnswer(t *testing.T) {
-	s := newScript()
+// The idle timeout starts with the answer, so a slow request does not exceed it.
+func TestIdleTimeoutStartsWithTheAnswer(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{IdleTimeout: 100 * time.Millisecond})
 	for _, path := range []string{"/1", "/2"} {
 		p.send(get(path))
@@ -388,19 +382,18 @@
 	p.True(time.Since(began) > 50*time.Millisecond)
 }
 
-// A node stops while one connection has two requests in progress and another has none.
-// Both are answered, the last with word that the connection ends; the idle connection
-// ends at once, and no new one is taken.
-func TestStopAnswersWhatWasRead(t *testing.T) {
-	s := newScript()
+// Stop waits for the requests in progress, the last of which announces Connection: close. It
+// closes idle connections at once and accepts no new ones.
+func TestStopWaitsForRequestsInProgress(t *testing.T) {
+	s := newGatedHandler()
 	p := serve(t, s, Limits{})
 	busy, busyReader := p.conn, p.reader
 	p.connect(t)
 	idle, idleReader := p.conn, p.reader
 	p.conn, p.reader = busy, busyReader
 	p.send(get("/1") + get("/2"))
-	within(s.began, time.Second)
-	within(s.began, time.Second)
+	receive(s.started, time.Second)
+	receive(s.started, time.Second)
 	stopped := make(chan error, 1)
 	group := bfgroup.New(context.Background())
 	group.Go("stop", func(ctx context.Context) error {
@@ -420,17 +413,15 @@
 	p.True(!first.closes && second.closes)
 	p.conn.Close()
 	p.NoErr(<-stopped)
-	p.Equal(p.server.Open(), 0)
+	p.Equal(p.server.OpenConnections(), 0)
 }
 
-// A node stops while a target still runs a request that nobody may break off. The time
-// for the stop ends: the connection is cut and the stop is over, though the handler
-// goes on; waited for, the process would be killed in the middle of what it writes last.
-func TestStopDoesNotWaitForWhatItCuts(t *testing.T) {
-	goesOn, began := make(chan struct{}), make(chan struct{})
+// Guards against Stop waiting, beyond its context, for a handler that does not return.
+func TestStopDoesNotWaitForStuckHandlers(t *testing.T) {
+	release, began := make(chan struct{}), make(chan struct{})
 	p := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(began)
-		<-goesOn
+		<-release
 	}), Limits{})
 	p.send(get("/1"))
 	<-began
@@ -441,5 +432,5 @@
 	p.True(time.Since(at) < time.Second)
 	body, _ := p.answer()
 	p.Equal(body, "")
-	close(goesOn)
+	close(release)
 }
--- a/lib/bfpipeline/server.go
+++ b/lib/bfpipeline/server.go
@@ -13,19 +13,19 @@
 	"bilberryflow.org/lib/bflog"
 )
 
-// Limits bound what a caller may send; a zero field takes the package's default.
+// Limits bound callers' requests and connections. Zero fields mean the defaults.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound one request.
+	// HeaderBytes and BodyBytes bound the size of a request; BodyBytes has no default limit.
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the time from the first byte of a header to its last.
+	// HeaderTimeout bounds the time from the first to the last byte of a header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout time.Duration
 }
 
-// Defaults of Limits. A peer that sends its header slowly or without end would
-// otherwise hold a goroutine and memory for as long as it likes.
+// Defaults of Limits. Without them, a peer that sends its header slowly or endlessly
+// would occupy a goroutine and memory forever.
 const (
 	defaultHeaderBytes   = 32 << 10
 	defaultHeaderTimeout = 5 * time.Second
@@ -33,65 +33,66 @@
 )
 
 const (
-	// maxBeside is how many requests of one connection run at once. Callers of the
-	// platform have about four open; a page loads a few dozen parts.
-	maxBeside = 32
-	// maxBesideAll is how many requests of all connections run beside an earlier one
-	// of theirs. Each holds up to 16 KiB of its answer until its turn: 16 MiB at most,
-	// a seventh of what a node may use.
-	maxBesideAll = 1024
+	// maxConcurrentPerConn bounds the concurrent requests of one connection. Callers usually
+	// have about four in flight; a page loads a few dozen resources.
+	maxConcurrentPerConn = 32
+	// maxConcurrentTotal bounds the requests, over all connections, that run while an earlier
+	// one of their connection is in flight. Each buffers up to 16 KiB of its answer until its
+	// turn, 16 MiB in total.
+	maxConcurrentTotal = 1024
 )
 
-// Parts is what a Server works with.
+// Parts are the dependencies and settings of a Server.
 type Parts struct {
 	// Name is the port's name in messages.
 	Name string
-	// Handler takes each request to its end.
+	// Handler serves the requests.
 	Handler http.Handler
-	// Beside reports whether a request may run while others of its connection do, nil
-	// where none may.
+	// Beside reports whether a request may run concurrently with others of its
+	// connection; nil means that none may.
 	Beside func(*http.Request) bool
-	// Limits are those in force, nil for the defaults.
+	// Limits returns the current limits; nil means the defaults.
 	Limits func() Limits
-	// SendBuffer bounds the bytes that wait in the system for a connection's peer, 0
-	// for the system's own bound.
+	// SendBuffer is the size of a connection's socket send buffer in bytes, 0 for the system
+	// default.
 	SendBuffer int
 	Logger     *bflog.Logger
 }
 
-// ListenError reports an address that can't be listened on.
+// ListenError reports an address that could not be listened on.
 type ListenError struct {
 	Port    string
 	Address string
 	Reason  error
 }
 
-// Error names the port, its address and the reason.
+// Error includes the port, its address and the reason.
 func (e *ListenError) Error() string {
 	return e.Port + " port at " + e.Address + ": " + e.Reason.Error()
 }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *ListenError) Unwrap() error { return e.Reason }
 
-// Server is one listening port; it is a kratos transport.Server.
+// Server is a listening port; it implements the kratos transport.Server.
 type Server struct {
 	parts    Parts
 	listener net.Listener
-	// group holds the goroutines of connections and requests. It is the server's own: a
-	// process that stops does not wait for a request that its stop has cut.
+	// group runs the goroutines of connections and requests. It is the server's own, so that
+	// a stopping process does not wait for requests that Stop has cut off.
 	group *bfgroup.Group
-	// beside counts the requests that run beside an earlier one of their connection.
-	beside atomic.Int64
+	// concurrent counts the requests that run while an earlier one of their connection is in
+	// flight.
+	concurrent atomic.Int64
 
 	mu       sync.Mutex
 	stopping bool
 	open     map[*connection]struct{}
-	// idle is closed once the server stops and no connection is open.
+	// idle is closed once the server is stopping and no connection is open.
 	idle chan struct{}
 }
 
-// Listen opens the port; it is served once it is started.
+// Listen opens the port; Start serves it. Its errors are of type ListenError.
 func Listen(address string, parts Parts) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -103,41 +104,43 @@
 	}, nil
 }
 
-// Address is where the port listens, with the number that the system chose where the settings gave 0.
+// Address is the listening address, with the port chosen by the system if the configured
+// one was 0.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Open is how many connections are open.
-func (s *Server) Open() int {
+// OpenConnections is the number of open connections.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// acceptPause is how long to wait after a connection could not be taken for want of
-// descriptors: until some of those in use are closed.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the pause after a temporary accept error, such as a lack of file
+// descriptors.
+const acceptRetryDelay = 5 * time.Millisecond
 
 // Start serves connections until Stop.
 func (s *Server) Start(context.Context) error {
 	for {
 		accepted, err := s.listener.Accept()
-		var failed net.Error
+		var netErr net.Error
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.As(err, &failed):
-			time.Sleep(acceptPause)
+		case errors.As(err, &netErr):
+			time.Sleep(acceptRetryDelay)
 			continue
 		case err != nil:
 			return err
 		}
-		s.take(accepted)
+		s.serveConn(accepted)
 	}
 }
 
-func (s *Server) take(accepted net.Conn) {
+// serveConn serves an accepted connection in a goroutine of its own.
+func (s *Server) serveConn(accepted net.Conn) {
 	if tcp, ok := accepted.(*net.TCPConn); ok && s.parts.SendBuffer > 0 {
-		// A system that does not allow it sends as it would anyway.
+		// On an error the system's default buffer size stays in effect.
 		_ = tcp.SetWriteBuffer(s.parts.SendBuffer)
 	}
 	c := newConnection(s.group.Context(), s, accepted)
@@ -150,21 +153,23 @@
 	s.open[c] = struct{}{}
 	s.mu.Unlock()
 	s.group.Go(s.parts.Name+" connection", func(context.Context) error {
-		defer s.forget(c)
+		defer s.remove(c)
 		c.serve()
 		return nil
 	})
 }
 
-func (s *Server) forget(c *connection) {
+// remove removes a closed connection.
+func (s *Server) remove(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
-	s.settle()
+	s.closeIfIdle()
 }
 
-// settle needs the lock.
-func (s *Server) settle() {
+// closeIfIdle closes s.idle if the server is stopping and no connection is open. s.mu must
+// be held.
+func (s *Server) closeIfIdle() {
 	if !s.stopping || len(s.open) > 0 {
 		return
 	}
@@ -175,11 +180,11 @@
 	}
 }
 
-// Stop takes no more connections, lets those that are open answer what they have
-// read, and cuts what is left when ctx ends.
+// Stop accepts no more connections, waits until the requests already read are answered,
+// and closes the remaining connections when ctx ends, returning its error.
 func (s *Server) Stop(ctx context.Context) error {
 	s.listener.Close()
-	for _, c := range s.stop() {
+	for _, c := range s.beginStop() {
 		c.stop()
 	}
 	select {
@@ -195,11 +200,12 @@
 	return ctx.Err()
 }
 
-func (s *Server) stop() []*connection {
+// beginStop marks the server as stopping and returns the open connections.
+func (s *Server) beginStop() []*connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopping = true
-	s.settle()
+	s.closeIfIdle()
 	open := make([]*connection, 0, len(s.open))
 	for c := range s.open {
 		open = append(open, c)
@@ -207,7 +213,7 @@
 	return open
 }
 
-// limits are those in force, defaults filled in.
+// limits returns the current limits with defaults filled in.
 func (s *Server) limits() Limits {
 	var l Limits
 	if s.parts.Limits != nil {
