--- a/lib/bfentry/look.go
+++ b/lib/bfentry/look.go
@@ -42,7 +42,7 @@
 		if h.parts.Timer.Wait(ctx, h.parts.Timer.Jittered(pause, lookShare)()) != nil {
 			return
 		}
-		if h.parts.Client.Warm(ctx, target.Member().Inbound) == nil {
+		if h.parts.Client.Preconnect(ctx, target.Member().Inbound) == nil {
 			target.Found()
 			h.parts.Logger.Emit(bflog.NodeFound, slog.String("node", target.Member().Inbound))
 			return
--- a/lib/bfexchange/answer.go
+++ b/lib/bfexchange/answer.go
@@ -11,30 +11,31 @@
 	"time"
 )
 
-// maxForeign bounds the answers of other requests that are read past.
-const maxForeign = 4
+// maxMismatched bounds the answers with another request's ID that are discarded.
+const maxMismatched = 4
 
-// maxForeignBytes bounds one of them.
-const maxForeignBytes = 1 << 20
+// maxMismatchedBytes bounds the body of a discarded answer.
+const maxMismatchedBytes = 1 << 20
 
-// ForeignError reports a connection that brought other requests' answers only.
-type ForeignError struct{ Want, Got string }
+// MismatchError reports a connection that delivered only answers to other requests. Want
+// and Got are request IDs.
+type MismatchError struct{ Want, Got string }
 
-// Error names both requests.
-func (e *ForeignError) Error() string {
-	return fmt.Sprintf("answer of request %q where %q was asked", e.Got, e.Want)
+// Error includes both request IDs.
+func (e *MismatchError) Error() string {
+	return fmt.Sprintf("received the answer to request %q instead of %q", e.Got, e.Want)
 }
 
-// Answer is the answer to one request; Close must be called.
+// Answer is the answer to one request. Its user must call Close.
 type Answer struct {
 	client *Client
 	conn   *conn
-	// sound says that the connection may be kept once the body was read.
-	sound    bool
-	ended    bool
-	response *http.Response
-	release  func() bool
-	written  <-chan error
+	// reusable is set if the connection may be reused once the body has been read.
+	reusable   bool
+	ended      bool
+	response   *http.Response
+	stopCancel func() bool
+	written    <-chan error
 }
 
 // Status is the answer's status code.
@@ -43,10 +44,10 @@
 // Header is the answer's header.
 func (a *Answer) Header() http.Header { return a.response.Header }
 
-// Length is the body's length in bytes, -1 where the answer does not say.
+// Length is the length of the body in bytes, -1 if not stated.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Read reads the body. An error other than io.EOF means that the answer is cut.
+// Read reads the body. An error other than io.EOF means that the answer is incomplete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.response.Body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -55,39 +56,39 @@
 	return n, err
 }
 
-// Close ends the exchange; an answer that was not read whole ends its connection.
+// Close releases the connection for reuse, or closes it if the answer was not read to its end.
 func (a *Answer) Close() {
 	if a.conn == nil {
 		return
 	}
 	k := a.conn
 	a.conn = nil
-	// A context that ended has set the connection's deadline to the past.
-	untouched := a.release()
-	if a.ended && a.sound && untouched && a.requestWritten() && k.reader.Buffered() == 0 {
-		a.client.give(k)
+	// If the context has ended, its AfterFunc has set the connection's deadline to the past.
+	notCancelled := a.stopCancel()
+	if a.ended && a.reusable && notCancelled && a.requestWritten() && k.reader.Buffered() == 0 {
+		a.client.put(k)
 		return
 	}
 	k.Close()
 }
 
-// skipBytes bounds a body that is read past to keep its connection.
-const skipBytes = 4 << 10
+// maxDiscardBytes bounds the body that Discard reads to reuse the connection.
+const maxDiscardBytes = 4 << 10
 
-// Skip ends an exchange whose body nobody wants. A short body is read past, so that
-// the connection is kept: targets that shed would else cost a new one for each
-// request, 1,500 of 1,870 in 52 s of 16 instances of which four shed half.
-func (a *Answer) Skip() {
-	if length := a.Length(); length >= 0 && length <= skipBytes {
-		// What can't be read ends with its connection.
+// Discard closes an answer whose body is not needed. It reads a short body to its end, so
+// that the connection can be reused; otherwise a target that sheds load would also have to
+// accept a new connection for each request.
+func (a *Answer) Discard() {
+	if length := a.Length(); length >= 0 && length <= maxDiscardBytes {
+		// After a read error Close closes the connection.
 		_, _ = io.Copy(io.Discard, a)
 	}
 	a.Close()
 }
 
-// requestWritten reports whether the whole request was sent. A target may answer
-// before it has read a long body, keep the connection and read on: the next
-// request's bytes would be taken for the rest of that body.
+// requestWritten reports whether the whole request was sent. A target may answer before
+// it has read a long body and keep the connection open: it would then read the next
+// request as the rest of that body.
 func (a *Answer) requestWritten() bool {
 	select {
 	case err := <-a.written:
@@ -97,32 +98,33 @@
 	}
 }
 
-// Send sends the request to address and reads the header of its answer.
+// Send sends the request to address and reads the header of its answer. It does not retry.
 //
-// Errors are NotSentError and LostError. The request leaves once.
+// Its errors are NotSentError and LostError.
 func (c *Client) Send(ctx context.Context, address string, request *Request) (*Answer, error) {
-	k, err := c.take(ctx, address)
+	k, err := c.get(ctx, address)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Reason: err}
 	}
-	release := context.AfterFunc(ctx, func() { _ = k.SetDeadline(time.Unix(1, 0)) })
-	written, sent := c.write(k, request)
-	if sent != nil {
-		release()
+	stopCancel := context.AfterFunc(ctx, func() { _ = k.SetDeadline(time.Unix(1, 0)) })
+	written, writeErr := c.write(k, request)
+	if writeErr != nil {
+		stopCancel()
 		k.Close()
-		return nil, sent
+		return nil, writeErr
 	}
 	answer, err := c.read(k, request)
 	if err != nil {
-		release()
+		stopCancel()
 		k.Close()
 		return nil, &LostError{Address: address, Reused: k.reused, Reason: causeOf(ctx, err)}
 	}
-	answer.release, answer.written = release, written
+	answer.stopCancel, answer.written = stopCancel, written
 	return answer, nil
 }
 
-// causeOf prefers the context's own error to the broken connection it led to.
+// causeOf returns the context's error, if it has one, instead of the connection error that
+// it caused.
 func causeOf(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -130,12 +132,12 @@
 	return err
 }
 
-// write sends the request. A long body is written beside the reading, since a
-// target may answer before it has read it.
+// write sends the request. A long body is written in a separate goroutine, since a target
+// may answer before it has read the body.
 func (c *Client) write(k *conn, request *Request) (<-chan error, error) {
 	done := make(chan error, 1)
 	if request.Rest != nil {
-		// The goroutine ends with the connection, which Close ends.
+		// The goroutine ends when Close closes the connection.
 		c.spawn(func() { done <- request.write(k) })
 		return done, nil
 	}
@@ -148,47 +150,47 @@
 	if counted.written == 0 {
 		return done, &NotSentError{Address: k.address, Reason: err}
 	}
-	// A target that refuses a long request may close before it has read it all;
-	// its answer may be there all the same.
+	// A target that refuses a long request may close the connection before it has
+	// read it all, and its answer may still be readable.
 	return done, nil
 }
 
 func (c *Client) spawn(fn func()) { writers.Go("request body", fn) }
 
-// read reads past answers of other requests until that of request comes.
+// read discards answers to other requests until the one to request arrives.
 func (c *Client) read(k *conn, request *Request) (*Answer, error) {
-	sound := true
+	reusable := true
 	got := ""
-	for range maxForeign {
+	for range maxMismatched {
 		response, err := readFinal(k, request.Method) //nolint:bodyclose // Answer.Close ends it with its connection.
 		if err != nil {
 			return nil, err
 		}
 		if c.options.IDHeader == "" || request.ID == "" || response.Header.Get(c.options.IDHeader) == request.ID {
-			k.keep = keepFor(response.Header, c.options.IdleUnstated)
-			return &Answer{client: c, conn: k, sound: sound && !response.Close, response: response}, nil
+			k.idleTimeout = idleTimeoutOf(response.Header, c.options.IdleUnstated)
+			return &Answer{client: c, conn: k, reusable: reusable && !response.Close, response: response}, nil
 		}
-		got, sound = response.Header.Get(c.options.IDHeader), false
-		if err := skip(response); err != nil {
+		got, reusable = response.Header.Get(c.options.IDHeader), false
+		if err := discardBody(response); err != nil {
 			return nil, err
 		}
 	}
-	return nil, &ForeignError{Want: request.ID, Got: got}
+	return nil, &MismatchError{Want: request.ID, Got: got}
 }
 
-// skip reads past the body of another request's answer.
-func skip(response *http.Response) error {
+// discardBody reads the body of another request's answer.
+func discardBody(response *http.Response) error {
 	if response.Close {
-		return &ForeignError{Got: "a connection that ends"}
+		return &MismatchError{Got: "(connection closed)"}
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes))
-	if err == nil && n == maxForeignBytes {
-		err = errors.New("answer of another request is too long to read past")
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBytes))
+	if err == nil && n == maxMismatchedBytes {
+		err = errors.New("answer to another request is too long to discard")
 	}
 	return err
 }
 
-// readFinal reads an answer that is not merely informational.
+// readFinal reads the next answer that is not informational (1xx).
 func readFinal(k *conn, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(k.reader, &http.Request{Method: method})
@@ -201,23 +203,23 @@
 	}
 }
 
-// closeMargin is kept from the time that the peer keeps a connection: a request
-// that crosses the peer's close has an unknown outcome.
+// closeMargin is subtracted from the peer's keep-alive timeout: a request sent while the
+// peer closes the connection has an unknown outcome.
 const closeMargin = time.Second
 
-// keepFor is how long a connection may lie unused.
-func keepFor(h http.Header, unstated time.Duration) time.Duration {
+// idleTimeoutOf is how long a connection may be idle before it is no longer reused.
+func idleTimeoutOf(h http.Header, fallback time.Duration) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if name != "timeout" {
 			continue
 		}
-		stated, err := strconv.Atoi(value)
-		if err != nil || stated < 0 {
-			return unstated
+		seconds, err := strconv.Atoi(value)
+		if err != nil || seconds < 0 {
+			return fallback
 		}
-		keep := time.Duration(stated) * time.Second
-		return max(keep-closeMargin, keep/4)
+		timeout := time.Duration(seconds) * time.Second
+		return max(timeout-closeMargin, timeout/4)
 	}
-	return unstated
+	return fallback
 }
--- a/lib/bfexchange/doc.go
+++ b/lib/bfexchange/doc.go
@@ -1,8 +1,8 @@
-// Package bfexchange sends one HTTP/1.1 request over one hop and reads the
-// answer that belongs to it.
+// Package bfexchange sends HTTP/1.1 requests over one hop and matches each answer to
+// its request.
 //
-// A target may send a second answer, or bytes that are no answer, after a
-// complete one; on a kept connection the next request would take them for its
-// own. Answers are therefore matched by the request's ID, and a connection is
-// kept only if nothing is left on it.
+// A target may send a second answer, or stray bytes, after a complete answer; on a
+// reused connection they would be taken for the answer to the next request. Answers are
+// therefore matched by request ID, and a connection is reused only if no unread bytes
+// are left on it.
 package bfexchange
--- a/lib/bfexchange/exchange_test.go
+++ b/lib/bfexchange/exchange_test.go
@@ -20,7 +20,7 @@
 
 const idHeader = "X-Test-Id"
 
-// peer is a scripted other end: serve is called for each connection, with its number from 1.
+// peer is a scripted server: serve is called for each connection, with its number from 1.
 type peer struct {
 	listener net.Listener
 	opened   atomic.Int32
@@ -54,7 +54,7 @@
 
 func (p *peer) address() string { return p.listener.Addr().String() }
 
-// readOne reads one request and gives its ID, "" at the end of the connection.
+// readOne reads one request and returns its ID, "" at the end of the connection.
 func readOne(in *bufio.Reader) string {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -89,16 +89,16 @@
 	return string(body), err
 }
 
-// A target answers request 1 twice. The second copy arrives where the answer to
-// request 2 is due, on the same connection. The caller of 2 must get its own.
-func TestAnswerOfAnotherRequestIsReadPast(t *testing.T) {
+// Guards against taking a duplicate answer to an earlier request for the answer to the
+// next one on the same connection.
+func TestMismatchedAnswerIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	held := make(chan struct{})
+	secondRead := make(chan struct{})
 	p := newPeer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		id := readOne(in)
 		_, _ = io.WriteString(c, answer(id, "first"))
 		second := readOne(in)
-		close(held)
+		close(secondRead)
 		_, _ = io.WriteString(c, answer(id, "late copy")+answer(second, "own"))
 		_ = readOne(in)
 	})
@@ -109,15 +109,14 @@
 	body, err = exchange(t, c, p.address(), "2")
 	is.NoErr(err)
 	is.Equal(body, "own")
-	<-held
-	is.Equal(p.opened.Load(), int32(1)) // both went over one connection
-	// A connection that brought a foreign answer is not used again.
+	<-secondRead
+	is.Equal(p.opened.Load(), int32(1)) // both requests used one connection
+	// A connection with a mismatched answer is not reused.
 	is.Equal(len(c.idle[p.address()]), 0)
 }
 
-// A target sends bytes after a whole answer. The connection must not be used
-// again: they would be read as the start of the next answer.
-func TestConnectionWithBytesLeftIsNotKept(t *testing.T) {
+// Guards against reading stray bytes after an answer as the start of the next one.
+func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for id := readOne(in); id != ""; id = readOne(in) {
@@ -133,24 +132,24 @@
 	is.Equal(p.opened.Load(), int32(3))
 }
 
-// The extra bytes come only after the connection was put away.
-func TestConnectionThatSpeaksWhileUnusedIsNotUsed(t *testing.T) {
+// Guards against stray bytes that arrive while the connection is idle.
+func TestConnectionWithStrayBytesWhileIdleIsNotReused(t *testing.T) {
 	is := is.New(t)
-	spoke := make(chan struct{}, 1)
+	sent := make(chan struct{}, 1)
 	p := newPeer(t, func(number int, c net.Conn, in *bufio.Reader) {
 		id := readOne(in)
 		_, _ = io.WriteString(c, answer(id, "whole"))
 		if number == 1 {
 			time.Sleep(50 * time.Millisecond)
 			_, _ = io.WriteString(c, answer(id, "again"))
-			spoke <- struct{}{}
+			sent <- struct{}{}
 		}
 		_ = readOne(in)
 	})
 	c := client()
 	_, err := exchange(t, c, p.address(), "1")
 	is.NoErr(err)
-	<-spoke
+	<-sent
 	time.Sleep(20 * time.Millisecond)
 	body, err := exchange(t, c, p.address(), "2")
 	is.NoErr(err)
@@ -158,9 +157,9 @@
 	is.Equal(p.opened.Load(), int32(2))
 }
 
-// A target closes an unused connection. The next request must go out on a new
-// one: written to the closed one its outcome would be unknown.
-func TestClosedConnectionIsNotUsed(t *testing.T) {
+// Guards against sending a request on a connection that the target has closed, where its
+// outcome would be unknown.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		_, _ = io.WriteString(c, answer(readOne(in), "whole"))
@@ -173,9 +172,8 @@
 	}
 }
 
-// An answer without a length ends with its connection. If that is reset, or a
-// length is not reached, the reader must see an error and not an end.
-func TestCutAnswerIsAnError(t *testing.T) {
+// A truncated answer must be reported as an error, whatever its framing.
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	cuts := map[string]func(c net.Conn, id string){
 		"length not reached": func(c net.Conn, id string) {
@@ -201,9 +199,9 @@
 	_ = is
 }
 
-// A target rejects a long body before it has read it, keeps the connection and
-// reads on. The next request's bytes would become the rest of that body.
-func TestConnectionWithUnsentBodyIsNotKept(t *testing.T) {
+// Guards against reusing a connection whose request body was not sent to its end: the
+// target would read the next request as the rest of that body.
+func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	p := newPeer(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -230,24 +228,23 @@
 	is.Equal(len(c.idle[p.address()]), 0)
 }
 
-func TestNotSentAndLostAreToldApart(t *testing.T) {
+func TestNotSentAndLostErrors(t *testing.T) {
 	is := is.New(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	closed.Close()
 	_, err = exchange(t, client(), closed.Addr().String(), "1")
 	var notSent *NotSentError
-	is.True(errors.As(err, &notSent)) // nobody listens
+	is.True(errors.As(err, &notSent)) // connection refused
 
 	p := newPeer(t, func(_ int, _ net.Conn, in *bufio.Reader) { _ = readOne(in) })
 	_, err = exchange(t, client(), p.address(), "1")
 	var lost *LostError
-	is.True(errors.As(err, &lost)) // read and not answered
+	is.True(errors.As(err, &lost)) // read but not answered
 }
 
-// A caller leaves while its request runs. The connection to the target must end
-// at once, since that is how the target learns of it.
-func TestCancelEndsTheConnection(t *testing.T) {
+// Cancelling a request closes its connection at once, which cancels it at the target.
+func TestCancelClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan time.Time, 1)
 	p := newPeer(t, func(_ int, _ net.Conn, in *bufio.Reader) {
@@ -266,7 +263,7 @@
 	}
 }
 
-func TestRequestGoesOutAsItCame(t *testing.T) {
+func TestRequestEncoding(t *testing.T) {
 	is := is.New(t)
 	var got strings.Builder
 	r := request("7")
@@ -280,22 +277,21 @@
 	is.True(strings.HasSuffix(got.String(), "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n4\r\nrest\r\n0\r\n\r\n"))
 }
 
-func TestKeptNoLongerThanThePeerKeeps(t *testing.T) {
+func TestIdleTimeoutFollowsKeepAlive(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]time.Duration{
 		"timeout=10": 9 * time.Second, "timeout=5, max=3": 4 * time.Second, "timeout=1": 250 * time.Millisecond,
 		"": 200 * time.Millisecond, "timeout=x": 200 * time.Millisecond, "timeout=0": 0,
 	} {
-		is.Equal(keepFor(http.Header{"Keep-Alive": {text}}, 200*time.Millisecond), want) // text
+		is.Equal(idleTimeoutOf(http.Header{"Keep-Alive": {text}}, 200*time.Millisecond), want) // text
 	}
 }
 
-// A target sheds most of what it gets, with a short word each time. The connection on
-// which it said so serves the next request: a new one for each would take the target's
-// time when it has least of it. A long body is not worth reading.
-func TestSkippedAnswerKeepsItsConnection(t *testing.T) {
+// Discarding a short answer keeps its connection in the pool; a long one closes it. Guards
+// against a target that sheds load having to accept a connection per request.
+func TestDiscardedAnswerKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
-	skip := func(body string) int32 {
+	connections := func(body string) int32 {
 		p := newPeer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 			for id := readOne(in); id != ""; id = readOne(in) {
 				_, _ = io.WriteString(c, answer(id, body))
@@ -306,12 +302,12 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			a, err := c.Send(ctx, p.address(), request(fmt.Sprint(i)))
 			is.NoErr(err)
-			a.Skip()
+			a.Discard()
 			cancel()
 		}
 		return p.opened.Load()
 	}
-	is.Equal(skip("shed"), int32(1))
-	is.Equal(skip(""), int32(1))
-	is.Equal(skip(strings.Repeat("x", 2*skipBytes)), int32(5))
+	is.Equal(connections("shed"), int32(1))
+	is.Equal(connections(""), int32(1))
+	is.Equal(connections(strings.Repeat("x", 2*maxDiscardBytes)), int32(5))
 }
--- a/lib/bfexchange/pool.go
+++ b/lib/bfexchange/pool.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-// Options of a Client.
+// Options configure a Client.
 type Options struct {
-	// IDHeader is the header in which an answer repeats its request's ID; empty takes any answer.
+	// IDHeader is the header in which an answer repeats its request's ID. If it is empty,
+	// answers are not matched.
 	IDHeader string
-	// DialTimeout bounds a new connection.
+	// DialTimeout bounds the setup of a connection.
 	DialTimeout time.Duration
-	// IdleUnstated is how long a connection is kept unused where the peer does not say how long it keeps it.
+	// IdleUnstated is how long an idle connection is kept if the peer does not send a
+	// Keep-Alive timeout.
 	IdleUnstated time.Duration
-	// Wrap makes what a new connection to an address is used through, nil for the
-	// connection itself.
+	// Wrap wraps each new connection to an address; nil means no wrapping.
 	Wrap func(address string, c net.Conn) net.Conn
 }
 
 const (
-	// probeInterval and probeCount find a connection whose peer is gone without
-	// a word within about four seconds.
-	probeInterval = time.Second
-	probeCount    = 3
-	// userTimeout is how long sent bytes may stay unacknowledged. A packet is
-	// sent again within a fraction of it on a sound link.
+	// keepAliveInterval and keepAliveCount detect a peer that vanished without closing its
+	// connection within about four seconds.
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
+	// userTimeout is how long sent bytes may stay unacknowledged. On a healthy link a lost
+	// packet is retransmitted well within it.
 	userTimeout = 3 * time.Second
-	// maxIdle bounds the unused connections to one address.
+	// maxIdle bounds the idle connections per address.
 	maxIdle = 64
 )
 
-// Client sends requests over connections that it keeps.
+// Client sends requests over pooled connections.
 type Client struct {
 	options Options
 	dialer  net.Dialer
@@ -43,7 +44,7 @@
 	idle map[string][]*conn
 }
 
-// New makes a client.
+// New makes a client without connections.
 func New(options Options) *Client {
 	return &Client{
 		options: options,
@@ -51,47 +52,47 @@
 		dialer: net.Dialer{
 			Timeout: options.DialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{
-				Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
+				Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount,
 			},
 			Control: setUserTimeout,
 		},
 	}
 }
 
-const tcpUserTimeout = 18 // TCP_USER_TIMEOUT, which package syscall does not name
+const tcpUserTimeout = 18 // TCP_USER_TIMEOUT, which package syscall lacks
 
-// setUserTimeout ends a connection whose sent bytes nobody acknowledges. Keep-alive
-// probes are not sent while bytes are in flight, so without it a request on a
-// connection that went silent would wait for its deadline.
+// setUserTimeout closes a connection whose sent bytes stay unacknowledged. Keep-alive
+// probes are not sent while bytes are in flight, so without it a request on a dead
+// connection would wait until its deadline.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sysErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
+		sysErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sysErr
 }
 
-// conn is one connection, used by one request at a time.
+// conn is a connection, used by one request at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
 	reused  bool
-	// keep is how long it may lie unused; freed is when it was last used.
-	keep  time.Duration
-	freed time.Time
+	// idleTimeout is how long it may be idle; idleSince is when it was last used.
+	idleTimeout time.Duration
+	idleSince   time.Time
 }
 
-// Warm opens a connection to address for the next request.
-func (c *Client) Warm(ctx context.Context, address string) error {
+// Preconnect opens a connection to address for the next request.
+func (c *Client) Preconnect(ctx context.Context, address string) error {
 	opened, err := c.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	c.give(opened)
+	c.put(opened)
 	return nil
 }
 
@@ -103,17 +104,17 @@
 	if c.options.Wrap != nil {
 		opened = c.options.Wrap(address, opened)
 	}
-	return &conn{Conn: opened, address: address, reader: bufio.NewReader(opened), keep: c.options.IdleUnstated}, nil
+	return &conn{Conn: opened, address: address, reader: bufio.NewReader(opened), idleTimeout: c.options.IdleUnstated}, nil
 }
 
-// take gives a connection to address, kept or new.
-func (c *Client) take(ctx context.Context, address string) (*conn, error) {
+// get returns a connection to address, pooled or new.
+func (c *Client) get(ctx context.Context, address string) (*conn, error) {
 	for {
-		kept := c.takeIdle(address)
+		kept := c.popIdle(address)
 		if kept == nil {
 			break
 		}
-		if time.Since(kept.freed) < kept.keep && kept.quiet() {
+		if time.Since(kept.idleSince) < kept.idleTimeout && kept.isClean() {
 			return kept, nil
 		}
 		kept.Close()
@@ -121,7 +122,7 @@
 	return c.dial(ctx, address)
 }
 
-func (c *Client) takeIdle(address string) *conn {
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.idle[address]
@@ -133,10 +134,10 @@
 	return last
 }
 
-// quiet reports whether nothing came on an unused connection: neither its end
-// nor bytes. Bytes would be a late second answer, and the connection is not used
-// any more; an end would make the next request's outcome unknown.
-func (k *conn) quiet() bool {
+// isClean reports whether an idle connection has neither been closed by the peer nor
+// received bytes. Stray bytes would be taken for the next answer, and on a closed
+// connection the next request's outcome would be unknown.
+func (k *conn) isClean() bool {
 	if k.reader.Buffered() > 0 {
 		return false
 	}
@@ -151,19 +152,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	clean := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, failed := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = failed == syscall.EAGAIN
+		_, _, sysErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		clean = sysErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && clean
 }
 
-// give keeps a connection for the next request.
-func (c *Client) give(k *conn) {
-	k.reused, k.freed = true, time.Now()
+// put returns a connection to the pool.
+func (c *Client) put(k *conn) {
+	k.reused, k.idleSince = true, time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[k.address]) >= maxIdle {
@@ -173,11 +174,11 @@
 	c.idle[k.address] = append(c.idle[k.address], k)
 }
 
-// Forget closes the unused connections to address.
+// CloseIdle closes the idle connections to address.
 //
-// Something between two ends can lose track of their connections while new ones
-// work; each of the kept ones would cost a request.
-func (c *Client) Forget(address string) {
+// A middlebox can drop the state of existing connections while new ones work; each pooled
+// connection would then cost one request.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	kept := c.idle[address]
 	delete(c.idle, address)
@@ -187,14 +188,14 @@
 	}
 }
 
-// Sweep closes connections that lay unused for as long as they may.
+// Sweep closes the connections that have exceeded their idle timeout.
 func (c *Client) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, kept := range c.idle {
 		left := kept[:0]
 		for _, k := range kept {
-			if now.Sub(k.freed) < k.keep {
+			if now.Sub(k.idleSince) < k.idleTimeout {
 				left = append(left, k)
 			} else {
 				k.Close()
--- a/lib/bfexchange/request.go
+++ b/lib/bfexchange/request.go
@@ -10,69 +10,69 @@
 	"sync"
 )
 
-// Chunked is the length of a body that is sent in chunks.
+// Chunked is the Length of a body that is sent with chunked transfer encoding.
 const Chunked = -1
 
-// Request is one request of a hop.
+// Request is a request as sent over one hop.
 type Request struct {
 	Method string
-	// Target is the path and query as they stood in the request line.
+	// Target is the path and query, unchanged from the received request line.
 	Target string
 	Host   string
 	Header http.Header
-	// ID is what the answer must repeat; an empty one takes any answer.
+	// ID is what the answer must repeat. If it is empty, any answer is accepted.
 	ID string
-	// Head is the beginning of the body, or all of it; it can be sent again.
+	// Head is the beginning of the body, or all of it. It can be sent more than once.
 	Head []byte
-	// Rest is what follows Head, nil where nothing does; it can be read once.
+	// Rest is the remainder of the body, nil if Head is complete. It can be read once.
 	Rest io.Reader
-	// Length of the body in bytes, or Chunked.
+	// Length is the length of the body in bytes, or Chunked.
 	Length int64
 }
 
-// NotSentError reports a request of which no byte left: it has not run.
+// NotSentError reports a request of which no byte was sent: it has not run.
 type NotSentError struct {
 	Address string
 	Reason  error
 }
 
-// Error names the address and the reason.
+// Error includes the address and the reason.
 func (e *NotSentError) Error() string { return fmt.Sprintf("not sent to %s: %v", e.Address, e.Reason) }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *NotSentError) Unwrap() error { return e.Reason }
 
-// LostError reports a request that was sent and brought no answer: it may have run.
+// LostError reports a request that was sent and not answered: it may have run.
 type LostError struct {
 	Address string
-	// Reused says that the connection had carried requests before.
+	// Reused is set if the connection had carried earlier requests.
 	Reused bool
 	Reason error
 }
 
-// Error names the address and the reason.
+// Error includes the address and the reason.
 func (e *LostError) Error() string { return fmt.Sprintf("no answer from %s: %v", e.Address, e.Reason) }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *LostError) Unwrap() error { return e.Reason }
 
 var headerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// countingWriter knows whether any byte left.
+// countingWriter counts the bytes written.
 type countingWriter struct {
 	io.Writer
 	written int64
 }
 
-// Write counts what it writes.
+// Write writes p and counts the bytes written.
 func (w *countingWriter) Write(p []byte) (int, error) {
 	n, err := w.Writer.Write(p)
 	w.written += int64(n)
 	return n, err
 }
 
-// write sends the request; header and head go in one write, so that a small
-// request is one packet.
+// write sends the request. Header and Head go in one write, so that a small request fits
+// one packet.
 func (r *Request) write(to io.Writer) error {
 	buffer := headerBuffers.Get().(*bytes.Buffer)
 	defer headerBuffers.Put(buffer)
@@ -138,8 +138,8 @@
 		if n > 0 {
 			buffer.Reset()
 			writeChunk(buffer, piece[:n])
-			if _, failed := to.Write(buffer.Bytes()); failed != nil {
-				return failed
+			if _, writeErr := to.Write(buffer.Bytes()); writeErr != nil {
+				return writeErr
 			}
 		}
 		if errors.Is(err, io.EOF) {
--- a/lib/bfexchange/writers.go
+++ b/lib/bfexchange/writers.go
@@ -6,7 +6,7 @@
 	"bilberryflow.org/lib/bfgroup"
 )
 
-// bodyWriters holds the goroutines that write long bodies.
+// bodyWriters runs the goroutines that write long bodies.
 type bodyWriters struct{ group *bfgroup.Group }
 
 var writers = bodyWriters{group: bfgroup.New(context.Background())}
--- a/lib/bfhost/flight.go
+++ b/lib/bfhost/flight.go
@@ -34,7 +34,7 @@
 	return bfflight.New(bfflight.Options{
 		Book: h.parts.Quarantine, Now: h.parts.Timer.Now, Crashed: h.crashed,
 		// A connection that opens is kept for the next request: the lost one has cost its own.
-		Dial: h.parts.Client.Warm,
+		Dial: h.parts.Client.Preconnect,
 	})
 }
 
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -289,7 +289,7 @@
 	}
 	if from.Header().Get(h.parts.Names.NotRun) != "" {
 		status := from.Status()
-		from.Skip()
+		from.Discard()
 		finish()
 		return Shed{Status: status}
 	}
