--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -111,7 +111,7 @@
 // isFinal reports whether no other target is asked after a refusal. The nodes share the
 // budgets by which one of them refuses a repeat: the others hold as little.
 func (c *call) isFinal(refused bfhost.Refused) bool {
-	if refused.Reason == bfhost.Unborne {
+	if refused.Reason == bfhost.OverBudget {
 		c.handler.metrics.unborne()
 		return true
 	}
@@ -324,12 +324,12 @@
 	end := c.handler.parts.Host.Run(ctx, bfhost.Job{Request: &request, Deadline: c.deadline, Policy: c.policy()})
 	used, slots := c.handler.parts.Host.Load()
 	target.Told(used, slots, c.handler.parts.Timer.Now())
-	c.follow(target, c.handler.parts.Host.Track(c.route.Name()))
+	c.follow(target, c.handler.parts.Host.Health(c.route.Name()))
 	return end
 }
 
 // follow takes how a target fares, by its node's word.
-func (c *call) follow(target *bffleet.Target, track bfhost.Track) {
+func (c *call) follow(target *bffleet.Target, track bfhost.Health) {
 	slowness := 0.0
 	if track.Running > 0 {
 		if usual := c.handler.running.of(c.route.Name()); usual > 0 {
--- a/lib/bfentry/policy.go
+++ b/lib/bfentry/policy.go
@@ -12,8 +12,8 @@
 	return bfhost.Policy{
 		Class: c.route.Name(), Service: c.service, Rank: c.route.Rank(), Nested: c.parent != nil,
 		Repeat: c.sent > 0, Inherited: c.parent != nil && c.parent.IsRepeat(),
-		Repeatable: c.route.Kind().Repeatable(), Late: c.late(), Patience: c.patience(),
-		LinkPatience: c.linkPatience(),
+		Repeatable: c.route.Kind().Repeatable(), Late: c.late(), MaxSlotWait: c.patience(),
+		MaxLinkWait: c.linkPatience(),
 	}
 }
 
--- a/lib/bfentry/refusal.go
+++ b/lib/bfentry/refusal.go
@@ -75,7 +75,7 @@
 // merely that it does not take this request now.
 func speaksOfTarget(reason bfhost.Reason) bool {
 	switch reason {
-	case bfhost.Full, bfhost.Unborne, bfhost.Quarantined:
+	case bfhost.Full, bfhost.OverBudget, bfhost.Quarantined:
 		return false
 	}
 	return true
@@ -83,7 +83,7 @@
 
 // key is what the request is known by over all its attempts.
 func (c *call) key() bfquarantine.Key {
-	return bfquarantine.KeyOf(bfhost.Asked(c.request, c.handler.parts.Names.CallerService))
+	return bfquarantine.KeyOf(bfhost.QuarantineRequest(c.request, c.handler.parts.Names.CallerService))
 }
 
 // held is the refusal of a request under which targets end: no target is asked.
--- a/lib/bfentry/remote.go
+++ b/lib/bfentry/remote.go
@@ -26,7 +26,7 @@
 	var notSent *bfexchange.NotSentError
 	switch {
 	case errors.As(err, &notSent) && c.request.Rest == nil:
-		return bfhost.Refused{Reason: bfhost.Unreached, Err: err}
+		return bfhost.Refused{Reason: bfhost.Unreachable, Err: err}
 	case err != nil && !parts.Timer.Now().Before(c.deadline):
 		return bfhost.Expired{Sent: true}
 	case err != nil:
@@ -42,7 +42,7 @@
 		target.Told(used, slots, now)
 		target.ToldBacklog(bfhost.ReadBacklog(from.Header()), now)
 	}
-	if track, told := bfhost.ReadTrack(from.Header()); told {
+	if track, told := bfhost.ReadHealth(from.Header()); told {
 		c.follow(target, track)
 	}
 	if result, ok := bfhost.ReadResult(from.Header()); ok {
@@ -50,7 +50,7 @@
 		return result
 	}
 	spent := bfhost.ReadSpent(from.Header())
-	answer, err := bfhost.ReadAnswer(from, bfhost.HoldAtEntry, func() {})
+	answer, err := bfhost.ReadAnswer(from, bfhost.EntryBufferBytes, func() {})
 	if err != nil {
 		if !now.Before(c.deadline) {
 			return bfhost.Expired{Sent: true}
--- a/lib/bfhost/doc.go
+++ b/lib/bfhost/doc.go
@@ -1,7 +1,8 @@
-// Package bfhost is the node's side towards the target beside it: it knows the
-// target's incarnation and state, admits requests to its slots, hands each over
+// Package bfhost manages the target on the node's own machine: it tracks the
+// target's incarnation and state, admits requests to its slots, sends each request
 // once and reads the answer.
 //
-// A target is reached only through the node beside it. What that node decides on
-// slots, draining and incarnations is therefore exact, whatever others believe.
+// A target is reachable only through its own node, so the node's decisions on
+// slots, draining and incarnations are authoritative, whatever state other nodes
+// have gossiped.
 package bfhost
--- a/lib/bfhost/flight.go
+++ b/lib/bfhost/flight.go
@@ -9,64 +9,65 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// Asked is what a request asks for; callerHeader names on whose behalf.
+// QuarantineRequest describes a request to the quarantine; callerHeader is the header with
+// the caller's service.
 //
-// A caller may send the same body with its length or in chunks, so the length that the
-// request states does not count.
-func Asked(r *bfexchange.Request, callerHeader string) bfquarantine.Request {
+// The stated length is ignored, since a caller may send the same body with a
+// Content-Length or chunked.
+func QuarantineRequest(r *bfexchange.Request, callerHeader string) bfquarantine.Request {
 	caller := ""
 	if named := r.Header[callerHeader]; len(named) > 0 {
 		caller = named[0]
 	}
-	asked := bfquarantine.Request{Method: r.Method, Host: r.Host, Target: r.Target, Caller: caller, Body: r.Head, Length: int64(len(r.Head))}
+	request := bfquarantine.Request{Method: r.Method, Host: r.Host, Target: r.Target, Caller: caller, Body: r.Head, Length: int64(len(r.Head))}
 	if r.Rest != nil {
-		asked.Length = bfquarantine.LongBody
+		request.Length = bfquarantine.LongBody
 	}
-	return asked
+	return request
 }
 
-func (h *Host) asked(job Job) bfquarantine.Request {
-	return Asked(job.Request, h.parts.Names.CallerService)
+func (h *Host) quarantineRequest(job Job) bfquarantine.Request {
+	return QuarantineRequest(job.Request, h.parts.Names.CallerService)
 }
 
-// newFlights makes the register of what the target works on.
+// newFlights makes the register of the requests in flight at the target.
 func (h *Host) newFlights() *bfflight.Register {
 	return bfflight.New(bfflight.Options{
 		Book: h.parts.Quarantine, Now: h.parts.Timer.Now, Crashed: h.crashed,
-		// A connection that opens is kept for the next request: the lost one has cost its own.
+		// A successful dial leaves an idle connection, which replaces the broken one.
 		Dial: h.parts.Client.Preconnect,
 	})
 }
 
-// crashed takes the end of the target.
+// crashed records a crash of the target.
 func (h *Host) crashed(crash bfflight.Crash) {
 	h.mu.Lock()
-	h.book.crash(crash.Target.(flightTarget).heartbeat)
+	h.tracker.crash(crash.Target.(flightTarget).heartbeat)
 	h.mu.Unlock()
 	if h.parts.Crashed != nil {
 		h.parts.Crashed(crash)
 	}
 }
 
-// flightTarget is a target as the register of flights knows it.
+// flightTarget is a start of the target in the register of flights.
 type flightTarget struct {
 	host *Host
 	*Target
 }
 
-// Name tells the start from every other one.
+// Name identifies the start of the target.
 func (f flightTarget) Name() string {
 	return f.Address() + " " + f.Incarnation() + " " + f.Started().Format(time.RFC3339Nano)
 }
 
-// Fate is what was heard of the target.
+// Fate is the state of this start of the target as of the latest heartbeat or departure.
 func (f flightTarget) Fate() bfflight.Fate {
 	f.host.mu.Lock()
 	defer f.host.mu.Unlock()
-	current := f.host.book.current
+	current := f.host.tracker.current
 	same := current != nil && current.isStart(f.heartbeat)
 	switch {
-	case f.host.book.hasLeft(f.heartbeat), same && !current.takes:
+	case f.host.tracker.hasLeft(f.heartbeat), same && !current.acceptsWork:
 		return bfflight.Left
 	case current != nil && !same:
 		return bfflight.Succeeded
@@ -74,12 +75,12 @@
 	return bfflight.Present
 }
 
-// notBegun is the refusal of a request that the register did not take.
-func notBegun(err error) Result {
-	var held *bfflight.HeldError
-	if errors.As(err, &held) {
-		return Refused{Reason: Quarantined, RetryAfter: held.For}
+// flightRefusal is the refusal of a request that the register of flights rejected.
+func flightRefusal(err error) Result {
+	var quarantined *bfflight.HeldError
+	if errors.As(err, &quarantined) {
+		return Refused{Reason: Quarantined, RetryAfter: quarantined.For}
 	}
-	// Another target may run it apart.
+	// Another target may be free to run the suspected request alone.
 	return Refused{Reason: Full}
 }
--- a/lib/bfhost/hop.go
+++ b/lib/bfhost/hop.go
@@ -13,14 +13,14 @@
 // policyHeader carries a Policy from the entry to the target's node.
 const policyHeader = bfheader.Policy
 
-// WritePolicy puts the policy into the header of a request between nodes.
+// WritePolicy writes the policy to the header of a request between nodes.
 func WritePolicy(h http.Header, p Policy) {
 	h[policyHeader] = []string{fmt.Sprintf("%s %d %s %s %s %s %s %d %d %s", p.Service, p.Rank, flag(p.Nested, flagNested),
 		flag(p.Repeatable, flagRepeatable), flag(p.Repeat, flagRepeat), flag(p.Inherited, flagInherited), flag(p.Late, flagLate),
-		p.Patience.Milliseconds(), p.LinkPatience.Milliseconds(), p.Class)}
+		p.MaxSlotWait.Milliseconds(), p.MaxLinkWait.Milliseconds(), p.Class)}
 }
 
-// Words of a written policy.
+// Flags of an encoded policy.
 const (
 	flagNested     = "nested"
 	flagRepeatable = "repeatable"
@@ -36,16 +36,16 @@
 	return "-"
 }
 
-// PolicyError reports a policy that can't be read.
+// PolicyError reports a policy header that can't be parsed.
 type PolicyError struct{ Text string }
 
-// Error gives the text.
-func (e *PolicyError) Error() string { return fmt.Sprintf("unreadable policy %q", e.Text) }
+// Error includes the header's value.
+func (e *PolicyError) Error() string { return fmt.Sprintf("malformed policy header %q", e.Text) }
 
-// policyFields is the number of fields of a written policy.
+// policyFields is the number of fields of an encoded policy.
 const policyFields = 10
 
-// ReadPolicy reads what WritePolicy wrote.
+// ReadPolicy parses what WritePolicy wrote. Its errors are of type PolicyError.
 func ReadPolicy(h http.Header) (Policy, error) {
 	text := h.Get(policyHeader)
 	fields := strings.SplitN(text, " ", policyFields)
@@ -67,33 +67,32 @@
 	return Policy{
 		Service: fields[0], Rank: rank, Nested: fields[2] == flagNested, Repeatable: fields[3] == flagRepeatable,
 		Repeat: fields[4] == flagRepeat, Inherited: fields[5] == flagInherited, Late: fields[6] == flagLate,
-		Patience: time.Duration(patience) * time.Millisecond, LinkPatience: time.Duration(linkPatience) * time.Millisecond,
+		MaxSlotWait: time.Duration(patience) * time.Millisecond, MaxLinkWait: time.Duration(linkPatience) * time.Millisecond,
 		Class: fields[9],
 	}, nil
 }
 
-// WriteLoad puts the target's load into the header of an answer between nodes.
+// WriteLoad writes the target's load to the header of an answer between nodes.
 func WriteLoad(h http.Header, used, slots int) {
 	h[bfheader.Load] = []string{strconv.Itoa(used) + "/" + strconv.Itoa(slots)}
 }
 
-// ReadLoad reads what WriteLoad wrote.
-func ReadLoad(h http.Header) (used, slots int, told bool) {
+// ReadLoad parses what WriteLoad wrote; ok is false if the header is missing or malformed.
+func ReadLoad(h http.Header) (used, slots int, ok bool) {
 	before, after, found := strings.Cut(h.Get(bfheader.Load), "/")
 	used, errUsed := strconv.Atoi(before)
 	slots, errSlots := strconv.Atoi(after)
 	return used, slots, found && errUsed == nil && errSlots == nil
 }
 
-// WriteBacklog tells another node how long this one's link takes for the long
-// answers in progress.
+// WriteBacklog writes how long the node's link needs for the long answers in progress.
 func WriteBacklog(h http.Header, backlog time.Duration) {
 	if backlog > 0 {
 		h[bfheader.Backlog] = []string{strconv.FormatInt(backlog.Milliseconds(), 10)}
 	}
 }
 
-// ReadBacklog reads what WriteBacklog wrote, 0 where nothing was.
+// ReadBacklog parses what WriteBacklog wrote, 0 if the header is missing or malformed.
 func ReadBacklog(h http.Header) time.Duration {
 	backlog, err := strconv.ParseInt(h.Get(bfheader.Backlog), 10, 64)
 	if err != nil {
@@ -102,12 +101,12 @@
 	return time.Duration(backlog) * time.Millisecond
 }
 
-// WriteSpent puts the time spent at a target's node into the header of an answer between nodes.
+// WriteSpent writes the time spent at a target's node to the header of an answer between nodes.
 func WriteSpent(h http.Header, s Spent) {
 	h[bfheader.Spent] = []string{strconv.FormatInt(s.Wait.Microseconds(), 10) + "/" + strconv.FormatInt(s.Run.Microseconds(), 10)}
 }
 
-// ReadSpent reads what WriteSpent wrote, zero where nothing was.
+// ReadSpent parses what WriteSpent wrote, zero if the header is missing or malformed.
 func ReadSpent(h http.Header) Spent {
 	before, after, _ := strings.Cut(h.Get(bfheader.Spent), "/")
 	wait, errWait := strconv.ParseInt(before, 10, 64)
@@ -118,7 +117,7 @@
 	return Spent{Wait: time.Duration(wait) * time.Microsecond, Run: time.Duration(run) * time.Microsecond}
 }
 
-// Values of the outcome that a node tells another one beside a status.
+// Values of the outcome header between nodes.
 const (
 	outcomeRefused = "refused"
 	outcomeShed    = "shed"
@@ -126,8 +125,8 @@
 	outcomeExpired = "expired"
 )
 
-// ReadResult reads the end of a job from the header of another node's answer; ok
-// is false where the answer is the target's own.
+// ReadResult parses the result of a job from the header of another node's answer; ok is
+// false if the answer is the target's own.
 func ReadResult(h http.Header) (result Result, ok bool) {
 	switch h.Get(bfheader.Outcome) {
 	case outcomeRefused:
@@ -142,7 +141,7 @@
 	return nil, false
 }
 
-// writeResult tells another node the end of a job that brought no answer.
+// writeResult answers another node with the result of a job that has no target answer.
 func writeResult(w http.ResponseWriter, result Result) {
 	h := w.Header()
 	status := http.StatusBadGateway
@@ -165,7 +164,7 @@
 	w.WriteHeader(status)
 }
 
-// printable makes a text fit for a header.
+// printable replaces characters that are not allowed in a header by spaces.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -19,89 +19,90 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Parts is what a Host works with.
+// Parts are the dependencies of a Host.
 type Parts struct {
 	Service string
 	Names   bfheader.Names
 	Client  *bfexchange.Client
 	Timer   *bftimer.Service
-	// Account is the node's own part of the fleet's budgets of repeats.
+	// Account is the node's share of the fleet's retry budgets.
 	Account *bfbudget.Account
-	// Changed is called after each change of what is believed of the target, nil where none is.
+	// Changed is called with the new view of the target after each change; nil means that
+	// there is no target.
 	Changed func(*Target)
-	// Quarantine holds the requests under which targets end; nil is an empty one.
+	// Quarantine holds the requests that crash targets; nil means empty.
 	Quarantine *bfquarantine.Book
-	// Crashed is called after the target's end without a word, nil where nobody asks.
+	// Crashed is called after a crash of the target; nil is allowed.
 	Crashed func(bfflight.Crash)
 }
 
-// Host is the node's side towards its target.
+// Host manages the node's target.
 type Host struct {
-	parts  Parts
-	gate   *bfslot.Gate
-	mu     sync.Mutex
-	book   book
-	target atomic.Pointer[Target]
-	// leaving says that the node itself takes no new work.
+	parts   Parts
+	gate    *bfslot.Gate
+	mu      sync.Mutex
+	tracker targetTracker
+	target  atomic.Pointer[Target]
+	// leaving is set once the node accepts no new requests for its target.
 	leaving atomic.Bool
-	// running counts the requests that the target works on, and those of other nodes
-	// whose answers are on their way.
-	running atomic.Int64
-	failing failing
-	// runs holds a bfbudget.Run for the ID of each request that the target works on.
+	// inProgress counts the requests in progress at the target, and the requests of other
+	// nodes whose answers are still being sent.
+	inProgress atomic.Int64
+	failures   failureShare
+	// runs maps the ID of each request in progress to its *bfbudget.Run.
 	runs    sync.Map
 	flights *bfflight.Register
 }
 
-// New makes a host that has not heard of its target.
+// New makes a Host without a target.
 func New(parts Parts) *Host {
 	if parts.Quarantine == nil {
 		parts.Quarantine = bfquarantine.New("")
 	}
 	h := &Host{
-		parts: parts,
-		gate:  bfslot.New(parts.Timer),
-		book:  book{service: parts.Service},
+		parts:   parts,
+		gate:    bfslot.New(parts.Timer),
+		tracker: targetTracker{service: parts.Service},
 	}
 	h.flights = h.newFlights()
 	return h
 }
 
-// Heard takes a heartbeat of the target.
+// Heard applies a heartbeat of the target.
 func (h *Host) Heard(beat Heartbeat) {
 	now := h.parts.Timer.Now()
-	h.change(func(b *book) bool { return b.hear(beat, now) })
+	h.change(func(b *targetTracker) bool { return b.heartbeat(beat, now) })
 }
 
-// Recall takes what this node wrote down of its target before it was started anew, while
-// the target has not spoken to it yet.
+// Recall sets the target from the row that this node stored before it restarted. It
+// has no effect once the target has sent a message.
 //
-// Targets speak every 1.5 s. A node that is started again beside one that works on would
-// refuse all work for it until then, 0.4 s in the mean, and the others would pass it over
-// for longer. The target's incarnation goes with each request, so that another one at the
-// address refuses it.
+// Targets send heartbeats every 1.5 s. Without the stored row, a restarted node would refuse
+// all requests for a running target until the next one, and other nodes would avoid the
+// target for even longer. Each request carries the incarnation, so a different target at
+// the address refuses it.
 func (h *Host) Recall(target Heartbeat) {
 	now := h.parts.Timer.Now()
-	h.change(func(b *book) bool { return b.recall(target, now) })
+	h.change(func(b *targetTracker) bool { return b.restore(target, now) })
 }
 
-// Left takes the target's departure.
+// Left applies the target's departure.
 func (h *Host) Left(departure Departure) {
 	now := h.parts.Timer.Now()
-	h.change(func(b *book) bool { return b.leave(departure, now) })
+	h.change(func(b *targetTracker) bool { return b.departure(departure, now) })
 }
 
-func (h *Host) change(fn func(*book) bool) {
+func (h *Host) change(fn func(*targetTracker) bool) {
 	if target, changed := h.update(fn); changed {
 		h.parts.Changed(target)
 	}
 }
 
-func (h *Host) update(fn func(*book) bool) (*Target, bool) {
+func (h *Host) update(fn func(*targetTracker) bool) (*Target, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	changed := fn(&h.book)
-	target := h.book.current
+	changed := fn(&h.tracker)
+	target := h.tracker.current
 	h.target.Store(target)
 	if changed && target != nil {
 		h.gate.Resize(target.Slots())
@@ -109,51 +110,51 @@
 	return target, changed
 }
 
-// Target is what is believed of the target, nil before its first heartbeat.
+// Target is the current view of the target, nil before its first heartbeat.
 func (h *Host) Target() *Target { return h.target.Load() }
 
-// Load is how many of the target's slots are in use, and how many there are.
+// Load is the number of the target's slots in use and in total.
 func (h *Host) Load() (used, slots int) { return h.gate.Load() }
 
-// Leave has the node take no new work for its target.
+// Leave makes the node refuse new requests for its target.
 func (h *Host) Leave() { h.leaving.Store(true) }
 
-// Leaving reports whether the node takes no new work for its target.
+// Leaving reports whether the node refuses new requests for its target.
 func (h *Host) Leaving() bool { return h.leaving.Load() }
 
-// Running is 0 once the target works on nothing and no answer is on its way to
-// another node.
-func (h *Host) Running() int64 { return h.running.Load() }
+// Running is the number of requests in progress at the target, plus the answers that are
+// still being sent to other nodes.
+func (h *Host) Running() int64 { return h.inProgress.Load() }
 
-// usable gives the target if it takes new work of the service.
+// usableTarget returns the target if it accepts requests of the service, else a refusal.
 //
-// An address can come back with another service behind it while others still
-// know the old one there: they would have one service run the other's requests.
-func (h *Host) usable(service string) (*Target, Result) {
+// An address can be reused by a target of another service while other nodes still have
+// the old one; the service check keeps that target from running their requests.
+func (h *Host) usableTarget(service string) (*Target, Result) {
 	target := h.target.Load()
 	switch {
 	case service != h.parts.Service:
-		return nil, Refused{Reason: OtherService}
+		return nil, Refused{Reason: WrongService}
 	case target == nil || target.isStale(h.parts.Timer.Now()):
 		return nil, Refused{Reason: NoTarget}
-	case !target.takes || h.leaving.Load():
+	case !target.acceptsWork || h.leaving.Load():
 		return nil, Refused{Reason: Leaving}
 	}
 	return target, nil
 }
 
-// Run hands a job to the target, if it has a slot for it, and reads the answer.
+// Run sends a job to the target, once a slot is free, and reads the answer.
 func (h *Host) Run(ctx context.Context, job Job) Result {
-	if _, refused := h.usable(job.Policy.Service); refused != nil {
+	if _, refused := h.usableTarget(job.Policy.Service); refused != nil {
 		return refused
 	}
-	asked := h.asked(job)
-	if err := h.flights.Check(asked); err != nil {
-		return notBegun(err)
+	request := h.quarantineRequest(job)
+	if err := h.flights.Check(request); err != nil {
+		return flightRefusal(err)
 	}
-	came := h.parts.Timer.Now()
+	arrived := h.parts.Timer.Now()
 	slot, err := h.gate.Acquire(ctx, bfslot.Request{
-		Class: job.Policy.Class, Nested: job.Policy.Nested, Late: job.Policy.Late, Rank: job.Policy.Rank, Patience: job.Policy.Patience,
+		Class: job.Policy.Class, Nested: job.Policy.Nested, Late: job.Policy.Late, Rank: job.Policy.Rank, Patience: job.Policy.MaxSlotWait,
 	})
 	var full *bfslot.FullError
 	switch {
@@ -163,42 +164,42 @@
 		return Expired{}
 	}
 	// The target may have begun to drain while the request waited.
-	target, refused := h.usable(job.Policy.Service)
+	target, refused := h.usableTarget(job.Policy.Service)
 	if refused != nil {
 		slot.Release()
 		return refused
 	}
-	// Targets may have ended under the request while it waited.
-	flight, err := h.flights.Begin(flightTarget{h, target}, job.Request.ID, asked)
+	// The request may have crashed other targets while it waited.
+	flight, err := h.flights.Begin(flightTarget{h, target}, job.Request.ID, request)
 	if err != nil {
 		slot.Release()
-		return notBegun(err)
+		return flightRefusal(err)
 	}
-	run, borne := h.parts.Account.Begin(job.Policy.Class, job.Policy.origin())
-	if !borne {
+	run, ok := h.parts.Account.Begin(job.Policy.Class, job.Policy.origin())
+	if !ok {
 		flight.End()
 		slot.Release()
-		return Refused{Reason: Unborne}
+		return Refused{Reason: OverBudget}
 	}
-	h.begin(job, run)
-	end := h.hand(ctx, job, handover{target, flight}, func() {
-		h.end(job, run)
+	h.beginRun(job, run)
+	result := h.sendToTarget(ctx, job, handover{target, flight}, func() {
+		h.endRun(job, run)
 		flight.End()
 		slot.Release()
 	})
-	h.failing.judge(end)
-	if answered, ok := end.(Answered); ok {
+	h.failures.record(result)
+	if answered, ok := result.(Answered); ok {
 		flight.Answered()
-		answered.Answer.Spent = Spent{Wait: flight.Began().Sub(came), Run: h.parts.Timer.Now().Sub(flight.Began())}
+		answered.Answer.Spent = Spent{Wait: flight.Began().Sub(arrived), Run: h.parts.Timer.Now().Sub(flight.Began())}
 	}
-	return end
+	return result
 }
 
-// nestedSeparator stands between a parent's ID and the rest of its nested call's.
+// nestedSeparator separates the parent's request ID from the suffix of a nested call's ID.
 const nestedSeparator = "."
 
-// Parent finds the run in which the request of that ID is nested, nil where the
-// target works on none.
+// Parent finds the run that made the nested call with this ID, nil if the target is not
+// running such a request.
 func (h *Host) Parent(id string) *bfbudget.Run {
 	at := strings.LastIndex(id, nestedSeparator)
 	if at < 0 {
@@ -211,37 +212,38 @@
 	return found.(*bfbudget.Run)
 }
 
-func (h *Host) begin(job Job, run *bfbudget.Run) {
-	h.running.Add(1)
+func (h *Host) beginRun(job Job, run *bfbudget.Run) {
+	h.inProgress.Add(1)
 	h.runs.Store(job.Request.ID, run)
 }
 
-func (h *Host) end(job Job, run *bfbudget.Run) {
+func (h *Host) endRun(job Job, run *bfbudget.Run) {
 	h.runs.Delete(job.Request.ID)
 	run.End()
-	h.running.Add(-1)
+	h.inProgress.Add(-1)
 }
 
-// handover is a request in the hands of a target.
+// handover is a request sent to a target.
 type handover struct {
 	target *Target
 	flight *bfflight.Flight
 }
 
-// answerMargin is how long after its deadline a target's answer is waited for:
-// at the deadline the target answers on its own, and that answer is on its way.
+// answerMargin is the extra wait for an answer after the deadline: a target that answers
+// at the deadline needs time to transmit.
 const answerMargin = 100 * time.Millisecond
 
-// hand sends the job to the target; done is called when the target works on it no more.
-func (h *Host) hand(ctx context.Context, job Job, to handover, done func()) Result {
+// sendToTarget sends the job to the target; done is called when the request no longer
+// occupies it.
+func (h *Host) sendToTarget(ctx context.Context, job Job, to handover, done func()) Result {
 	left := job.Deadline.Sub(h.parts.Timer.Now())
 	if left <= 0 {
 		done()
 		return Expired{}
 	}
 	if !job.Policy.Repeatable {
-		// The target goes on with such a request also when its caller has left;
-		// a closed connection would leave its outcome unknown to everyone.
+		// The target finishes such a request even if its caller disconnects: closing
+		// the connection would leave its outcome unknown.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, left+answerMargin)
@@ -258,17 +260,18 @@
 	case errors.As(err, &notSent):
 		finish()
 		if job.Request.Rest != nil {
-			// A part of the body may have been read from the caller.
+			// Part of the body may have been consumed, so the request can't be sent again.
 			return Lost{Reason: err.Error()}
 		}
-		return Refused{Reason: Unreached, Err: err}
+		return Refused{Reason: Unreachable, Err: err}
 	case err != nil:
 		defer finish()
 		return h.lost(ctx, err, job, to)
 	}
-	return h.take(ctx, answer, to, finish, job)
+	return h.readResponse(ctx, answer, to, finish, job)
 }
 
+// lost is the result of a request whose answer did not arrive.
 func (h *Host) lost(ctx context.Context, err error, job Job, to handover) Result {
 	if !h.parts.Timer.Now().Before(job.Deadline) {
 		return Expired{Sent: true}
@@ -277,14 +280,14 @@
 	return Lost{Reason: err.Error()}
 }
 
-// take reads the answer, or the target's word that it did not run the request.
-func (h *Host) take(ctx context.Context, from *bfexchange.Answer, to handover, finish func(), job Job) Result {
+// readResponse reads the answer, or the target's statement that it did not run the request.
+func (h *Host) readResponse(ctx context.Context, from *bfexchange.Answer, to handover, finish func(), job Job) Result {
 	if from.Status() == http.StatusMisdirectedRequest {
-		// Another incarnation has the address; nothing runs until it is heard of.
+		// The address belongs to another incarnation; refuse requests until its first heartbeat.
 		from.Close()
 		finish()
 		now := h.parts.Timer.Now()
-		h.change(func(b *book) bool { return b.replaced(to.target.Incarnation(), now) })
+		h.change(func(b *targetTracker) bool { return b.misdirected(to.target.Incarnation(), now) })
 		return Refused{Reason: NoTarget}
 	}
 	if from.Header().Get(h.parts.Names.NotRun) != "" {
@@ -293,7 +296,7 @@
 		finish()
 		return Shed{Status: status}
 	}
-	answer, err := ReadAnswer(from, HoldAtTarget, finish)
+	answer, err := ReadAnswer(from, TargetBufferBytes, finish)
 	if err != nil {
 		defer finish()
 		return h.lost(ctx, err, job, to)
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -24,22 +24,22 @@
 	RequestID: "T-Id", Deadline: "T-Deadline", ExpectTarget: "T-Expect", Target: "T-Target", NotRun: "T-Not-Run", CallerService: "T-Caller",
 }
 
-// rig is a host beside a scripted target.
-type rig struct {
+// fixture is a host with a scripted target.
+type fixture struct {
 	*is.I
 	host    *Host
 	account *bfbudget.Account
-	// later is how much time has passed for the account, in nanoseconds.
-	later   atomic.Int64
-	target  *httptest.Server
-	runs    atomic.Int32
-	changes atomic.Int32
-	group   *bfgroup.Group
+	// clockOffset is the offset of the account's clock in nanoseconds.
+	clockOffset atomic.Int64
+	target      *httptest.Server
+	runs        atomic.Int32
+	changes     atomic.Int32
+	group       *bfgroup.Group
 }
 
-func newRig(t *testing.T, serve http.HandlerFunc) *rig {
+func newFixture(t *testing.T, serve http.HandlerFunc) *fixture {
 	t.Helper()
-	r := &rig{I: is.New(t)}
+	r := &fixture{I: is.New(t)}
 	r.account = r.newAccount()
 	r.target = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.runs.Add(1)
@@ -63,16 +63,16 @@
 	return r
 }
 
-// newAccount makes that of a fleet of one.
-func (r *rig) newAccount() *bfbudget.Account {
+// newAccount makes the account of a single-node fleet.
+func (r *fixture) newAccount() *bfbudget.Account {
 	return bfbudget.New(bfbudget.Options{
 		Terms: bfbudget.Terms{Ratio: 1, Slack: 20, Window: time.Second}, Nodes: func() int { return 1 },
-		Now:    func() time.Time { return time.Now().Add(time.Duration(r.later.Load())) },
+		Now:    func() time.Time { return time.Now().Add(time.Duration(r.clockOffset.Load())) },
 		Chance: func() float64 { return 0 },
 	})
 }
 
-func (r *rig) beat(incarnation string, sequence int64, state State) {
+func (r *fixture) heartbeat(incarnation string, sequence int64, state State) {
 	r.host.Heard(Heartbeat{
 		Incarnation: incarnation, Sequence: sequence, Service: "portal", State: state, Slots: 2,
 		Address: strings.TrimPrefix(r.target.URL, "http://"),
@@ -87,7 +87,7 @@
 	}
 }
 
-func (r *rig) run(j Job) string {
+func (r *fixture) run(j Job) string {
 	switch end := r.host.Run(context.Background(), j).(type) {
 	case Refused:
 		return "refused " + string(end.Reason)
@@ -114,114 +114,112 @@
 
 func hello(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }
 
-// A node that starts beside a target that runs knows nothing of it. Until the
-// target has been heard, the address may be another one's by now.
+// Guards against sending requests to an address before a heartbeat confirms its target.
 func TestNothingRunsBeforeTheFirstHeartbeat(t *testing.T) {
-	r := newRig(t, hello)
+	r := newFixture(t, hello)
 	r.Equal(r.run(job("1")), "refused no-target")
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	r.Equal(r.run(job("2")), "200 hello")
 }
 
-// A target says that it drains, and an older heartbeat comes after that. Work
-// sent by the older one would be cut when the target exits.
+// Guards against a delayed heartbeat of a draining target, which would route requests to a
+// target that exits.
 func TestDrainingIsFinal(t *testing.T) {
-	r := newRig(t, hello)
-	r.beat("a", 1, Ready)
-	r.beat("a", 5, Draining)
+	r := newFixture(t, hello)
+	r.heartbeat("a", 1, Ready)
+	r.heartbeat("a", 5, Draining)
 	r.Equal(r.run(job("1")), "refused leaving")
-	r.beat("a", 4, Ready)
-	r.beat("a", 6, Ready)
+	r.heartbeat("a", 4, Ready)
+	r.heartbeat("a", 6, Ready)
 	r.Equal(r.run(job("2")), "refused leaving")
 	r.Equal(r.runs.Load(), int32(0))
 }
 
-// A target leaves without having said that it drains, and a heartbeat that was
-// under way arrives afterwards.
+// Guards against a delayed heartbeat that arrives after the target's departure.
 func TestDepartureIsFinal(t *testing.T) {
-	r := newRig(t, hello)
-	r.beat("a", 1, Ready)
+	r := newFixture(t, hello)
+	r.heartbeat("a", 1, Ready)
 	r.host.Left(Departure{Incarnation: "a"})
-	r.beat("a", 2, Ready)
+	r.heartbeat("a", 2, Ready)
 	r.Equal(r.run(job("1")), "refused leaving")
 	r.host.Left(Departure{Incarnation: "never heard"})
-	r.beat("never heard", 1, Ready)
+	r.heartbeat("never heard", 1, Ready)
 	r.Equal(r.run(job("2")), "refused leaving")
-	r.beat("b", 1, Ready)
+	r.heartbeat("b", 1, Ready)
 	r.Equal(r.run(job("3")), "200 hello")
 }
 
-// A target crashed and another has started at its address. A heartbeat of the
-// first, held up on the way, must not take the second one's place; but the second
-// takes the first one's as soon as the address says who it is.
+// A delayed heartbeat of a crashed target does not replace its successor. A target that
+// refuses a request as another incarnation invalidates the current view.
 func TestLateHeartbeatOfACrashedTarget(t *testing.T) {
 	current := "b"
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.Header.Get(names.ExpectTarget) != current {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
 		hello(w, q)
 	})
-	r.beat("b", 3, Ready)
-	r.beat("a", 40, Ready)
+	r.heartbeat("b", 3, Ready)
+	r.heartbeat("a", 40, Ready)
 	r.Equal(r.host.Target().Incarnation(), "b")
 	r.Equal(r.run(job("1")), "200 hello")
 	current = "c"
 	r.Equal(r.run(job("2")), "refused no-target")
-	r.beat("b", 4, Ready)
-	r.Equal(r.run(job("3")), "refused no-target") // b is known to be gone
-	r.beat("c", 1, Ready)
+	r.heartbeat("b", 4, Ready)
+	r.Equal(r.run(job("3")), "refused no-target") // b has been replaced
+	r.heartbeat("c", 1, Ready)
 	r.Equal(r.run(job("4")), "200 hello")
 }
 
-// A target starts again under the name that it had. Its counts begin anew, and it
-// holds nothing of before: that it had drained, or left, binds the earlier start alone.
-// Heartbeats and the departure of the earlier start come late, and change nothing.
-func TestTargetStartsAgainUnderItsName(t *testing.T) {
+// A target that restarts under the same name starts with a new sequence and a clean state.
+// Delayed heartbeats and departures of the earlier start have no effect.
+func TestTargetRestartsUnderTheSameName(t *testing.T) {
 	beat := func(started int64, sequence int64, state State) Heartbeat {
 		return Heartbeat{Incarnation: "a", Started: time.UnixMilli(started), Sequence: sequence, Service: "portal", State: state, Slots: 2, Address: "h:1"}
 	}
 	now := time.UnixMilli(50_000)
-	for _, first := range []func(*book){
-		func(b *book) { b.hear(beat(1000, 40, Ready), now) },
-		func(b *book) { b.hear(beat(1000, 40, Draining), now) },
-		func(b *book) { b.hear(beat(1000, 40, Ready), now); b.leave(Departure{Incarnation: "a"}, now) },
-		func(b *book) { b.leave(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now) },
-		func(*book) {}, // the node itself has started again and knows nothing
+	for _, first := range []func(*targetTracker){
+		func(b *targetTracker) { b.heartbeat(beat(1000, 40, Ready), now) },
+		func(b *targetTracker) { b.heartbeat(beat(1000, 40, Draining), now) },
+		func(b *targetTracker) {
+			b.heartbeat(beat(1000, 40, Ready), now)
+			b.departure(Departure{Incarnation: "a"}, now)
+		},
+		func(b *targetTracker) { b.departure(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now) },
+		func(*targetTracker) {}, // the node has restarted too
 	} {
 		is := is.New(t)
-		b := &book{service: "portal"}
+		b := &targetTracker{service: "portal"}
 		first(b)
-		is.True(b.hear(beat(9000, 1, Ready), now))
-		is.True(b.current.takes)
-		is.True(!b.hear(beat(1000, 41, Draining), now))
-		is.True(!b.leave(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now))
-		is.True(b.current.takes)
+		is.True(b.heartbeat(beat(9000, 1, Ready), now))
+		is.True(b.current.acceptsWork)
+		is.True(!b.heartbeat(beat(1000, 41, Draining), now))
+		is.True(!b.departure(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now))
+		is.True(b.current.acceptsWork)
 		is.Equal(b.current.heartbeat.Sequence, int64(1))
-		is.True(b.leave(Departure{Incarnation: "a", Started: time.UnixMilli(9000)}, now))
-		is.True(!b.hear(beat(9000, 2, Ready), now)) // the departure is final
+		is.True(b.departure(Departure{Incarnation: "a", Started: time.UnixMilli(9000)}, now))
+		is.True(!b.heartbeat(beat(9000, 2, Ready), now)) // the departure is final
 	}
 }
 
-// A node that has just started hears that a target left, of which it knows nothing. A
-// late heartbeat of that start must bring no work; a start after it must.
+// A departure that arrives before any heartbeat blocks delayed heartbeats of that start,
+// but not those of a later start.
 func TestDepartureOfAnUnknownStart(t *testing.T) {
 	is := is.New(t)
-	b, now := &book{service: "portal"}, time.UnixMilli(50_000)
-	b.leave(Departure{Incarnation: "a"}, now)
+	b, now := &targetTracker{service: "portal"}, time.UnixMilli(50_000)
+	b.departure(Departure{Incarnation: "a"}, now)
 	late := Heartbeat{Incarnation: "a", Started: time.UnixMilli(1000), Sequence: 7, Service: "portal", State: Ready, Slots: 2}
-	is.True(!b.hear(late, now))
+	is.True(!b.heartbeat(late, now))
 	again := late
 	again.Started, again.Sequence = time.UnixMilli(53_000), 1
-	is.True(b.hear(again, now.Add(4*time.Second)))
+	is.True(b.heartbeat(again, now.Add(4*time.Second)))
 }
 
-// The machine's address was another service's before; a node far away still
-// sends that service's requests here.
-func TestAnotherServicesRequestIsRefused(t *testing.T) {
-	r := newRig(t, hello)
-	r.beat("a", 1, Ready)
+// Guards against running another service's requests at an address that was reused.
+func TestWrongServiceIsRefused(t *testing.T) {
+	r := newFixture(t, hello)
+	r.heartbeat("a", 1, Ready)
 	other := job("1")
 	other.Policy.Service = "vault"
 	r.Equal(r.run(other), "refused other-service")
@@ -232,8 +230,8 @@
 
 func TestSlotsAreExact(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) { <-release; hello(w, q) })
-	r.beat("a", 1, Ready)
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) { <-release; hello(w, q) })
+	r.heartbeat("a", 1, Ready)
 	ends := make(chan string, 2)
 	group := bfgroup.New(context.Background())
 	for i := range 2 {
@@ -252,10 +250,10 @@
 	r.Equal(r.run(job("fourth")), "200 hello")
 }
 
-func TestTargetIsToldWhatIsLeftAndWhoIsMeant(t *testing.T) {
+func TestTargetReceivesDeadlineAndIncarnation(t *testing.T) {
 	var got http.Header
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) { got = q.Header; hello(w, q) })
-	r.beat("a", 1, Ready)
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) { got = q.Header; hello(w, q) })
+	r.heartbeat("a", 1, Ready)
 	j := job("1")
 	j.Request.Header[names.Deadline] = []string{"99999"}
 	j.Deadline = time.Now().Add(500 * time.Millisecond)
@@ -270,8 +268,8 @@
 	r.Equal(r.run(j), "expired sent=false")
 }
 
-func TestEndsOfATarget(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+func TestResults(t *testing.T) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		switch q.Header.Get(names.RequestID) {
 		case "shed":
 			w.Header().Set(names.NotRun, "1")
@@ -282,33 +280,33 @@
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "half")
 		case "long cut":
-			_, _ = io.WriteString(w, strings.Repeat("x", HoldAtTarget+1))
+			_, _ = io.WriteString(w, strings.Repeat("x", TargetBufferBytes+1))
 			panic(http.ErrAbortHandler)
 		case "long":
-			_, _ = io.WriteString(w, strings.Repeat("x", HoldAtTarget+1))
+			_, _ = io.WriteString(w, strings.Repeat("x", TargetBufferBytes+1))
 		case "own failure":
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	r.Equal(r.run(job("shed")), "shed")
 	r.Equal(r.run(job("lost")), "lost")
-	r.Equal(r.run(job("cut")), "lost") // nothing of it had gone on
+	r.Equal(r.run(job("cut")), "lost") // nothing was relayed yet
 	r.Equal(r.run(job("long cut")), "cut")
-	r.Equal(len(r.run(job("long"))), len("200 ")+HoldAtTarget+1)
+	r.Equal(len(r.run(job("long"))), len("200 ")+TargetBufferBytes+1)
 	r.Equal(r.run(job("own failure")), "500 ")
 	r.Equal(r.host.Running(), int64(0))
 	used, _ := r.host.Load()
 	r.Equal(used, 0)
 }
 
-// A caller of a nomination leaves while it runs. Broken off, nobody would know
-// whether it took effect; it runs to its end. A look-up is broken off at once.
-func TestCallerLeaves(t *testing.T) {
+// A caller's disconnect cancels a repeatable request only. Cancelling any other one would
+// leave its outcome unknown.
+func TestCallerDisconnects(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		t.Run(fmt.Sprint("repeatable ", repeatable), func(t *testing.T) {
 			began, broken := make(chan struct{}), make(chan bool, 1)
-			r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+			r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 				close(began)
 				select {
 				case <-q.Context().Done():
@@ -317,7 +315,7 @@
 					broken <- false
 				}
 			})
-			r.beat("a", 1, Ready)
+			r.heartbeat("a", 1, Ready)
 			j := job("1")
 			j.Policy.Repeatable = repeatable
 			ctx, cancel := context.WithCancel(context.Background())
@@ -329,18 +327,17 @@
 	}
 }
 
-// A nested call is known by the request that the target runs at that moment; an
-// ID that merely looks like one is not.
+// The parent of a nested call is found by ID among the requests in progress.
 func TestParentOfANestedCall(t *testing.T) {
-	var r *rig
+	var r *fixture
 	var nested, repeat, stranger bool
-	r = newRig(t, func(w http.ResponseWriter, q *http.Request) {
+	r = newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		parent := r.host.Parent(q.Header.Get(names.RequestID) + ".call")
 		nested, stranger = parent != nil, r.host.Parent("other.call") != nil
 		repeat = parent != nil && parent.IsRepeat()
 		hello(w, q)
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	r.Equal(r.run(job("1")), "200 hello")
 	r.True(nested && !repeat && !stranger)
 	again := job("2")
@@ -351,18 +348,17 @@
 	inherited.Policy.Inherited = true
 	r.Equal(r.run(inherited), "200 hello")
 	r.True(nested && repeat)
-	r.True(r.host.Parent("2.call") == nil) // it has ended
+	r.True(r.host.Parent("2.call") == nil) // the request has ended
 }
 
-// A request failed at another target and is sent once more. Its run would call a service
-// whose budget has nothing left: the node refuses it, and the target never sees it.
-func TestRepeatWhoseCallsAreNotBorne(t *testing.T) {
-	var r *rig
-	r = newRig(t, func(w http.ResponseWriter, q *http.Request) {
+// A retry whose nested calls exceed the budget is refused and does not reach the target.
+func TestRetryOverBudgetIsRefused(t *testing.T) {
+	var r *fixture
+	r = newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		r.host.Parent(q.Header.Get(names.RequestID) + ".call").Call("vault")
 		hello(w, q)
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	r.Equal(r.run(job("1")), "200 hello")
 	again := job("2")
 	again.Policy.Repeat = true
@@ -373,14 +369,14 @@
 	for range 12 {
 		r.account.Sent("vault")
 	}
-	r.later.Store(int64(time.Minute)) // what was earned just now is kept for calls
+	r.clockOffset.Store(int64(time.Minute)) // recently earned budget is reserved for nested calls
 	r.Equal(r.run(again), "200 hello")
 }
 
 func TestPolicyAndResultsBetweenNodes(t *testing.T) {
 	is := is.New(t)
 	p := Policy{Service: "portal", Class: "r-1 x", Rank: 3, Nested: true, Repeat: true, Inherited: true, Repeatable: true, Late: true,
-		Patience: 40 * time.Millisecond, LinkPatience: 300 * time.Millisecond}
+		MaxSlotWait: 40 * time.Millisecond, MaxLinkWait: 300 * time.Millisecond}
 	h := http.Header{}
 	WritePolicy(h, p)
 	read, err := ReadPolicy(h)
@@ -404,19 +400,19 @@
 	_, ok := ReadResult(http.Header{})
 	is.True(!ok)
 	WriteLoad(h, 3, 12)
-	used, slots, told := ReadLoad(h)
-	is.Equal([]any{used, slots, told}, []any{3, 12, true})
-	_, _, told = ReadLoad(http.Header{bfheader.Load: {"x/12"}})
-	is.True(!told)
+	used, slots, ok := ReadLoad(h)
+	is.Equal([]any{used, slots, ok}, []any{3, 12, true})
+	_, _, ok = ReadLoad(http.Header{bfheader.Load: {"x/12"}})
+	is.True(!ok)
 }
 
 func TestInboundServesOtherNodes(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		w.Header()["Content-Type"] = nil
 		body, _ := io.ReadAll(q.Body)
 		_, _ = fmt.Fprintf(w, "%s %s %s", q.Method, q.RequestURI, body)
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	inbound := httptest.NewServer(NewInbound(r.host, nil))
 	defer inbound.Close()
 	client := bfexchange.New(bfexchange.Options{DialTimeout: time.Second, IdleUnstated: time.Second})
@@ -431,69 +427,67 @@
 	r.NoErr(err)
 	r.Equal(string(body), "POST /x/..//y?z body")
 	_, typed := answer.Header()["Content-Type"]
-	r.True(!typed) // none was guessed
+	r.True(!typed) // net/http guessed none
 	answer.Close()
 	delete(request.Header, policyHeader)
 	answer, err = client.Send(context.Background(), strings.TrimPrefix(inbound.URL, "http://"), request)
 	r.NoErr(err)
 	r.Equal(answer.Status(), http.StatusBadRequest)
-	// A node of another version must not take it for the target's answer.
+	// An entry of another version must not treat it as the target's answer.
 	result, ok := ReadResult(answer.Header())
 	r.True(ok)
 	r.Equal(result, Refused{Reason: Unreadable})
 	answer.Close()
 }
 
-// recall has the host recall the target "a".
-func (r *rig) recall() {
+// restore restores target "a" from the node's row.
+func (r *fixture) restore() {
 	r.host.Recall(Heartbeat{
 		Incarnation: "a", Service: "portal", State: Ready, Slots: 2, Address: strings.TrimPrefix(r.target.URL, "http://"),
 	})
 }
 
-// A node is killed and started again beside a target that works on. Its callers and the
-// other nodes come back before the target's next heartbeat; the node recalls the target
-// from its row and serves them. The target's own word goes before what is recalled.
-func TestTargetIsRecalledUntilItSpeaks(t *testing.T) {
-	r := newRig(t, hello)
-	r.recall()
+// A restarted node serves the restored target before its next heartbeat, and heartbeats
+// take precedence over the restored view.
+func TestTargetIsRestoredUntilItsHeartbeat(t *testing.T) {
+	r := newFixture(t, hello)
+	r.restore()
 	r.Equal(r.run(job("1")), "200 hello")
-	r.beat("a", 1, Ready)
-	r.Equal(r.changes.Load(), int32(1)) // the row stays as it is
-	r.beat("a", 2, Draining)
-	r.recall()
+	r.heartbeat("a", 1, Ready)
+	r.Equal(r.changes.Load(), int32(1)) // the heartbeat does not change the view
+	r.heartbeat("a", 2, Draining)
+	r.restore()
 	r.Equal(r.run(job("2")), "refused leaving")
 }
 
-// While its node was away another target took the place of the one that the row names.
-// The first request is refused by it and has not run; nothing more is sent until it has
-// spoken, and its first heartbeat counts at once.
-func TestRecalledTargetThatIsAnotherOne(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+// If another target has replaced the restored one, it refuses the first request; no further
+// request is sent until its first heartbeat, which is accepted at once.
+func TestRestoredTargetWasReplaced(t *testing.T) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.Header.Get(names.ExpectTarget) != "b" {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
 		hello(w, q)
 	})
-	r.recall()
+	r.restore()
 	r.Equal(r.run(job("1")), "refused no-target")
-	r.recall()
+	r.restore()
 	r.Equal(r.run(job("2")), "refused no-target")
 	r.Equal(r.runs.Load(), int32(1))
-	r.beat("b", 1, Ready)
+	r.heartbeat("b", 1, Ready)
 	r.Equal(r.run(job("3")), "200 hello")
 }
 
-// The target crashed, or drains, while its node was away, and says nothing. What was
-// recalled holds for a little longer than the pause between two heartbeats.
-func TestRecalledTargetThatDoesNotSpeak(t *testing.T) {
+// A restored view expires shortly after the heartbeat interval. Guards against sending to a
+// target that crashed or drained while its node was down.
+func TestRestoredTargetExpires(t *testing.T) {
 	is := is.New(t)
-	b := book{service: "portal"}
+	b := targetTracker{service: "portal"}
 	now := time.Unix(100, 0)
-	is.True(b.recall(Heartbeat{Incarnation: "a", Service: "portal", Slots: 2}, now))
+	is.True(b.restore(Heartbeat{Incarnation: "a", Service: "portal", Slots: 2}, now))
 	is.True(!b.current.isStale(now.Add(1500 * time.Millisecond)))
-	is.True(b.current.isStale(now.Add(recallTime + time.Millisecond)))
-	is.True(!b.recall(Heartbeat{Incarnation: "a", Service: "portal", Slots: 2}, now)) // once
-	is.True(!(&book{service: "vault"}).recall(Heartbeat{Incarnation: "a", Service: "portal"}, now))
+	is.True(b.current.isStale(now.Add(restoredTTL + time.Millisecond)))
+	is.True(!b.restore(Heartbeat{Incarnation: "a", Service: "portal", Slots: 2}, now)) // only once
+	is.True(!(&targetTracker{service: "vault"}).restore(Heartbeat{Incarnation: "a", Service: "portal"}, now))
 }
--- a/lib/bfhost/inbound.go
+++ b/lib/bfhost/inbound.go
@@ -18,18 +18,18 @@
 	pacer *bfpacer.Pacer
 }
 
-// NewInbound makes the handler of the node's inbound port.
+// NewInbound makes the handler of the node's inbound port. A nil pacer means no rate limit.
 func NewInbound(host *Host, pacer *bfpacer.Pacer) *Inbound { return &Inbound{host, pacer} }
 
-// ServeHTTP takes one request of another node to its end.
+// ServeHTTP serves one request of another node.
 func (i *Inbound) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The target is done before its answer has left on a slow link.
-	i.host.running.Add(1)
-	defer i.host.running.Add(-1)
+	// Counted here too, since on a slow link the answer is still being sent after the target is done.
+	i.host.inProgress.Add(1)
+	defer i.host.inProgress.Add(-1)
 	job, err := i.read(r)
 	if err != nil {
-		// Nodes of two versions may not read each other's policies. Without the
-		// outcome the entry would take this for the target's own answer.
+		// Nodes of different versions may not understand each other's policies. Without the
+		// outcome the entry would treat this as the target's own answer.
 		w.Header().Set(bfheader.Outcome, outcomeRefused)
 		w.Header().Set(bfheader.Reason, string(Unreadable))
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -39,7 +39,7 @@
 	used, slots := i.host.Load()
 	WriteLoad(w.Header(), used, slots)
 	WriteBacklog(w.Header(), i.pacer.Backlog())
-	WriteTrack(w.Header(), i.host.Track(job.Policy.Class))
+	WriteHealth(w.Header(), i.host.Health(job.Policy.Class))
 	if i.host.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
@@ -54,17 +54,17 @@
 	Relay(w, r, answered.Answer, i.pacer)
 }
 
-// run hands the job to the target, unless its answer would wait too long for the
-// link: another node's link is free sooner.
+// run sends the job to the target, unless the backlog of this node's link exceeds the
+// policy's limit, in which case another node can answer sooner.
 func (i *Inbound) run(ctx context.Context, job Job) Result {
 	backlog := i.pacer.Backlog()
-	if most := job.Policy.LinkPatience; most > 0 && backlog > most {
-		return Refused{Reason: Full, RetryAfter: backlog - most}
+	if limit := job.Policy.MaxLinkWait; limit > 0 && backlog > limit {
+		return Refused{Reason: Full, RetryAfter: backlog - limit}
 	}
 	return i.host.Run(ctx, job)
 }
 
-// read makes the job of a request between nodes.
+// read parses a request between nodes.
 func (i *Inbound) read(r *http.Request) (Job, error) {
 	names := i.host.parts.Names
 	policy, err := ReadPolicy(r.Header)
@@ -86,40 +86,41 @@
 	}, nil
 }
 
-// ReadRequest reads a request's body up to a bound and makes it ready to be sent on.
+// ReadRequest reads up to TargetBufferBytes of a request's body and prepares the request
+// for the next hop. A longer body stays in Rest.
 func ReadRequest(r *http.Request, idHeader string) (*bfexchange.Request, error) {
 	request := &bfexchange.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header,
 		ID: r.Header.Get(idHeader), Length: r.ContentLength,
 	}
-	// The length is told anew by the next hop's own framing.
+	// The next hop's framing sets the length.
 	delete(r.Header, "Content-Length")
 	if r.ContentLength == 0 {
 		return request, nil
 	}
-	head, err := io.ReadAll(io.LimitReader(r.Body, HoldAtTarget))
+	head, err := io.ReadAll(io.LimitReader(r.Body, TargetBufferBytes))
 	if err != nil {
 		return nil, err
 	}
 	request.Head = head
-	if len(head) == HoldAtTarget {
+	if len(head) == TargetBufferBytes {
 		request.Rest = r.Body
 	}
 	return request, nil
 }
 
-// copyBytes is the size of the pieces in which the rest of an answer is handed on.
-const copyBytes = 32 << 10
+// relayBufferBytes is the size of the buffer through which the rest of an answer is copied.
+const relayBufferBytes = 32 << 10
 
-// Relay writes an answer; one that breaks off ends the connection, so that it
-// does not look whole.
+// Relay writes an answer to w, at the pacer's rate. If the answer breaks off, Relay panics
+// with http.ErrAbortHandler, which closes the connection, so that the answer looks incomplete.
 func Relay(w http.ResponseWriter, r *http.Request, answer *Answer, pacer *bfpacer.Pacer) {
 	header := w.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		// net/http would guess one.
+		// Keep net/http from guessing one.
 		header["Content-Type"] = nil
 	}
 	if answer.Length >= 0 && r.Method != http.MethodHead {
@@ -137,15 +138,15 @@
 	if _, err := to.Write(answer.Head); err != nil || answer.Rest == nil {
 		return
 	}
-	if _, err := io.CopyBuffer(to, answer.Rest, make([]byte, copyBytes)); err != nil {
+	if _, err := io.CopyBuffer(to, answer.Rest, make([]byte, relayBufferBytes)); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// writerOnly hides the response's other methods, which would read in pieces of their own.
+// writerOnly hides the ResponseWriter's ReadFrom, so that io.CopyBuffer uses its own buffer.
 type writerOnly struct{ io.Writer }
 
-// pacedWriter writes in pieces as a pacer lets them go.
+// pacedWriter writes in pieces at a pacer's rate.
 type pacedWriter struct {
 	to     io.Writer
 	ctx    context.Context
--- a/lib/bfhost/job.go
+++ b/lib/bfhost/job.go
@@ -17,32 +17,32 @@
 	Policy   Policy
 }
 
-// Policy is how a request is treated, as its entry decided.
+// Policy is how the entry decided that a request is treated.
 type Policy struct {
-	// Service is the one that the request goes to.
+	// Service is the destination service.
 	Service string
-	// Class labels requests of one kind.
+	// Class is the name of the request's route, for per-class statistics.
 	Class string
-	// Rank orders requests at a full target; 0 goes first.
+	// Rank is the priority at a full target; 0 is the highest.
 	Rank int
-	// Nested says that a target makes the request while it runs another one.
+	// Nested is set if a target made the request while running another one.
 	Nested bool
-	// Repeat says that this sending follows an earlier one of the same request.
+	// Repeat is set if the request is a retry.
 	Repeat bool
-	// Inherited says that the request is nested in one whose run is a repeat.
+	// Inherited is set if the request is nested in a run that is a retry.
 	Inherited bool
-	// Repeatable requests may run more than once.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Late says that the request is expected to miss its objective wherever it runs.
+	// Late is set if the request is expected to miss its objective at any target.
 	Late bool
-	// Patience is how long the request may wait for a slot.
-	Patience time.Duration
-	// LinkPatience is how long its answer may wait for the link of the target's
-	// node, 0 for as long as it has to.
-	LinkPatience time.Duration
+	// MaxSlotWait is how long the request may wait for a slot.
+	MaxSlotWait time.Duration
+	// MaxLinkWait is how long the answer may wait for the link of the target's node, 0 for no
+	// limit.
+	MaxLinkWait time.Duration
 }
 
-// origin is why the request is run, as the budgets of repeats count it.
+// origin classifies the run for the retry budgets.
 func (p Policy) origin() bfbudget.Origin {
 	switch {
 	case p.Repeat:
@@ -53,55 +53,55 @@
 	return bfbudget.First{}
 }
 
-// Result is the sealed set of ends of a job: Refused, Answered, Shed, Lost and Expired.
+// Result is the outcome of a job: Refused, Answered, Shed, Lost or Expired.
 type Result interface{ result() }
 
-// Reason is why a node did not hand a request to its target.
+// Reason is why a node did not send a request to its target.
 type Reason string
 
-// The reasons.
+// Reasons for a refusal.
 const (
-	// Full means that no slot was free in time.
+	// Full means that no slot became free in time.
 	Full Reason = "full"
-	// Leaving means that the target or its node takes no new work.
+	// Leaving means that the target or its node accepts no new requests.
 	Leaving Reason = "leaving"
-	// NoTarget means that the node knows of no target of the service.
+	// NoTarget means that the node has no target of the service.
 	NoTarget Reason = "no-target"
-	// OtherService means that the node's target is one of another service.
-	OtherService Reason = "other-service"
-	// Unreadable means that the node could not read what another one asked.
+	// WrongService means that the node's target belongs to another service.
+	WrongService Reason = "other-service"
+	// Unreadable means that the node could not parse another node's request.
 	Unreadable Reason = "unreadable"
-	// Unreached means that no byte reached the target.
-	Unreached Reason = "unreached"
-	// Unborne means that the request is a repeat, and that the budgets of the services
-	// that its run calls don't bear those calls once more.
-	Unborne Reason = "unborne"
-	// Quarantined means that several targets have ended under the request.
+	// Unreachable means that no byte reached the target.
+	Unreachable Reason = "unreached"
+	// OverBudget means that the request is a retry, and the retry budgets of the services
+	// that its run calls don't cover those calls.
+	OverBudget Reason = "unborne"
+	// Quarantined means that several targets crashed while running the request.
 	Quarantined Reason = "quarantined"
 )
 
-// Refused means that the request has not run and never will by this sending.
+// Refused means that the request has not run and will not run due to this send.
 type Refused struct {
 	Reason     Reason
 	RetryAfter time.Duration
-	// Err is what kept the request from being sent, nil where a node refused it.
+	// Err is the error that prevented the send, nil if a node refused the request.
 	Err error
 }
 
-// Answered is the target's answer.
+// Answered carries the target's answer.
 type Answered struct{ Answer *Answer }
 
-// Shed is the target's own word that it has not run the request.
+// Shed means that the target answered that it has not run the request.
 type Shed struct {
 	Status int
-	// RetryAfter is when the caller is told to come back; the entry sets it.
+	// RetryAfter is the retry delay for the caller; the entry sets it.
 	RetryAfter time.Duration
 }
 
-// Lost means that the request was handed over and no whole answer came: it may have run.
+// Lost means that the request was sent and no complete answer arrived: it may have run.
 type Lost struct{ Reason string }
 
-// Expired means that the deadline passed; Sent says whether the request was handed over.
+// Expired means that the deadline passed; Sent is set if the request was sent to the target.
 type Expired struct{ Sent bool }
 
 func (Refused) result()  {}
@@ -110,31 +110,31 @@
 func (Lost) result()     {}
 func (Expired) result()  {}
 
-// Answer is a target's answer; Close must be called.
+// Answer is a target's answer. Its user must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
 	// Head is the beginning of the body, or all of it.
 	Head []byte
-	// Rest is what follows, nil where nothing does.
+	// Rest is the remainder of the body, nil if Head is complete.
 	Rest io.Reader
-	// Length of the body in bytes, bfexchange.Chunked where it is not known.
+	// Length is the length of the body in bytes, bfexchange.Chunked if unknown.
 	Length int64
-	// Spent is how the time at the target's node was spent.
+	// Spent is the time spent at the target's node.
 	Spent Spent
-	// Done is called once by Close.
+	// Done is called once, by Close.
 	Done func()
 }
 
-// Spent is how a request's time at the node of its target was spent.
+// Spent is a breakdown of the time that a request spent at its target's node.
 type Spent struct {
-	// Wait is the time for a slot.
+	// Wait is the time spent waiting for a slot.
 	Wait time.Duration
-	// Run is the time from the hand-over to the end of what was held of the answer.
+	// Run is the time from the send to the end of the buffered part of the answer.
 	Run time.Duration
 }
 
-// Close ends the answer.
+// Close releases the answer's connection and slot. It may be called more than once.
 func (a *Answer) Close() {
 	if a.Done != nil {
 		a.Done()
@@ -143,26 +143,26 @@
 }
 
 const (
-	// HoldAtTarget is how much of an answer the target's node reads before any of
-	// it goes on. One that breaks off within it can still be told as lost, or be
-	// asked for again; the platform's downloads have 90 kB in the mean.
-	HoldAtTarget = 256 << 10
-	// HoldAtEntry is the same at the entry. Nodes break off far less than targets,
-	// and on a link of 5 Mbit/s each 64 kB that are held cost 100 ms.
-	HoldAtEntry = 16 << 10
+	// TargetBufferBytes is how much of an answer the target's node reads before it relays
+	// any of it. An answer that breaks off within it can still be reported as lost or
+	// retried. It exceeds the mean download of 90 kB.
+	TargetBufferBytes = 256 << 10
+	// EntryBufferBytes is the same at the entry. It is smaller, since nodes fail less often
+	// than targets and buffering adds latency: 100 ms per 64 kB on a link of 5 Mbit/s.
+	EntryBufferBytes = 16 << 10
 )
 
-// ReadAnswer reads the first hold bytes of an answer, or all of it; done is called at the
-// end of an answer that it returns.
+// ReadAnswer reads the first hold bytes of an answer, or all of it. done is called at the
+// end of the answer; if ReadAnswer returns an error, done is not called.
 func ReadAnswer(from *bfexchange.Answer, hold int, done func()) (*Answer, error) {
 	answer := &Answer{Status: from.Status(), Header: from.Header(), Length: from.Length()}
-	head, whole, err := readHead(from, hold)
+	head, complete, err := readHead(from, hold)
 	if err != nil {
 		from.Close()
 		return nil, err
 	}
 	answer.Head = head
-	if whole {
+	if complete {
 		answer.Length = int64(len(head))
 		from.Close()
 		done()
@@ -176,11 +176,11 @@
 	return answer, nil
 }
 
-// readHead reads up to hold bytes; whole says that the body has ended.
-func readHead(from *bfexchange.Answer, hold int) (head []byte, whole bool, err error) {
+// readHead reads up to hold bytes; complete is set if the body has ended.
+func readHead(from *bfexchange.Answer, hold int) (head []byte, complete bool, err error) {
 	size := int64(512)
 	if from.Length() >= 0 {
-		// One more than the body, so that its end is seen without growing.
+		// One byte more than the body, so that EOF is reached without growing the buffer.
 		size = min(from.Length(), int64(hold)) + 1
 	}
 	head = make([]byte, 0, size)
--- a/lib/bfhost/quarantine_test.go
+++ b/lib/bfhost/quarantine_test.go
@@ -15,40 +15,41 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// suspect has so many targets end under a job's request.
-func (r *rig) suspect(j Job, ends int) {
-	key := bfquarantine.KeyOf(Asked(j.Request, names.CallerService))
+// suspect records that a job's request crashed so many targets.
+func (r *fixture) suspect(j Job, ends int) {
+	key := bfquarantine.KeyOf(QuarantineRequest(j.Request, names.CallerService))
 	for i := range ends {
 		r.host.parts.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
 	}
 }
 
-// Guards against a request that ended targets elsewhere being handed to this one.
-func TestHeldRequestDoesNotRun(t *testing.T) {
-	r := newRig(t, hello)
-	r.beat("a", 1, Ready)
+// Guards against running a request that crashed other targets.
+func TestQuarantinedRequestDoesNotRun(t *testing.T) {
+	r := newFixture(t, hello)
+	r.heartbeat("a", 1, Ready)
 	bad := job("1")
 	r.suspect(bad, 3)
 	end := r.host.Run(context.Background(), bad).(Refused)
 	r.Equal(end.Reason, Quarantined)
 	r.True(end.RetryAfter > 4*time.Minute)
 	r.Equal(r.runs.Load(), int32(0))
-	beside := job("2")
-	beside.Request.Head, beside.Request.Length = []byte("body"), 4 // the same path
-	r.Equal(r.run(beside), "200 hello")
+	other := job("2")
+	other.Request.Head, other.Request.Length = []byte("body"), 4 // the same path
+	r.Equal(r.run(other), "200 hello")
 }
 
-// Guards against the end of a target speaking against two suspected requests at once.
+// Guards against two suspected requests running at once, so that a crash would count
+// against both.
 func TestSuspectedRequestsRunOneAtATime(t *testing.T) {
 	begun, finish := make(chan struct{}, 1), make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/slow" {
 			begun <- struct{}{}
 			<-finish
 		}
 		hello(w, q)
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	slow, other := job("1"), job("2")
 	slow.Request.Target = "/slow"
 	r.suspect(slow, 2)
@@ -61,18 +62,18 @@
 	close(finish)
 	r.Equal(<-end, "200 hello")
 	r.Equal(r.run(other), "200 hello")
-	r.True(!r.host.parts.Quarantine.View().Watches()) // the answers cleared both
+	r.True(!r.host.parts.Quarantine.View().Watches()) // both were answered
 }
 
-// Guards against a request staying held that is answered meanwhile.
-func TestAnswerOfARunningRequestClearsIt(t *testing.T) {
+// Guards against a request staying quarantined after it was answered.
+func TestAnswerEndsQuarantine(t *testing.T) {
 	begun, finish := make(chan struct{}, 1), make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		begun <- struct{}{}
 		<-finish
 		hello(w, q)
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	popular := job("1")
 	end := make(chan string, 1)
 	r.group.Go("run", func(context.Context) error { end <- r.run(popular); return nil })
@@ -84,14 +85,14 @@
 	r.True(!r.host.parts.Quarantine.View().Holds())
 }
 
-// Guards against a request that waits for a slot being run, though it came to be held meanwhile.
-func TestRequestIsHeldWhileItWaits(t *testing.T) {
+// Guards against running a request that was quarantined while it waited for a slot.
+func TestRequestIsQuarantinedWhileItWaits(t *testing.T) {
 	finish := make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		<-finish
 		hello(w, q)
 	})
-	r.beat("a", 1, Ready)
+	r.heartbeat("a", 1, Ready)
 	end := make(chan string, 3)
 	for _, target := range []string{"/one", "/two"} {
 		j := job(target)
@@ -102,7 +103,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	waiting := job("waiting")
-	waiting.Policy.Patience = time.Second
+	waiting.Policy.MaxSlotWait = time.Second
 	refused := make(chan string, 1)
 	r.group.Go("wait", func(context.Context) error { refused <- r.run(waiting); return nil })
 	time.Sleep(20 * time.Millisecond)
@@ -112,14 +113,14 @@
 	r.Equal(r.runs.Load(), int32(2))
 }
 
-// Guards against a request passing for another one since its body comes in chunks.
-func TestSameRequestHasTheSameKeyHoweverItIsSent(t *testing.T) {
+// Guards against the body's framing changing a request's key.
+func TestKeyIgnoresFraming(t *testing.T) {
 	is := is.New(t)
 	var keys []bfquarantine.Key
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		request, err := ReadRequest(r, names.RequestID)
 		is.NoErr(err)
-		keys = append(keys, bfquarantine.KeyOf(Asked(request, names.CallerService)))
+		keys = append(keys, bfquarantine.KeyOf(QuarantineRequest(request, names.CallerService)))
 	}))
 	defer server.Close()
 	client := bfexchange.New(bfexchange.Options{DialTimeout: time.Second})
--- a/lib/bfhost/track.go
+++ b/lib/bfhost/track.go
@@ -10,48 +10,48 @@
 	"bilberryflow.org/lib/bfshare"
 )
 
-// Track is how a target has fared lately, as its node saw it.
-type Track struct {
-	// Failing is the share of requests that it shed, failed or never answered.
+// Health is the recent performance of a target, as measured by its node.
+type Health struct {
+	// Failing is the share of requests that the target shed, failed or did not answer.
 	Failing float64
-	// Running is how long it takes for a request of one class, 0 where none was seen.
+	// Running is the average run time of one class of requests, 0 if none has run.
 	Running time.Duration
 }
 
-// failing is the share of recent requests that the target failed; its zero value is 0.
-type failing struct{ bfshare.Share }
+// failureShare is the share of recent requests that failed; the zero value is 0.
+type failureShare struct{ bfshare.Share }
 
-// judge counts the end of a job that was handed to the target.
-func (f *failing) judge(end Result) {
-	switch end := end.(type) {
+// record counts the result of a job that was sent to the target.
+func (f *failureShare) record(result Result) {
+	switch result := result.(type) {
 	case Answered:
-		f.Note(end.Answer.Status >= http.StatusInternalServerError)
+		f.Note(result.Answer.Status >= http.StatusInternalServerError)
 	case Shed, Lost:
 		f.Note(true)
 	case Refused, Expired:
 	}
 }
 
-// Track is how the target fares, with the running time of a class.
-func (h *Host) Track(class string) Track {
-	return Track{Failing: h.failing.Value(), Running: h.gate.Running(class)}
+// Health is the target's health, with the run time of a class.
+func (h *Host) Health(class string) Health {
+	return Health{Failing: h.failures.Value(), Running: h.gate.Running(class)}
 }
 
-// WriteTrack tells another node how the target fares.
+// WriteHealth writes the target's health to the header of an answer between nodes.
 //
-// Each entry of a large fleet sends a target a request in seconds, and would learn
-// late and on its own what the target's node knows at once.
-func WriteTrack(h http.Header, t Track) {
+// In a large fleet each entry rarely sends to a given target, so its own samples would be
+// late; the target's node has them all.
+func WriteHealth(h http.Header, t Health) {
 	h[bfheader.Track] = []string{strconv.FormatFloat(t.Failing, 'f', 2, 64) + "/" + strconv.FormatInt(t.Running.Microseconds(), 10)}
 }
 
-// ReadTrack reads what WriteTrack wrote.
-func ReadTrack(h http.Header) (track Track, told bool) {
+// ReadHealth parses what WriteHealth wrote; ok is false if the header is missing or malformed.
+func ReadHealth(h http.Header) (health Health, ok bool) {
 	before, after, found := strings.Cut(h.Get(bfheader.Track), "/")
 	share, errShare := strconv.ParseFloat(before, 64)
 	running, errRunning := strconv.ParseInt(after, 10, 64)
 	if !found || errShare != nil || errRunning != nil {
-		return Track{}, false
+		return Health{}, false
 	}
-	return Track{Failing: share, Running: time.Duration(running) * time.Microsecond}, true
+	return Health{Failing: share, Running: time.Duration(running) * time.Microsecond}, true
 }
