--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -16,7 +16,7 @@
 // call is the state of one caller's request.
 type call struct {
 	handler *Handler
-	// caller is cancelled when the caller disconnects.
+	// caller is the context of the caller's HTTP request, cancelled on a disconnect.
 	caller  context.Context
 	route   *bftraffic.Route
 	service string
@@ -38,7 +38,7 @@
 	sent  int
 	// earlierResult is the result of an earlier send that has run or may have run, nil if there is none.
 	earlierResult bfhost.Result
-	// wasShed is set once a target has wasShed this nested call.
+	// wasShed is set once a target has shed this nested call.
 	wasShed bool
 	// retryGranted is set while a retry has been paid for but has not reached a target.
 	retryGranted bool
@@ -165,12 +165,12 @@
 	}
 	c.wasShed = true
 	if c.parent.Shed(c.service) {
-		// If the wait is cut short, the caller of reportShed checks ctx.
+		// A wait that is cut short needs no handling: mayRetry checks ctx next.
 		_ = c.handler.parts.Timer.Wait(ctx, siblingShedWait)
 	}
 }
 
-// countSend counts a send that may have countSend a target.
+// countSend counts a send that may have reached a target.
 func (c *call) countSend() {
 	c.sent++
 	c.retryGranted = false
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -54,8 +54,8 @@
 // Handler serves callers' requests.
 type Handler struct {
 	parts Parts
-	// Means per route: sizes of a request and its answer, nanoseconds from a send to its
-	// answer, and nanoseconds that targets run a request.
+	// sizes, latencies and runTimes are averages per route: bytes of a request and its
+	// answer, nanoseconds from a send to its answer, and nanoseconds that targets run it.
 	sizes, latencies, runTimes routeMeans
 	// localOdds and remoteOdds are the acceptance odds of targets in this node's failure
 	// domain and in other domains.
--- a/lib/bfentry/policy.go
+++ b/lib/bfentry/policy.go
@@ -57,7 +57,7 @@
 	return bfwalk.Patience(c.timeLeft(), c.usualDuration())
 }
 
-// timeLeft is the time timeLeft until the request misses its objective, negative afterwards.
+// timeLeft is the time left until the request misses its objective, negative afterwards.
 func (c *call) timeLeft() time.Duration {
 	return c.route.Objective() - c.usedBefore - c.handler.parts.Timer.Now().Sub(c.arrived)
 }
--- a/lib/bfentry/refusal.go
+++ b/lib/bfentry/refusal.go
@@ -57,19 +57,19 @@
 		return
 	}
 	now := c.handler.parts.Timer.Now()
-	due := now
+	retryAt := now
 	switch result := result.(type) {
 	case bfhost.Answered:
 		if !failed(result) {
 			return
 		}
 	case bfhost.Refused:
-		due = now.Add(result.RetryAfter)
+		retryAt = now.Add(result.RetryAfter)
 	case bfhost.Shed:
-		due = now.Add(result.RetryAfter)
+		retryAt = now.Add(result.RetryAfter)
 	case bfhost.Lost, bfhost.Expired:
 	}
-	c.handler.attempts.record(c.route.Name(), attempt{firstArrival: c.arrived.Add(-c.usedBefore), retryAt: due, deadline: c.callerDeadline}, now)
+	c.handler.attempts.record(c.route.Name(), attempt{firstArrival: c.arrived.Add(-c.usedBefore), retryAt: retryAt, deadline: c.callerDeadline}, now)
 }
 
 // blamesTarget reports whether a refusal means that the target accepts no requests at
@@ -84,7 +84,7 @@
 
 // key identifies the request's content over all its attempts.
 func (c *call) key() bfquarantine.Key {
-	return bfquarantine.KeyOf(bfhost.QuarantineRequest(c.request, c.handler.parts.Names.CallerService))
+	return bfquarantine.KeyOf(bfhost.NewQuarantineRequest(c.request, c.handler.parts.Names.CallerService))
 }
 
 // quarantined returns the refusal of a request that is quarantined for crashing targets;
--- a/lib/bfhost/flight.go
+++ b/lib/bfhost/flight.go
@@ -9,12 +9,12 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// QuarantineRequest describes a request to the quarantine; callerHeader is the header with
+// NewQuarantineRequest describes a request to the quarantine; callerHeader is the header with
 // the caller's service.
 //
 // The stated length is ignored, since a caller may send the same body with a
 // Content-Length or chunked.
-func QuarantineRequest(r *bfexchange.Request, callerHeader string) bfquarantine.Request {
+func NewQuarantineRequest(r *bfexchange.Request, callerHeader string) bfquarantine.Request {
 	caller := ""
 	if named := r.Header[callerHeader]; len(named) > 0 {
 		caller = named[0]
@@ -26,8 +26,8 @@
 	return request
 }
 
-func (h *Host) quarantineRequest(job Job) bfquarantine.Request {
-	return QuarantineRequest(job.Request, h.parts.Names.CallerService)
+func (h *Host) newQuarantineRequest(job Job) bfquarantine.Request {
+	return NewQuarantineRequest(job.Request, h.parts.Names.CallerService)
 }
 
 // newFlights makes the register of the requests in flight at the target.
--- a/lib/bfhost/heartbeat.go
+++ b/lib/bfhost/heartbeat.go
@@ -115,12 +115,12 @@
 	return true
 }
 
-// heartbeat applies a heartbeat and reports whether the view changed.
+// applyHeartbeat applies a heartbeat and reports whether the view changed.
 //
 // A heartbeat can arrive seconds late: one sent before the target began to drain or
 // departed would route new requests to a target that exits. Sequence numbers order the
 // heartbeats of one start, and a departure is final for its start.
-func (b *targetTracker) heartbeat(h Heartbeat, now time.Time) bool {
+func (b *targetTracker) applyHeartbeat(h Heartbeat, now time.Time) bool {
 	if h.Service != b.service || b.hasLeft(h) || !b.supersedes(h, now) {
 		return false
 	}
@@ -175,8 +175,8 @@
 // a crashed target does not replace the running one.
 const takeoverDelay = 3 * time.Second
 
-// departure applies a departure and reports whether the view changed.
-func (b *targetTracker) departure(d Departure, now time.Time) bool {
+// applyDeparture applies a departure and reports whether the view changed.
+func (b *targetTracker) applyDeparture(d Departure, now time.Time) bool {
 	b.receivedAny = true
 	d.Started = b.departedStart(d, now)
 	if !slices.Contains(b.departed, d) {
@@ -212,16 +212,18 @@
 	return d.Incarnation == h.Incarnation && !h.Started.After(d.Started)
 }
 
-// misdirected handles a request that the target refused because it is another incarnation.
+// misdirected handles a request that the target refused because it is another incarnation,
+// and reports whether the view changed.
 func (b *targetTracker) misdirected(incarnation string, now time.Time) bool {
 	if b.current == nil || b.current.Incarnation() != incarnation {
 		return false
 	}
-	b.departure(Departure{Incarnation: incarnation}, now)
+	b.applyDeparture(Departure{Incarnation: incarnation}, now)
 	b.current = nil
 	return true
 }
 
+// hasLeft reports whether the start of a heartbeat has departed.
 func (b *targetTracker) hasLeft(h Heartbeat) bool {
 	return slices.ContainsFunc(b.departed, func(d Departure) bool { return d.covers(h) })
 }
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -71,7 +71,7 @@
 // Heard applies a heartbeat of the target.
 func (h *Host) Heard(beat Heartbeat) {
 	now := h.parts.Timer.Now()
-	h.change(func(b *targetTracker) bool { return b.heartbeat(beat, now) })
+	h.change(func(b *targetTracker) bool { return b.applyHeartbeat(beat, now) })
 }
 
 // Recall sets the target from the row that this node stored before it restarted. It
@@ -89,15 +89,17 @@
 // Left applies the target's departure.
 func (h *Host) Left(departure Departure) {
 	now := h.parts.Timer.Now()
-	h.change(func(b *targetTracker) bool { return b.departure(departure, now) })
+	h.change(func(b *targetTracker) bool { return b.applyDeparture(departure, now) })
 }
 
+// change applies fn to the tracker and reports a changed view to Parts.Changed.
 func (h *Host) change(fn func(*targetTracker) bool) {
 	if target, changed := h.update(fn); changed {
 		h.parts.Changed(target)
 	}
 }
 
+// update applies fn to the tracker and publishes the resulting view.
 func (h *Host) update(fn func(*targetTracker) bool) (*Target, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +150,7 @@
 	if _, refused := h.usableTarget(job.Policy.Service); refused != nil {
 		return refused
 	}
-	request := h.quarantineRequest(job)
+	request := h.newQuarantineRequest(job)
 	if err := h.flights.Check(request); err != nil {
 		return flightRefusal(err)
 	}
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -180,26 +180,28 @@
 	}
 	now := time.UnixMilli(50_000)
 	for _, first := range []func(*targetTracker){
-		func(b *targetTracker) { b.heartbeat(beat(1000, 40, Ready), now) },
-		func(b *targetTracker) { b.heartbeat(beat(1000, 40, Draining), now) },
+		func(b *targetTracker) { b.applyHeartbeat(beat(1000, 40, Ready), now) },
+		func(b *targetTracker) { b.applyHeartbeat(beat(1000, 40, Draining), now) },
 		func(b *targetTracker) {
-			b.heartbeat(beat(1000, 40, Ready), now)
-			b.departure(Departure{Incarnation: "a"}, now)
+			b.applyHeartbeat(beat(1000, 40, Ready), now)
+			b.applyDeparture(Departure{Incarnation: "a"}, now)
+		},
+		func(b *targetTracker) {
+			b.applyDeparture(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now)
 		},
-		func(b *targetTracker) { b.departure(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now) },
 		func(*targetTracker) {}, // the node has restarted too
 	} {
 		is := is.New(t)
 		b := &targetTracker{service: "portal"}
 		first(b)
-		is.True(b.heartbeat(beat(9000, 1, Ready), now))
+		is.True(b.applyHeartbeat(beat(9000, 1, Ready), now))
 		is.True(b.current.acceptsWork)
-		is.True(!b.heartbeat(beat(1000, 41, Draining), now))
-		is.True(!b.departure(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now))
+		is.True(!b.applyHeartbeat(beat(1000, 41, Draining), now))
+		is.True(!b.applyDeparture(Departure{Incarnation: "a", Started: time.UnixMilli(1000)}, now))
 		is.True(b.current.acceptsWork)
 		is.Equal(b.current.heartbeat.Sequence, int64(1))
-		is.True(b.departure(Departure{Incarnation: "a", Started: time.UnixMilli(9000)}, now))
-		is.True(!b.heartbeat(beat(9000, 2, Ready), now)) // the departure is final
+		is.True(b.applyDeparture(Departure{Incarnation: "a", Started: time.UnixMilli(9000)}, now))
+		is.True(!b.applyHeartbeat(beat(9000, 2, Ready), now)) // the departure is final
 	}
 }
 
@@ -208,12 +210,12 @@
 func TestDepartureOfAnUnknownStart(t *testing.T) {
 	is := is.New(t)
 	b, now := &targetTracker{service: "portal"}, time.UnixMilli(50_000)
-	b.departure(Departure{Incarnation: "a"}, now)
+	b.applyDeparture(Departure{Incarnation: "a"}, now)
 	late := Heartbeat{Incarnation: "a", Started: time.UnixMilli(1000), Sequence: 7, Service: "portal", State: Ready, Slots: 2}
-	is.True(!b.heartbeat(late, now))
+	is.True(!b.applyHeartbeat(late, now))
 	again := late
 	again.Started, again.Sequence = time.UnixMilli(53_000), 1
-	is.True(b.heartbeat(again, now.Add(4*time.Second)))
+	is.True(b.applyHeartbeat(again, now.Add(4*time.Second)))
 }
 
 // Guards against running another service's requests at an address that was reused.
--- a/lib/bfhost/quarantine_test.go
+++ b/lib/bfhost/quarantine_test.go
@@ -17,7 +17,7 @@
 
 // suspect records that a job's request crashed so many targets.
 func (r *fixture) suspect(j Job, ends int) {
-	key := bfquarantine.KeyOf(QuarantineRequest(j.Request, names.CallerService))
+	key := bfquarantine.KeyOf(NewQuarantineRequest(j.Request, names.CallerService))
 	for i := range ends {
 		r.host.parts.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
 	}
@@ -120,7 +120,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		request, err := ReadRequest(r, names.RequestID)
 		is.NoErr(err)
-		keys = append(keys, bfquarantine.KeyOf(QuarantineRequest(request, names.CallerService)))
+		keys = append(keys, bfquarantine.KeyOf(NewQuarantineRequest(request, names.CallerService)))
 	}))
 	defer server.Close()
 	client := bfexchange.New(bfexchange.Options{DialTimeout: time.Second})
--- a/lib/bfpipeline/connection.go
+++ b/lib/bfpipeline/connection.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		c.server.group.Go(c.server.parts.Name+" request", e.run)
-		// The handler reads the body from c.reader, so the next request must not be read before.
+		// The handler reads the body from c.reader, so the next request must not be read until it is done.
 		<-e.bodyDone
 	}
 }
@@ -215,7 +215,7 @@
 	return c.closing && c.newest == e
 }
 
-// remove removes an remove request from the connection.
+// remove removes an ended request from the connection.
 func (c *connection) remove(e *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lib/bfpipeline/pipeline_test.go
+++ b/lib/bfpipeline/pipeline_test.go
@@ -55,7 +55,7 @@
 	_, _ = io.WriteString(w, "answer of "+r.URL.Path)
 }
 
-// testPort is a served testPort and one connection to it.
+// testPort is a served port and one connection to it.
 type testPort struct {
 	*is.I
 	server *Server
