--- a/lib/bfmember/action.go
+++ b/lib/bfmember/action.go
@@ -5,40 +5,42 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Action is the sealed set of what a decision asks its shell to do.
+// Action is the sealed set of effects that the caller of Members carries out.
 type Action interface{ isAction() }
 
-// Send sends a message to an address, as a datagram where it fits one.
+// Send sends a message to an address, as a datagram if it fits into one.
 type Send struct {
 	Address string
 	Message bfgossip.Message
 }
 
-// Heard reports what configuration a member advertised.
+// Heard reports the configuration that a member advertised.
 type Heard struct {
 	From   uint64
 	Advert bfgossip.Advert
 }
 
-// Changed reports a row that is now held in place of Old, which is empty for a new member.
+// Changed reports that row New replaced row Old in the view; Old is empty for a new member.
 type Changed struct{ Old, New bfroster.Row }
 
-// Refuted reports that the fleet believed Told of this node, which now tells Self.
+// Refuted reports that another node sent Told as this node's row and that this
+// node now gossips Self instead.
 //
-// Self has another incarnation if Told said that the node was dead: whatever is
-// bound to the old incarnation is void.
+// Self has a new incarnation if Told declared the node dead; state that is bound
+// to the old incarnation is then invalid.
 type Refuted struct{ Told, Self bfroster.Row }
 
-// Joined reports that the node holds a whole view, of itself alone where nobody could be found.
+// Joined reports that the node holds a complete view; it contains only the node
+// itself if no peer was reachable.
 type Joined struct{ Members int }
 
-// ReadMeeting asks for the meeting rows, to be given to MeetingRead.
+// ReadMeeting requests the meeting rows; the caller passes them to MeetingRead.
 type ReadMeeting struct{}
 
-// WriteMeeting writes a meeting row; nothing depends on whether it succeeds.
+// WriteMeeting writes a meeting row, best effort.
 type WriteMeeting struct{ Meeting bfgossip.Meeting }
 
-// Report passes on something that should not happen.
+// Report passes an unexpected error to the caller.
 type Report struct{ Err error }
 
 func (Send) isAction()         {}
--- a/lib/bfmember/detector.go
+++ b/lib/bfmember/detector.go
@@ -11,18 +11,18 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// probing is a probe without an ack so far.
-type probing struct {
-	target   uint64
-	indirect time.Time
-	failed   time.Time
-	asked    bool
-	// check is the domain whose outage the probe helps to decide.
-	check bfroster.Key
+// pendingProbe is a direct probe that has not been acknowledged yet.
+type pendingProbe struct {
+	target       uint64
+	indirectAt   time.Time
+	failsAt      time.Time
+	indirectSent bool
+	// checkedDomain is the failure domain whose outage check the probe belongs to, if any.
+	checkedDomain bfroster.Key
 }
 
-// relayed is a probe sent for another node.
-type relayed struct {
+// relayedProbe is an indirect probe sent on behalf of another node.
+type relayedProbe struct {
 	address string
 	nonce   uint32
 	expires time.Time
@@ -30,34 +30,34 @@
 
 // detector is the state of failure detection.
 type detector struct {
-	next      time.Time
-	nonce     uint32
-	probes    map[uint32]*probing
-	relays    map[uint32]relayed
-	ring      []uint64
-	position  int
-	suspicion map[uint64]time.Time
+	nextProbe          time.Time
+	nonce              uint32
+	probes             map[uint32]*pendingProbe
+	relays             map[uint32]relayedProbe
+	ring               []uint64
+	position           int
+	suspicionDeadlines map[uint64]time.Time
 }
 
 func newDetector(nonce uint32) detector {
 	return detector{
-		nonce: nonce, probes: map[uint32]*probing{}, relays: map[uint32]relayed{}, suspicion: map[uint64]time.Time{},
+		nonce: nonce, probes: map[uint32]*pendingProbe{}, relays: map[uint32]relayedProbe{}, suspicionDeadlines: map[uint64]time.Time{},
 	}
 }
 
-// due is when the detector next has something to do.
-func (d *detector) due() time.Time {
-	next := d.next
+// nextDeadline returns the earliest time at which the detector has work to do.
+func (d *detector) nextDeadline() time.Time {
+	next := d.nextProbe
 	for _, p := range d.probes {
-		at := p.failed
-		if !p.asked {
-			at = p.indirect
+		at := p.failsAt
+		if !p.indirectSent {
+			at = p.indirectAt
 		}
 		if at.Before(next) {
 			next = at
 		}
 	}
-	for _, at := range d.suspicion {
+	for _, at := range d.suspicionDeadlines {
 		if at.Before(next) {
 			next = at
 		}
@@ -65,16 +65,17 @@
 	return next
 }
 
-// track starts or ends the time that a suspected member has to refute.
-func (d *detector) track(now time.Time, hash uint64, row bfroster.Row, wait time.Duration) {
+// trackSuspicion starts the refutation timeout of a suspected member and stops
+// that of any other member.
+func (d *detector) trackSuspicion(now time.Time, hash uint64, row bfroster.Row, wait time.Duration) {
 	if row.State != bfroster.Suspect {
-		delete(d.suspicion, hash)
+		delete(d.suspicionDeadlines, hash)
 		return
 	}
-	d.suspicion[hash] = now.Add(wait)
+	d.suspicionDeadlines[hash] = now.Add(wait)
 }
 
-// addToRing puts a new member at a random place among those still to probe.
+// addToRing inserts a new member at a random position among those not yet probed in this round.
 func (d *detector) addToRing(rng *rand.Rand, hash uint64) {
 	at := d.position + rng.IntN(len(d.ring)-d.position+1)
 	d.ring = slices.Insert(d.ring, at, hash)
@@ -90,9 +91,9 @@
 func (m *Members) tickDetector(now time.Time) {
 	m.tickProbes(now)
 	m.tickSuspicion(now)
-	maps.DeleteFunc(m.detector.relays, func(_ uint32, r relayed) bool { return now.After(r.expires) })
-	if due(now, m.detector.next) {
-		m.detector.next = now.Add(m.options.ProbeInterval)
+	maps.DeleteFunc(m.detector.relays, func(_ uint32, r relayedProbe) bool { return now.After(r.expires) })
+	if isDue(now, m.detector.nextProbe) {
+		m.detector.nextProbe = now.Add(m.options.ProbeInterval)
 		m.probeNext(now)
 	}
 }
@@ -102,25 +103,26 @@
 		return
 	}
 	if target, found := m.nextInRing(); found {
-		m.probeFor(now, target, bfroster.Key{})
+		m.probeWithDeadline(now, target, bfroster.Key{})
 	}
 }
 
-// probeFor probes a member and waits for the ack.
-func (m *Members) probeFor(now time.Time, target *bfroster.Member, check bfroster.Key) {
+// probeWithDeadline probes a member and records the deadlines for its ack.
+func (m *Members) probeWithDeadline(now time.Time, target *bfroster.Member, check bfroster.Key) {
 	nonce := m.probe(target)
-	m.detector.probes[nonce] = &probing{
-		target:   target.Key().Hash,
-		indirect: now.Add(m.options.ProbeTimeout),
-		failed:   now.Add(max(m.options.ProbeInterval, 3*m.options.ProbeTimeout)),
-		check:    check,
+	m.detector.probes[nonce] = &pendingProbe{
+		target:        target.Key().Hash,
+		indirectAt:    now.Add(m.options.ProbeTimeout),
+		failsAt:       now.Add(max(m.options.ProbeInterval, 3*m.options.ProbeTimeout)),
+		checkedDomain: check,
 	}
 }
 
-// nextInRing walks a shuffled list, so that each member's turn comes within one round.
+// nextInRing returns the next member of a shuffled list, so that every member is
+// probed once per round.
 func (m *Members) nextInRing() (*bfroster.Member, bool) {
 	d := &m.detector
-	for range len(d.ring) + m.fleet() + 1 {
+	for range len(d.ring) + m.memberCount() + 1 {
 		if d.position >= len(d.ring) {
 			m.shuffleRing()
 		}
@@ -148,32 +150,33 @@
 
 func (m *Members) probe(target *bfroster.Member) uint32 {
 	nonce := m.detector.newNonce()
-	m.send(target.Row().Peer, bfgossip.Probe{From: m.hash, Nonce: nonce, Advert: m.advert, News: m.news(target.Key().Hash)})
+	m.send(target.Row().Peer, bfgossip.Probe{From: m.hash, Nonce: nonce, Advert: m.advert, News: m.piggyback(target.Key().Hash)})
 	return nonce
 }
 
-// news packs what goes to a member; what is believed of itself comes first.
+// piggyback packs the updates sent to a member, any loss of the member itself first.
 //
-// A member that was suspected while it was frozen must hear so at once: by
-// chance alone its refutation would often come after its death is declared.
-func (m *Members) news(to uint64) bfgossip.News {
+// A member that was suspected during a pause must be notified at once; if this
+// were left to random gossip, its refutation would often arrive after it was
+// declared dead.
+func (m *Members) piggyback(to uint64) bfgossip.News {
 	var news bfgossip.News
 	budget := m.options.NewsBytes
-	if loss, found := m.notice(to); found {
+	if loss, found := m.lossOf(to); found {
 		news.Losses = append(news.Losses, loss)
 		budget -= bfgossip.EncodedSize(loss)
 	}
-	limit := m.options.retransmits(m.fleet())
+	limit := m.options.transmitLimit(m.memberCount())
 	budget = m.outages.records.Pack(&news, budget, limit)
 	m.gossip.Pack(m.table.Row, &news, budget, limit)
 	return news
 }
 
-// notice is what a member must refute to be believed alive.
-func (m *Members) notice(hash uint64) (bfgossip.Loss, bool) {
-	if g, buried := m.table.Grave(hash); buried {
+// lossOf returns the loss of a member that the member itself must refute.
+func (m *Members) lossOf(hash uint64) (bfgossip.Loss, bool) {
+	if tombstone, dropped := m.table.Grave(hash); dropped {
 		loss := bfgossip.Loss{State: bfroster.Dead}
-		loss.Add(bfgossip.LostMember{Hash: hash, Incarnation: g.Incarnation, Sequence: g.Sequence})
+		loss.Add(bfgossip.LostMember{Hash: hash, Incarnation: tombstone.Incarnation, Sequence: tombstone.Sequence})
 		return loss, true
 	}
 	row, found := m.table.Row(hash)
@@ -190,19 +193,19 @@
 	for _, nonce := range nonces {
 		p := m.detector.probes[nonce]
 		switch {
-		case due(now, p.failed):
+		case isDue(now, p.failsAt):
 			delete(m.detector.probes, nonce)
 			m.suspect(now, p.target)
-			m.checkFailed(now, p.check)
-		case !p.asked && due(now, p.indirect):
-			p.asked = true
-			m.askOthers(nonce, p.target)
+			m.countFailedProbe(now, p.checkedDomain)
+		case !p.indirectSent && isDue(now, p.indirectAt):
+			p.indirectSent = true
+			m.probeIndirectly(nonce, p.target)
 		}
 	}
 }
 
-func (m *Members) askOthers(nonce uint32, target uint64) {
-	for _, helper := range m.pick(m.options.IndirectProbes, target) {
+func (m *Members) probeIndirectly(nonce uint32, target uint64) {
+	for _, helper := range m.pickAlive(m.options.IndirectProbes, target) {
 		m.send(helper.Row().Peer, bfgossip.ProbeRequest{From: m.hash, Nonce: nonce, Target: target})
 	}
 }
@@ -211,43 +214,44 @@
 	row, found := m.table.Row(hash)
 	if found && row.State == bfroster.Alive {
 		row.State = bfroster.Suspect
-		m.learn(now, row, true)
+		m.applyRow(now, row, true)
 	}
 }
 
 func (m *Members) tickSuspicion(now time.Time) {
-	var over []uint64
-	for hash, at := range m.detector.suspicion {
-		if due(now, at) {
-			over = append(over, hash)
+	var expired []uint64
+	for hash, at := range m.detector.suspicionDeadlines {
+		if isDue(now, at) {
+			expired = append(expired, hash)
 		}
 	}
-	slices.Sort(over)
-	for _, hash := range over {
-		delete(m.detector.suspicion, hash)
+	slices.Sort(expired)
+	for _, hash := range expired {
+		delete(m.detector.suspicionDeadlines, hash)
 		if row, found := m.table.Row(hash); found && row.State == bfroster.Suspect {
 			row.State = bfroster.Dead
-			m.learn(now, row, true)
+			m.applyRow(now, row, true)
 		}
 	}
 }
 
-// wake starts failure detection afresh after the process itself stood still.
+// resetAfterPause restarts failure detection after a pause of this process.
 //
-// A frozen process finds every one of its own timers run out at once: without
-// this it would declare dead whoever it had probed or heard suspected before,
-// though their acks and refutations wait in its sockets. All waits start
-// again, so those messages are read first.
-func (m *Members) wake(now time.Time) {
+// After a pause all timers of this process have expired at once. Without the
+// reset, the node would declare dead every member it had probed or suspected,
+// although their acks and refutations wait in its socket buffers. Restarting all
+// timeouts lets those messages be processed first.
+func (m *Members) resetAfterPause(now time.Time) {
 	clear(m.detector.probes)
-	wait := m.options.suspicion(m.fleet())
-	for hash := range m.detector.suspicion {
-		m.detector.suspicion[hash] = now.Add(wait)
+	wait := m.options.suspicionTimeout(m.memberCount())
+	for hash := range m.detector.suspicionDeadlines {
+		m.detector.suspicionDeadlines[hash] = now.Add(wait)
 	}
-	m.detector.next = now.Add(m.spread(m.options.ProbeInterval))
+	m.detector.nextProbe = now.Add(m.jitter(m.options.ProbeInterval))
 }
 
-// probeDead tries one member held dead or lost, so that two sides of a healed partition find each other.
+// probeDead probes one member that is dead or lost in this view, so that the two
+// sides of a healed partition merge again.
 func (m *Members) probeDead() {
 	dead := m.table.Unreachable()
 	if len(dead) == 0 {
@@ -258,19 +262,19 @@
 	m.send(target.Row().Peer, m.summary())
 }
 
-// spray tells a few members at once, before the node's next probe is due.
-func (m *Members) spray() {
-	const width = 4
-	for _, member := range m.pick(width, m.hash) {
+// probeNow gossips to a few members at once, without waiting for the next probe interval.
+func (m *Members) probeNow() {
+	const fanout = 4
+	for _, member := range m.pickAlive(fanout, m.hash) {
 		m.probe(member)
 	}
 }
 
-// pick draws up to n alive members other than this node and except.
-func (m *Members) pick(n int, except uint64) []*bfroster.Member {
+// pickAlive returns up to n random alive members other than this node and except.
+func (m *Members) pickAlive(n int, except uint64) []*bfroster.Member {
 	var picked []*bfroster.Member
-	const triesEach = 4
-	for range n * triesEach {
+	const drawsPerMember = 4
+	for range n * drawsPerMember {
 		if len(picked) == n || len(m.table.Sorted()) == 0 {
 			break
 		}
@@ -284,13 +288,13 @@
 }
 
 func (m *Members) onProbe(now time.Time, from string, probe bfgossip.Probe) {
-	m.heardFrom(now, probe.From)
-	m.learnNews(now, probe.News)
+	m.recordContact(now, probe.From)
+	m.applyNews(now, probe.News)
 	if m.Self().State == bfroster.Left {
 		return
 	}
-	ack := bfgossip.Ack{From: m.hash, Nonce: probe.Nonce, News: m.news(probe.From)}
-	ack.News.Losses = append(ack.News.Losses, m.refusals()...)
+	ack := bfgossip.Ack{From: m.hash, Nonce: probe.Nonce, News: m.piggyback(probe.From)}
+	ack.News.Losses = append(ack.News.Losses, m.barredLosses()...)
 	row, known := m.table.Row(probe.From)
 	ack.Introduce = !known
 	address := from
@@ -300,11 +304,12 @@
 	m.publishIfChanged()
 	ack.Advert = m.advert
 	m.send(address, ack)
-	m.heard(probe.From, probe.Advert)
+	m.reportAdvert(probe.From, probe.Advert)
 }
 
-// refusals tells the sender of a message that rows it still holds were dropped as dead.
-func (m *Members) refusals() []bfgossip.Loss {
+// barredLosses returns losses for the rows of the message in progress whose
+// incarnation was dropped as dead here, for its sender to apply.
+func (m *Members) barredLosses() []bfgossip.Loss {
 	slices.SortFunc(m.barred, func(a, b bfroster.Row) int { return cmp.Compare(a.ID, b.ID) })
 	var list []bfgossip.Loss
 	for _, row := range m.barred {
@@ -324,8 +329,8 @@
 }
 
 func (m *Members) onAck(now time.Time, ack bfgossip.Ack) {
-	m.heardFrom(now, ack.From)
-	m.learnNews(now, ack.News)
+	m.recordContact(now, ack.From)
+	m.applyNews(now, ack.News)
 	if relay, found := m.detector.relays[ack.Nonce]; found {
 		delete(m.detector.relays, ack.Nonce)
 		m.send(relay.address, bfgossip.Ack{From: ack.From, Nonce: relay.nonce, Advert: ack.Advert})
@@ -334,7 +339,7 @@
 	if ack.Introduce {
 		m.gossip.Add(m.hash, true)
 	}
-	m.heard(ack.From, ack.Advert)
+	m.reportAdvert(ack.From, ack.Advert)
 	m.compareViews(now, ack)
 }
 
@@ -348,11 +353,11 @@
 		address = row.Peer
 	}
 	nonce := m.probe(target)
-	m.detector.relays[nonce] = relayed{address, request.Nonce, now.Add(m.options.ProbeInterval)}
+	m.detector.relays[nonce] = relayedProbe{address, request.Nonce, now.Add(m.options.ProbeInterval)}
 }
 
-func (m *Members) heard(from uint64, advert bfgossip.Advert) {
+func (m *Members) reportAdvert(from uint64, advert bfgossip.Advert) {
 	if from != m.hash {
-		m.do(Heard{From: from, Advert: advert})
+		m.emit(Heard{From: from, Advert: advert})
 	}
 }
--- a/lib/bfmember/doc.go
+++ b/lib/bfmember/doc.go
@@ -1,9 +1,11 @@
-// Package bfmember decides who is a member of the fleet and in which state.
+// Package bfmember maintains the membership of the fleet: which instances are
+// members, and the state of each.
 //
-// Members is the core: it takes the time and a message and returns what to do.
-// It finds failures by random probes with suspicion and refutation (SWIM),
-// tells changes on the probes themselves, and repairs what was lost by
-// comparing digests with a random peer. The rows and the Order that other parts
-// read are of package bfroster, the merging view of bfview, the messages of
-// bfgossip. The core is for one goroutine at a time; an Order is for any.
+// Members is a deterministic state machine: its methods take the time and an
+// event and return the actions to carry out. It detects failures by random
+// probes with suspicion and refutation (SWIM), piggybacks updates on the probes,
+// and repairs lost updates by anti-entropy with a random peer. Package bfroster
+// defines the rows and the Order that other packages read, bfview the merged
+// view, and bfgossip the messages. Members isn't safe for concurrent use; an
+// Order is.
 package bfmember
--- a/lib/bfmember/figures_test.go
+++ b/lib/bfmember/figures_test.go
@@ -24,9 +24,9 @@
 	restarts    = 2_340
 )
 
-// The sum of control bytes of membership at the size of two years from now,
-// from the encoded sizes of the real messages; a message that grows shows here.
-func TestSizesAreThoseOfTheDesignNote(t *testing.T) {
+// Guards against growth of the messages: computes the control traffic of a fleet
+// of 25 000 members from the encoded sizes.
+func TestEncodedSizesMatchGolden(t *testing.T) {
 	is := is.New(t)
 	var page strings.Builder
 	f := newFleet(1)
@@ -56,18 +56,18 @@
 		{"Summary", size(bfgossip.Summary{Self: row, Buckets: cells})},
 		{"Detail of one bucket", size(bfgossip.Detail{Self: row, Buckets: []bfgossip.BucketDetail{{Bucket: 63, Cells: cells}}})},
 		{"Repair of one cell", size(bfgossip.Repair{Self: row, Cells: []uint16{4000}, Rows: []bfroster.Row{row, row, row, row, row, row}, Answer: true})},
-		{"Page of 400 rows", size(bfgossip.Page{Nonce: math.MaxUint32, Rows: make400(f)})},
+		{"Page of 400 rows", size(bfgossip.Page{Nonce: math.MaxUint32, Rows: pageOfRows(f)})},
 	}
 	for _, s := range sizes {
 		fmt.Fprintf(&page, "%-24s %7d B\n", s.name, s.bytes)
 	}
 	is.Equal(loss(domainSize).Packed[:17], loss(1).Packed)
-	writeSum(&page, "convergence", Convergence(), row, mark, loss(1), probe+ack)
-	writeSum(&page, "bytes", Bytes(), row, mark, loss(1), probe+ack)
+	writeTraffic(&page, "convergence", Convergence(), row, mark, loss(1), probe+ack)
+	writeTraffic(&page, "bytes", Bytes(), row, mark, loss(1), probe+ack)
 	bfgolden.Check(t, "testdata/sizes.golden", page.String())
 }
 
-func make400(f *fleet) []bfroster.Row {
+func pageOfRows(f *fleet) []bfroster.Row {
 	var rows []bfroster.Row
 	for i := range 400 {
 		rows = append(rows, f.row(26*i, 26))
@@ -77,20 +77,20 @@
 
 func size(m bfgossip.Message) int { return bfgossip.EncodedSize(m) + 1 }
 
-// writeSum adds up what one idle node sends; what it receives is the same on average.
-func writeSum(page *strings.Builder, name string, o Options, row bfroster.Row, mark bfgossip.Mark, loss bfgossip.Loss, pair int) {
+// writeTraffic sums up what one idle node sends; on average it receives as much.
+func writeTraffic(page *strings.Builder, name string, o Options, row bfroster.Row, mark bfgossip.Mark, loss bfgossip.Loss, pair int) {
 	seconds := o.ProbeInterval.Seconds()
 	probes := float64(pair) / seconds
-	// A restart tells: leaving, left, the new row, ready.
+	// A restart gossips four changes: leaving, left, the new row, and ready.
 	perRestart := 2*bfgossip.EncodedSize(mark) + bfgossip.EncodedSize(loss) + bfgossip.EncodedSize(row)
-	told := o.retransmits(fleetSize)
-	news := float64(restarts*perRestart*told) / daySeconds
+	transmits := o.transmitLimit(fleetSize)
+	news := float64(restarts*perRestart*transmits) / daySeconds
 	inFlight := float64(4*restarts) / daySeconds * seconds * 2 * math.Log2(fleetSize)
 	differing := min(inFlight, float64(o.RepairBuckets))
 	repair := (650 + differing*(650+2*900)) / o.RepairInterval.Seconds()
 	meeting := o.MeetingRate * float64(o.MeetingSlots+1) * float64(bfgossip.EncodedSize(row)) / fleetSize
 	sum := probes + news + repair + meeting
-	fmt.Fprintf(page, "\n%s: probe interval %v, each change told %d times, repair every %v\n", name, o.ProbeInterval, told, o.RepairInterval)
+	fmt.Fprintf(page, "\n%s: probe interval %v, each change told %d times, repair every %v\n", name, o.ProbeInterval, transmits, o.RepairInterval)
 	fmt.Fprintf(page, "  probes and acks  %6.1f B/s sent\n", probes)
 	fmt.Fprintf(page, "  news             %6.1f B/s sent (%d B a restart, %d restarts a day)\n", news, perRestart, restarts)
 	fmt.Fprintf(page, "  repair           %6.1f B/s sent (%.1f rows differ in flight)\n", repair, inFlight)
@@ -100,10 +100,11 @@
 	worst := float64(2*(o.NewsBytes+pair/2)) / seconds
 	fmt.Fprintf(page, "  full news        %6.1f B/s sent, %.1f B/s sent and received\n", worst, 2*worst)
 	fmt.Fprintf(page, "  domain of %d    %6.0f s of full news if told by Losses, each %d times, twice\n", domainSize,
-		float64(domainSize*17*2*told)/(float64(2*o.NewsBytes)/seconds), told)
+		float64(domainSize*17*2*transmits)/(float64(2*o.NewsBytes)/seconds), transmits)
 }
 
-// BenchmarkGossip tells one change without repair: how often it must be told to reach all.
+// BenchmarkGossip measures, with anti-entropy off, how many retransmissions a
+// change needs to reach every node.
 func BenchmarkGossip(b *testing.B) {
 	for _, factor := range []float64{0.3, 0.5, 1, 2, 3} {
 		b.Run(fmt.Sprintf("factor=%v", factor), func(b *testing.B) {
@@ -111,29 +112,29 @@
 				const size, changes = 400, 20
 				o := Convergence()
 				o.RetransmitFactor, o.RepairInterval = factor, 1000*time.Hour
-				f := full(5, o, size, 26)
+				f := newJoinedFleet(5, o, size, 26)
 				f.run(5 * time.Second)
-				before := total(f)
+				before := totalSent(f)
 				for i := range changes {
 					n := f.nodes[i]
-					f.do(n, n.core.SetTarget(f.now, bfroster.TargetCold, 3))
+					f.execute(n, n.core.SetTarget(f.now, bfroster.TargetCold, 3))
 				}
 				seconds := 0
-				for ; lacking(f, changes) > 0 && seconds < 60; seconds++ {
+				for ; countMissing(f, changes) > 0 && seconds < 60; seconds++ {
 					f.run(time.Second)
 				}
-				b.ReportMetric(float64(lacking(f, changes))/changes, "lacking/change")
+				b.ReportMetric(float64(countMissing(f, changes))/changes, "lacking/change")
 				b.ReportMetric(float64(seconds), "s-to-all")
 				f.run(time.Duration(60-seconds) * time.Second)
-				busy := total(f) - before
+				busy := totalSent(f) - before
 				f.run(60 * time.Second)
-				b.ReportMetric(float64(2*busy+before-total(f))/(size*changes), "B/node/change")
+				b.ReportMetric(float64(2*busy+before-totalSent(f))/(size*changes), "B/node/change")
 			}
 		})
 	}
 }
 
-func total(f *fleet) int {
+func totalSent(f *fleet) int {
 	sum := 0
 	for _, n := range f.nodes {
 		sum += n.sent
@@ -141,7 +142,7 @@
 	return sum
 }
 
-func lacking(f *fleet, changes int) int {
+func countMissing(f *fleet, changes int) int {
 	count := 0
 	for _, n := range f.nodes {
 		for _, other := range f.nodes[:changes] {
@@ -153,8 +154,8 @@
 	return count
 }
 
-// BenchmarkMassLoss takes a rack or a domain away for ten minutes and counts until every node
-// avoids all of it, and until every node uses all of it again.
+// BenchmarkMassLoss measures the time until every node has noticed that a rack or
+// a domain is down, and that it is back after ten minutes.
 func BenchmarkMassLoss(b *testing.B) {
 	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
 		for _, domains := range []int{26, 5} {
@@ -169,7 +170,7 @@
 
 func massLoss(b *testing.B, o Options, domains int) {
 	const size = 500
-	f := full(7, o, size, domains)
+	f := newJoinedFleet(7, o, size, domains)
 	f.run(5 * time.Second)
 	set := func(down bool) (time.Duration, int) {
 		up := 0
@@ -179,14 +180,14 @@
 				up++
 			}
 			if !down && i%domains == 1 {
-				f.thaw(n)
+				f.resume(n)
 			}
 		}
-		start, before := f.now, total(f)
+		start, before := f.now, totalSent(f)
 		for f.now.Sub(start) < 10*time.Minute && !f.allSee(up) {
 			f.run(time.Second)
 		}
-		return f.now.Sub(start), (total(f) - before) / size
+		return f.now.Sub(start), (totalSent(f) - before) / size
 	}
 	lostIn, lostBytes := set(true)
 	f.run(10 * time.Minute)
@@ -197,7 +198,8 @@
 	b.ReportMetric(float64(backBytes), "B/node-back")
 }
 
-// BenchmarkDomainLoss is the loss of 960 members as 500 others see it; the lost ones need no core.
+// BenchmarkDomainLoss measures how 500 nodes detect the loss of 960 members, which
+// exist as rows only.
 func BenchmarkDomainLoss(b *testing.B) {
 	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
 		b.Run(name, func(b *testing.B) {
@@ -210,7 +212,7 @@
 
 func domainLoss(b *testing.B, o Options) {
 	const size = 500
-	f := full(7, o, size, 25)
+	f := newJoinedFleet(7, o, size, 25)
 	var lostRows []bfroster.Row
 	for i := range domainSize {
 		lostRows = append(lostRows, f.row(26*(i+size)+25, 26))
@@ -221,12 +223,12 @@
 		}
 		n.core.publish()
 	}
-	start, before, peak := f.now, total(f), 0
+	start, before, peak := f.now, totalSent(f), 0
 	var half, most, all time.Duration
 	for all == 0 && f.now.Sub(start) < 4*time.Minute {
-		last := total(f)
+		last := totalSent(f)
 		f.run(time.Second)
-		peak = max(peak, total(f)-last)
+		peak = max(peak, totalSent(f)-last)
 		known := 0
 		for _, n := range f.nodes {
 			known += size + domainSize - n.core.Order().Alive()
@@ -245,11 +247,11 @@
 	b.ReportMetric(half.Seconds(), "s-half-known")
 	b.ReportMetric(most.Seconds(), "s-99%-known")
 	b.ReportMetric(all.Seconds(), "s-all-known")
-	b.ReportMetric(float64(total(f)-before)/size, "B/node")
+	b.ReportMetric(float64(totalSent(f)-before)/size, "B/node")
 	b.ReportMetric(float64(peak)/size, "B/s/node-peak")
 }
 
-// BenchmarkPublish is the copy of the order on a change, at the size of two years from now.
+// BenchmarkPublish measures the copy of the order on a change in a fleet of 25 000 members.
 func BenchmarkPublish(b *testing.B) {
 	f := newFleet(3)
 	core, err := New(Convergence(), f.row(0, 26), f.rng)
@@ -279,7 +281,7 @@
 	b.ReportMetric(float64(before.HeapAlloc-after.HeapAlloc)/(1<<20), "MB-held")
 }
 
-// BenchmarkProbe is one probe answered, with twenty changes to tell.
+// BenchmarkProbe measures the answer to one probe while twenty changes are queued.
 func BenchmarkProbe(b *testing.B) {
 	f := newFleet(3)
 	core, err := New(Convergence(), f.row(0, 26), f.rng)
--- a/lib/bfmember/fleet_test.go
+++ b/lib/bfmember/fleet_test.go
@@ -11,9 +11,9 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-var errAway = errors.New("table is away")
+var errUnavailable = errors.New("table unavailable")
 
-// event is a message on its way, or a node's timer where message is nil.
+// event is a message in transit, or a node's timer if message is nil.
 type event struct {
 	at      time.Time
 	order   int
@@ -37,29 +37,29 @@
 }
 
 type node struct {
-	core         *Members
-	address      string
-	down, frozen bool
-	inbox        []event
-	timer        time.Time
-	sent, got    int
-	// dead counts members that came to be held dead here since the last thaw.
+	core           *Members
+	address        string
+	down, paused   bool
+	inbox          []event
+	timer          time.Time
+	sent, received int
+	// dead counts the members that this node marked dead since it last resumed.
 	dead int
 }
 
-// fleet is a queue of messages between a few cores, with one clock and one seed.
+// fleet simulates nodes that exchange messages, with one clock and one seed.
 type fleet struct {
-	now      time.Time
-	rng      *rand.Rand
-	nodes    []*node
-	byPeer   map[string]*node
-	queue    events
-	order    int
-	lossRate float64
-	cut      func(a, b *node) bool
-	meetings map[int]bfgossip.Meeting
-	writes   int
-	away     bool // the table
+	now         time.Time
+	rng         *rand.Rand
+	nodes       []*node
+	byPeer      map[string]*node
+	queue       events
+	order       int
+	lossRate    float64
+	partitioned func(a, b *node) bool
+	meetings    map[int]bfgossip.Meeting
+	writes      int
+	tableDown   bool
 }
 
 func newFleet(seed uint64) *fleet {
@@ -90,8 +90,8 @@
 	return n
 }
 
-// full makes a fleet whose nodes all know one another.
-func full(seed uint64, options Options, size, domains int) *fleet {
+// newJoinedFleet returns a fleet in which every node holds the rows of all nodes.
+func newJoinedFleet(seed uint64, options Options, size, domains int) *fleet {
 	f := newFleet(seed)
 	var rows []bfroster.Row
 	for i := range size {
@@ -104,7 +104,7 @@
 		}
 		n.core.gossip = bfgossip.NewQueue()
 		n.core.publish()
-		f.do(n, n.core.Start(f.now, nil))
+		f.execute(n, n.core.Start(f.now, nil))
 		n.core.join = join{}
 	}
 	f.writes, f.meetings = 0, map[int]bfgossip.Meeting{}
@@ -117,11 +117,11 @@
 	heap.Push(&f.queue, e)
 }
 
-func (f *fleet) do(n *node, actions []Action) {
+func (f *fleet) execute(n *node, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			f.post(n, a)
+			f.transmit(n, a)
 		case Changed:
 			if a.New.State == bfroster.Dead {
 				n.dead++
@@ -134,10 +134,10 @@
 				}
 			}
 			var err error
-			if f.away {
-				rows, err = nil, errAway
+			if f.tableDown {
+				rows, err = nil, errUnavailable
 			}
-			defer func() { f.do(n, n.core.MeetingRead(f.now, rows, err)) }()
+			defer func() { f.execute(n, n.core.MeetingRead(f.now, rows, err)) }()
 		case WriteMeeting:
 			f.writes++
 			f.meetings[a.Meeting.Slot] = a.Meeting
@@ -149,21 +149,21 @@
 	}
 }
 
-func (f *fleet) post(n *node, a Send) {
+func (f *fleet) transmit(n *node, a Send) {
 	data, err := bfgossip.Encode(a.Message)
 	if err != nil {
 		panic(err)
 	}
 	n.sent += len(data)
 	to := f.byPeer[a.Address]
-	if to == nil || f.rng.Float64() < f.lossRate || (f.cut != nil && f.cut(n, to)) {
+	if to == nil || f.rng.Float64() < f.lossRate || (f.partitioned != nil && f.partitioned(n, to)) {
 		return
 	}
 	message, err := bfgossip.Decode(data)
 	if err != nil {
 		panic(err)
 	}
-	to.got += len(data)
+	to.received += len(data)
 	delay := time.Millisecond + time.Duration(f.rng.IntN(5_000))*time.Microsecond
 	f.push(event{at: f.now.Add(delay), to: to, from: n.address, message: message})
 }
@@ -182,20 +182,21 @@
 	n := e.to
 	switch {
 	case n.down:
-	case n.frozen:
+	case n.paused:
 		n.inbox = append(n.inbox, e)
 	case e.message != nil:
-		f.do(n, n.core.Receive(f.now, e.from, e.message))
+		f.execute(n, n.core.Receive(f.now, e.from, e.message))
 	case e.at.Equal(n.timer):
 		n.timer = time.Time{}
-		f.do(n, n.core.Tick(f.now))
+		f.execute(n, n.core.Tick(f.now))
 	}
 }
 
-// thaw lets a frozen node read its sockets; its timers run first, as they may in a real process.
-func (f *fleet) thaw(n *node) {
-	n.frozen, n.timer, n.dead = false, time.Time{}, 0
-	f.do(n, n.core.Tick(f.now))
+// resume ends the pause of a node: its timers run first, as they may in a real
+// process, then it handles the messages it received meanwhile.
+func (f *fleet) resume(n *node) {
+	n.paused, n.timer, n.dead = false, time.Time{}, 0
+	f.execute(n, n.core.Tick(f.now))
 	for _, e := range n.inbox {
 		if e.message != nil {
 			f.deliver(e)
@@ -204,10 +205,10 @@
 	n.inbox = nil
 }
 
-// agree reports whether each node that is up holds each member in the state that want gives.
+// agree reports whether each running node holds each member in the state that want returns.
 func (f *fleet) agree(want func(bfroster.Row) bfroster.State) bool {
 	for _, n := range f.nodes {
-		if n.down || n.frozen {
+		if n.down || n.paused {
 			continue
 		}
 		for _, other := range f.nodes {
@@ -222,10 +223,10 @@
 
 func allAlive(bfroster.Row) bfroster.State { return bfroster.Alive }
 
-// allSee reports whether each node that is up holds exactly so many members alive.
+// allSee reports whether the view of each running node has exactly this number of alive members.
 func (f *fleet) allSee(alive int) bool {
 	for _, n := range f.nodes {
-		if !n.down && !n.frozen && n.core.Order().Alive() != alive {
+		if !n.down && !n.paused && n.core.Order().Alive() != alive {
 			return false
 		}
 	}
--- a/lib/bfmember/join.go
+++ b/lib/bfmember/join.go
@@ -8,19 +8,20 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// join is the pull of a whole view from peers.
+// join is the state of the initial transfer of the view from peers.
 type join struct {
 	active     bool
 	candidates []string
-	// sampled is set once a few rows are held, from which the givers of the pages are drawn.
+	// sampled is set once the sample page has arrived; later pages are requested
+	// from members drawn from it.
 	sampled bool
 	after   bfroster.Key
 	nonce   uint32
-	// waiting is set while a page is outstanding; due is then its deadline.
-	waiting bool
-	due     time.Time
-	backoff time.Duration
-	told    bool
+	// waiting is set while a page request is outstanding; due is then its deadline.
+	waiting  bool
+	due      time.Time
+	backoff  time.Duration
+	reported bool
 }
 
 const (
@@ -31,31 +32,32 @@
 
 func (m *Members) startJoin(now time.Time, seeds []string) {
 	m.join = join{active: true, candidates: slices.Clone(seeds), backoff: firstJoinBackoff}
-	m.do(ReadMeeting{})
+	m.emit(ReadMeeting{})
 	m.join.due = now.Add(m.options.JoinTimeout)
 	if len(seeds) > 0 {
-		m.askPage(now)
+		m.requestPage(now)
 	}
 }
 
 func (m *Members) tickJoin(now time.Time) {
-	if m.join.active && due(now, m.join.due) {
-		m.askPage(now)
+	if m.join.active && isDue(now, m.join.due) {
+		m.requestPage(now)
 	}
 }
 
-// askPage asks the next giver, or reads the meeting rows again where none is left.
-func (m *Members) askPage(now time.Time) {
-	address, found := m.nextGiver()
+// requestPage requests a page from the next peer, or backs off if no peer is left.
+func (m *Members) requestPage(now time.Time) {
+	address, found := m.nextPageSource()
 	if !found {
-		m.alone(now)
+		m.backOffJoin(now)
 		return
 	}
 	limit := m.options.PageRows
 	if !m.join.sampled {
-		// A herd of joiners knows the same few meeting rows. If each pulled all
-		// its pages there, those nodes would send megabytes a joiner; so the
-		// first page is only a sample of members to draw the givers from.
+		// Nodes that join at the same time read the same few meeting rows. If each
+		// transferred its whole view from those peers, they would send megabytes
+		// per joiner, so the first page is only a sample of members to draw the
+		// sources of the other pages from.
 		limit = sampleRows
 		self := m.Self().Key()
 		m.join.after = bfroster.Key{Region: self.Region, Domain: self.Domain, Hash: m.rand.Uint64()}
@@ -66,9 +68,9 @@
 	m.send(address, bfgossip.PageRequest{Self: m.Self(), Nonce: m.join.nonce, After: m.join.after, Limit: limit})
 }
 
-func (m *Members) nextGiver() (string, bool) {
+func (m *Members) nextPageSource() (string, bool) {
 	if m.join.sampled {
-		if picked := m.pick(1, m.hash); len(picked) > 0 {
+		if picked := m.pickAlive(1, m.hash); len(picked) > 0 {
 			return picked[0].Row().Peer, true
 		}
 	}
@@ -81,21 +83,22 @@
 	return address, true
 }
 
-// alone is when nobody answered: the node may be the first, and keeps looking.
-func (m *Members) alone(now time.Time) {
-	if !m.join.told {
-		m.join.told = true
-		m.do(Joined{Members: m.fleet()})
-	}
-	m.join.sampled = m.fleet() > 1
+// backOffJoin schedules the next join attempt after no peer has answered. The
+// node may be the first of the fleet, so it also reports that it has joined.
+func (m *Members) backOffJoin(now time.Time) {
+	if !m.join.reported {
+		m.join.reported = true
+		m.emit(Joined{Members: m.memberCount()})
+	}
+	m.join.sampled = m.memberCount() > 1
 	m.join.waiting = false
-	m.join.due = now.Add(m.join.backoff/2 + m.spread(m.join.backoff))
+	m.join.due = now.Add(m.join.backoff/2 + m.jitter(m.join.backoff))
 	m.join.backoff = min(2*m.join.backoff, maxJoinBackoff)
-	m.do(ReadMeeting{})
+	m.emit(ReadMeeting{})
 }
 
 func (m *Members) onPageRequest(now time.Time, r bfgossip.PageRequest) {
-	if !m.learnSender(now, r.Self) {
+	if !m.applySender(now, r.Self) {
 		return
 	}
 	rest := m.table.After(r.After)
@@ -112,9 +115,9 @@
 		return
 	}
 	m.join.waiting = false
-	m.learnRows(now, p.Rows, false)
+	m.applyRows(now, p.Rows, false)
 	for _, outage := range p.Outages {
-		m.learnOutage(now, outage)
+		m.applyOutage(now, outage)
 	}
 	switch {
 	case !m.join.sampled:
@@ -123,65 +126,66 @@
 	case len(p.Rows) == 0 || !p.More:
 		m.join.active = false
 		m.join.due = time.Time{}
-		m.join.told = true
-		m.do(Joined{Members: m.fleet()})
+		m.join.reported = true
+		m.emit(Joined{Members: m.memberCount()})
 		return
 	default:
 		m.join.after = p.Rows[len(p.Rows)-1].Key()
 	}
-	m.askPage(now)
+	m.requestPage(now)
 }
 
-// meetingWait spreads the fleet's writes so that their rate does not depend on its size.
-func (m *Members) meetingWait() time.Duration {
-	mean := float64(m.fleet()) / m.options.MeetingRate
-	return m.exponential(time.Duration(mean * float64(time.Second)))
+// meetingDelay returns a random delay whose mean grows with the fleet, so that the
+// fleet's rate of meeting writes does not depend on its size.
+func (m *Members) meetingDelay() time.Duration {
+	mean := float64(m.memberCount()) / m.options.MeetingRate
+	return m.exponentialDelay(time.Duration(mean * float64(time.Second)))
 }
 
-// MeetingRead takes the meeting rows that ReadMeeting asked for; on an error nothing changes.
+// MeetingRead handles the result of ReadMeeting; an error changes nothing.
 func (m *Members) MeetingRead(now time.Time, rows []bfgossip.Meeting, err error) []Action {
 	m.begin(now)
 	if err == nil {
-		m.meet(now, rows)
+		m.onMeetingRows(now, rows)
 	}
 	return m.finish()
 }
 
-func (m *Members) meet(now time.Time, rows []bfgossip.Meeting) {
+func (m *Members) onMeetingRows(now time.Time, rows []bfgossip.Meeting) {
 	self := m.Self()
-	var strangers []string
+	var unknownPeers []string
 	for _, row := range rows {
 		held, known := m.table.Row(bfroster.HashID(row.Row.ID))
 		if row.Row.ID != self.ID && (!known || !held.State.Present()) {
-			strangers = append(strangers, row.Row.Peer)
+			unknownPeers = append(unknownPeers, row.Row.Peer)
 		}
 	}
 	if m.join.active {
-		m.join.candidates = append(m.join.candidates, strangers...)
+		m.join.candidates = append(m.join.candidates, unknownPeers...)
 		switch {
 		case m.join.waiting:
 		case len(m.join.candidates) > 0:
-			m.askPage(now)
-		case !m.join.told:
-			// Nobody has met here before, so this node is the first; to wait for an
-			// answer that nobody was asked for would only hold its start up.
-			m.join.told = true
-			m.do(Joined{Members: m.fleet()})
+			m.requestPage(now)
+		case !m.join.reported:
+			// There is no peer to request a page from, so this node is the first of
+			// the fleet and has joined already.
+			m.join.reported = true
+			m.emit(Joined{Members: m.memberCount()})
 		}
 	} else {
-		// Two fleets that formed apart, or lost each other for longer than dead
-		// rows are kept, find each other here.
-		for _, address := range strangers {
+		// Merges two fleets that formed separately, or that were partitioned for
+		// longer than DeadRetention.
+		for _, address := range unknownPeers {
 			m.send(address, m.summary())
 		}
 	}
-	if self.State != bfroster.Left && (!m.join.active || len(strangers) == 0) {
-		m.do(WriteMeeting{bfgossip.Meeting{Slot: m.slot(rows), At: now, Row: self}})
+	if self.State != bfroster.Left && (!m.join.active || len(unknownPeers) == 0) {
+		m.emit(WriteMeeting{bfgossip.Meeting{Slot: m.pickSlot(rows), At: now, Row: self}})
 	}
 }
 
-// slot is the node's own slot, else an empty one, else the one written longest ago.
-func (m *Members) slot(rows []bfgossip.Meeting) int {
+// pickSlot returns the node's own slot, else a random empty one, else the one written least recently.
+func (m *Members) pickSlot(rows []bfgossip.Meeting) int {
 	used := map[int]time.Time{}
 	for _, row := range rows {
 		if row.Row.ID == m.Self().ID {
--- a/lib/bfmember/main_test.go
+++ b/lib/bfmember/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
--- a/lib/bfmember/members.go
+++ b/lib/bfmember/members.go
@@ -13,7 +13,8 @@
 	"bilberryflow.org/lib/bfview"
 )
 
-// Members decides for one node who is in the fleet; it is for one goroutine at a time.
+// Members is one node's view of the fleet and its failure detector. It isn't safe
+// for concurrent use, except for Order.
 type Members struct {
 	options Options
 	rand    *rand.Rand
@@ -22,26 +23,30 @@
 	gossip  *bfgossip.Queue
 	order   atomic.Pointer[bfroster.Order]
 	advert  bfgossip.Advert
-	// out collects the actions of the call in progress.
+	// out holds the actions of the call in progress.
 	out []Action
-	// barred are the rows of the message in progress that a grave refused.
+	// barred holds the rows of the message in progress whose incarnation was
+	// dropped as dead here.
 	barred []bfroster.Row
-	// missed counts news that did not fit the row held; a repair brings what is true of it.
+	// missed counts updates that did not match the row held; anti-entropy transfers
+	// the current row later.
 	missed  int
 	changed bool
 
-	lastCall   time.Time
-	lastChange time.Time
-	detector   detector
-	outages    outages
-	join       join
-	repair     time.Time
-	meeting    time.Time
-	sweep      time.Time
-	reconnect  time.Time
+	lastCall      time.Time
+	lastChange    time.Time
+	detector      detector
+	outages       outages
+	join          join
+	nextRepair    time.Time
+	nextMeeting   time.Time
+	nextSweep     time.Time
+	nextReconnect time.Time
 }
 
-// New makes the core of the node that self describes; its incarnation is the time of its start.
+// New returns the membership of the node with the row self, whose incarnation is
+// the node's start time in microseconds since 1970. It returns a bfroster.RowError
+// if self is invalid.
 func New(options Options, self bfroster.Row, rng *rand.Rand) (*Members, error) {
 	if err := self.Check(); err != nil {
 		return nil, err
@@ -57,10 +62,10 @@
 	return m, nil
 }
 
-// Order is the view now; it may be called from any goroutine.
+// Order returns the current view; it is safe for concurrent use.
 func (m *Members) Order() *bfroster.Order { return m.order.Load() }
 
-// Self is the node's own row.
+// Self returns the node's own row.
 func (m *Members) Self() bfroster.Row {
 	row, _ := m.table.Row(m.hash)
 	return row
@@ -68,38 +73,38 @@
 
 func (m *Members) self() *bfroster.Row { return m.table.Member(m.hash).Row() }
 
-// Row is what is known of a member, dead ones included.
+// Row returns the row of a member, including dead members that are still held.
 func (m *Members) Row(id string) (bfroster.Row, bool) {
 	row, found := m.table.Row(bfroster.HashID(id))
 	return row, found && row.ID == id
 }
 
-// Missed counts news that did not fit the row held.
+// Missed returns the number of updates that did not match the row held.
 func (m *Members) Missed() int { return m.missed }
 
-// Pending is how many changes wait to be told.
+// Pending returns the number of changes that are still being gossiped.
 func (m *Members) Pending() int { return m.gossip.Len() }
 
-// SetAdvert sets what the node tells of its configuration.
+// SetAdvert sets the configuration version and digest that the node advertises.
 func (m *Members) SetAdvert(version, digest uint64) {
 	m.advert.Version, m.advert.Digest = version, digest
 }
 
-// Start begins to look for the fleet; seeds are addresses from the settings.
+// Start starts the timers and the join; seeds are peer addresses from the settings.
 func (m *Members) Start(now time.Time, seeds []string) []Action {
 	m.begin(now)
-	m.detector.next = now.Add(m.spread(m.options.ProbeInterval))
-	m.repair = now.Add(m.exponential(m.options.RepairInterval))
-	m.sweep = now.Add(m.spread(sweepInterval))
-	m.reconnect = now.Add(m.exponential(m.options.ReconnectInterval))
-	m.meeting = now.Add(m.meetingWait())
+	m.detector.nextProbe = now.Add(m.jitter(m.options.ProbeInterval))
+	m.nextRepair = now.Add(m.exponentialDelay(m.options.RepairInterval))
+	m.nextSweep = now.Add(m.jitter(sweepInterval))
+	m.nextReconnect = now.Add(m.exponentialDelay(m.options.ReconnectInterval))
+	m.nextMeeting = now.Add(m.meetingDelay())
 	m.startJoin(now, seeds)
 	return m.finish()
 }
 
 const sweepInterval = time.Minute
 
-// Tick does what is due; the next call is due at Next.
+// Tick runs the timers that have expired; the next call is due at Next.
 func (m *Members) Tick(now time.Time) []Action {
 	m.begin(now)
 	if m.Self().State == bfroster.Left {
@@ -107,29 +112,29 @@
 	}
 	m.tickDetector(now)
 	m.tickJoin(now)
-	if due(now, m.repair) {
-		m.repair = now.Add(m.exponential(m.options.RepairInterval))
-		m.openRepair()
+	if isDue(now, m.nextRepair) {
+		m.nextRepair = now.Add(m.exponentialDelay(m.options.RepairInterval))
+		m.startRepair()
 	}
-	if due(now, m.reconnect) {
-		m.reconnect = now.Add(m.exponential(m.options.ReconnectInterval))
+	if isDue(now, m.nextReconnect) {
+		m.nextReconnect = now.Add(m.exponentialDelay(m.options.ReconnectInterval))
 		m.probeDead()
 	}
-	if due(now, m.meeting) {
-		m.meeting = now.Add(m.meetingWait())
-		m.do(ReadMeeting{})
+	if isDue(now, m.nextMeeting) {
+		m.nextMeeting = now.Add(m.meetingDelay())
+		m.emit(ReadMeeting{})
 	}
-	if due(now, m.sweep) {
-		m.sweep = now.Add(sweepInterval)
+	if isDue(now, m.nextSweep) {
+		m.nextSweep = now.Add(sweepInterval)
 		m.table.Sweep(now, m.options.retention())
 	}
 	return m.finish()
 }
 
-// Next is when Tick has something to do.
+// Next returns the time at which the next call of Tick is due.
 func (m *Members) Next() time.Time {
-	next := m.detector.due()
-	for _, at := range []time.Time{m.join.due, m.repair, m.reconnect, m.meeting, m.sweep} {
+	next := m.detector.nextDeadline()
+	for _, at := range []time.Time{m.join.due, m.nextRepair, m.nextReconnect, m.nextMeeting, m.nextSweep} {
 		if !at.IsZero() && at.Before(next) {
 			next = at
 		}
@@ -137,9 +142,9 @@
 	return next
 }
 
-func due(now, at time.Time) bool { return !at.IsZero() && !now.Before(at) }
+func isDue(now, at time.Time) bool { return !at.IsZero() && !now.Before(at) }
 
-// Receive takes a message; from is the address that datagrams of its sender come from.
+// Receive handles a message; from is the source address of the sender's datagrams.
 func (m *Members) Receive(now time.Time, from string, message bfgossip.Message) []Action {
 	m.begin(now)
 	switch message := message.(type) {
@@ -163,35 +168,35 @@
 	return m.finish()
 }
 
-// SetTarget tells a change of the node's own target.
+// SetTarget updates and gossips the state and the slots of the node's own target.
 func (m *Members) SetTarget(now time.Time, target bfroster.TargetState, slots uint32) []Action {
 	m.begin(now)
 	self := m.Self()
 	if self.State != bfroster.Left && (self.Target != target || self.Slots != slots) {
 		self.Target, self.Slots = target, slots
 		self.Sequence++
-		m.tellSelf(now, self)
+		m.updateSelf(now, self)
 		if target == bfroster.TargetLeaving {
-			m.spray()
+			m.probeNow()
 		}
 	}
 	return m.finish()
 }
 
-// Leave tells that the node stops for good; it is the last thing the node says.
+// Leave gossips that the node has left the fleet; the node sends nothing afterwards.
 func (m *Members) Leave(now time.Time) []Action {
 	m.begin(now)
 	self := m.Self()
 	self.State = bfroster.Left
-	m.tellSelf(now, self)
-	m.spray()
+	m.updateSelf(now, self)
+	m.probeNow()
 	return m.finish()
 }
 
 func (m *Members) begin(now time.Time) {
 	m.out, m.barred = nil, nil
-	if !m.lastCall.IsZero() && now.Sub(m.lastCall) > m.options.paused() {
-		m.wake(now)
+	if !m.lastCall.IsZero() && now.Sub(m.lastCall) > m.options.pauseThreshold() {
+		m.resetAfterPause(now)
 	}
 	m.lastCall = now
 }
@@ -209,20 +214,20 @@
 	m.order.Store(m.table.NextOrder(m.order.Load()))
 }
 
-func (m *Members) do(a Action) { m.out = append(m.out, a) }
+func (m *Members) emit(a Action) { m.out = append(m.out, a) }
 
 func (m *Members) send(address string, message bfgossip.Message) {
-	m.do(Send{Address: address, Message: message})
+	m.emit(Send{Address: address, Message: message})
 }
 
-// learn takes a row that someone told, or that this node concluded.
-func (m *Members) learn(now time.Time, row bfroster.Row, tell bool) {
+// applyRow merges a row that was received or that this node's failure detector produced.
+func (m *Members) applyRow(now time.Time, row bfroster.Row, broadcast bool) {
 	hash := bfroster.HashID(row.ID)
 	if hash == m.hash && row.ID == m.Self().ID {
 		m.refute(now, row)
 		return
 	}
-	if m.shielded(row) {
+	if m.suppressed(row) {
 		return
 	}
 	result, old := m.table.Merge(now, row)
@@ -231,90 +236,91 @@
 	case bfview.Barred:
 		m.barred = append(m.barred, row)
 	case bfview.Clashing:
-		m.do(Report{Err: &bfview.CollisionError{Held: old.ID, Refused: row.ID}})
+		m.emit(Report{Err: &bfview.CollisionError{Held: old.ID, Refused: row.ID}})
 	case bfview.Accepted:
-		m.accept(now, hash, old, row, tell)
+		m.accept(now, hash, old, row, broadcast)
 	}
 }
 
-func (m *Members) accept(now time.Time, hash uint64, old, row bfroster.Row, tell bool) {
+func (m *Members) accept(now time.Time, hash uint64, old, row bfroster.Row, broadcast bool) {
 	m.changed, m.lastChange = true, now
-	m.detector.track(now, hash, row, m.options.suspicion(m.fleet()))
+	m.detector.trackSuspicion(now, hash, row, m.options.suspicionTimeout(m.memberCount()))
 	if old.ID == "" {
 		m.detector.addToRing(m.rand, hash)
 	}
-	if tell {
+	if broadcast {
 		m.gossip.Add(hash, old.Incarnation != row.Incarnation)
 	}
-	m.do(Changed{Old: old, New: row})
-	m.weigh(now, row)
+	m.emit(Changed{Old: old, New: row})
+	m.startOutageCheck(now, row)
 }
 
-// tellSelf changes the node's own row, which nobody else does.
-func (m *Members) tellSelf(now time.Time, self bfroster.Row) {
+// updateSelf replaces and gossips the node's own row; only the node itself changes it.
+func (m *Members) updateSelf(now time.Time, self bfroster.Row) {
 	_, old := m.table.Merge(now, self)
 	m.accept(now, m.hash, old, self, true)
 }
 
-// DuplicateError reports a process that runs under this node's ID and started later.
+// DuplicateError reports a second process with this node's ID and another incarnation.
 type DuplicateError struct{ ID, Peer, Other string }
 
 // Error names the ID and both addresses.
 func (e *DuplicateError) Error() string {
-	return fmt.Sprintf("instance %q at %s runs at %s too", e.ID, e.Peer, e.Other)
+	return fmt.Sprintf("duplicate instance ID %q: in use at %s and at %s", e.ID, e.Peer, e.Other)
 }
 
-// refute outdoes what others say of this node.
+// refute raises the node's own row above a row that another node sent for it.
 //
-// A suspicion needs a higher sequence only. A death needs a new incarnation:
-// others may have dropped the row by then, and their graves bar the old one.
-func (m *Members) refute(now time.Time, told bfroster.Row) {
+// To refute a suspicion, a higher sequence is enough. To refute a death, the node
+// needs a new incarnation: other nodes may have dropped the row already, and
+// reject the old incarnation.
+func (m *Members) refute(now time.Time, received bfroster.Row) {
 	self := m.Self()
-	if self.State == bfroster.Left || told.Incarnation < self.Incarnation {
+	if self.State == bfroster.Left || received.Incarnation < self.Incarnation {
 		return
 	}
-	same := told.Incarnation == self.Incarnation
-	if !same && told.State.Present() {
-		m.do(Report{Err: &DuplicateError{ID: self.ID, Peer: self.Peer, Other: told.Peer}})
+	same := received.Incarnation == self.Incarnation
+	if !same && received.State.Present() {
+		m.emit(Report{Err: &DuplicateError{ID: self.ID, Peer: self.Peer, Other: received.Peer}})
 	}
 	switch {
-	case !same || !told.State.Present():
-		self.Incarnation = max(uint64(now.UnixMicro()), told.Incarnation+1)
+	case !same || !received.State.Present():
+		self.Incarnation = max(uint64(now.UnixMicro()), received.Incarnation+1)
 		self.Sequence = 0
-	case bfroster.Compare(told, self) > 0:
-		self.Sequence = told.Sequence + 1
+	case bfroster.Compare(received, self) > 0:
+		self.Sequence = received.Sequence + 1
 	default:
 		return
 	}
-	m.tellSelf(now, self)
-	m.do(Refuted{Told: told, Self: self})
+	m.updateSelf(now, self)
+	m.emit(Refuted{Told: received, Self: self})
 }
 
-// learnNews takes what rode on a probe or ack.
-func (m *Members) learnNews(now time.Time, news bfgossip.News) {
+// applyNews merges the updates piggybacked on a probe or an ack.
+func (m *Members) applyNews(now time.Time, news bfgossip.News) {
 	for _, outage := range news.Outages {
-		m.learnOutage(now, outage)
+		m.applyOutage(now, outage)
 	}
-	m.learnRows(now, news.Rows, true)
+	m.applyRows(now, news.Rows, true)
 	for _, mark := range news.Marks {
-		m.learnMark(now, mark)
+		m.applyMark(now, mark)
 	}
 	for _, loss := range news.Losses {
-		m.learnLoss(now, loss)
+		m.applyLoss(now, loss)
 	}
 }
 
-func (m *Members) learnRows(now time.Time, rows []bfroster.Row, tell bool) {
+func (m *Members) applyRows(now time.Time, rows []bfroster.Row, broadcast bool) {
 	for _, row := range rows {
 		if err := row.Check(); err != nil {
-			m.do(Report{Err: err})
+			m.emit(Report{Err: err})
 			continue
 		}
-		m.learn(now, row, tell)
+		m.applyRow(now, row, broadcast)
 	}
 }
 
-func (m *Members) learnMark(now time.Time, mark bfgossip.Mark) {
+func (m *Members) applyMark(now time.Time, mark bfgossip.Mark) {
 	row, found := m.table.Row(mark.Hash)
 	if !found || row.Incarnation < mark.Incarnation {
 		m.missed++
@@ -324,29 +330,30 @@
 		return
 	}
 	row.State, row.Sequence, row.Target, row.Slots = bfroster.Alive, mark.Sequence, mark.Target, mark.Slots
-	m.learnRows(now, []bfroster.Row{row}, true)
+	m.applyRows(now, []bfroster.Row{row}, true)
 }
 
-func (m *Members) learnLoss(now time.Time, loss bfgossip.Loss) {
+func (m *Members) applyLoss(now time.Time, loss bfgossip.Loss) {
 	members, err := loss.Members()
 	if err == nil && (loss.State == bfroster.Alive || loss.State > bfroster.Left) {
-		err = &bfcodec.Error{What: "loss", Reason: &bfroster.RowError{Field: "state", Reason: "is not one of a loss"}}
+		err = &bfcodec.Error{What: "loss", Reason: &bfroster.RowError{Field: "state", Reason: "is not valid in a loss"}}
 	}
 	if err != nil {
-		m.do(Report{Err: err})
+		m.emit(Report{Err: err})
 		return
 	}
 	for _, l := range members {
-		m.learnLost(now, l, loss.State)
+		m.applyLostMember(now, l, loss.State)
 	}
 }
 
-// learnLost raises the state of the row that the teller held.
+// applyLostMember sets the state of the held row of a member in a loss.
 //
-// A loss carries no target and no slots. A suspicion of a sequence not held
-// here is left to repair, since it would make a present row that no node ever
-// told; for members that are gone neither field has a meaning.
-func (m *Members) learnLost(now time.Time, l bfgossip.LostMember, state bfroster.State) {
+// A loss carries neither target state nor slots. A suspicion with a sequence that
+// isn't held here is left to anti-entropy, since combining it with the held row
+// would make a row that no node ever sent. For members that are gone neither
+// field has a meaning.
+func (m *Members) applyLostMember(now time.Time, l bfgossip.LostMember, state bfroster.State) {
 	row, found := m.table.Row(l.Hash)
 	behind := !found || row.Incarnation < l.Incarnation
 	if !state.Present() {
@@ -359,18 +366,18 @@
 		return
 	}
 	row.Incarnation, row.Sequence, row.State = l.Incarnation, l.Sequence, state
-	m.learnRows(now, []bfroster.Row{row}, true)
+	m.applyRows(now, []bfroster.Row{row}, true)
 }
 
-func (m *Members) fleet() int { return len(m.table.Sorted()) }
+func (m *Members) memberCount() int { return len(m.table.Sorted()) }
 
-// spread is a time between 0 and d, so that nodes started together don't act together.
-func (m *Members) spread(d time.Duration) time.Duration {
+// jitter returns a random duration below d, so that nodes started together don't act in step.
+func (m *Members) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.rand.Float64() * float64(d))
 }
 
-// exponential is a random wait of mean d, cut at 8 times the mean.
-func (m *Members) exponential(d time.Duration) time.Duration {
+// exponentialDelay returns an exponentially distributed delay of mean d, at most 8 times the mean.
+func (m *Members) exponentialDelay(d time.Duration) time.Duration {
 	const longest = 8
 	return time.Duration(math.Min(m.rand.ExpFloat64(), longest) * float64(d))
 }
--- a/lib/bfmember/members_test.go
+++ b/lib/bfmember/members_test.go
@@ -15,11 +15,10 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Damaged datagrams of any kind arrive. The sender sees nothing; the node must
-// report or ignore them and go on with its own row unharmed.
-func TestDamagedMessagesAreHarmless(t *testing.T) {
+// Guards against corrupted datagrams that change or remove the node's own row.
+func TestCorruptedMessagesKeepOwnRow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := full(3, Convergence(), 3, 1)
+		f := newJoinedFleet(3, Convergence(), 3, 1)
 		self := f.nodes[0].core.Self()
 		packed := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "packed")
 		probe := bfgossip.Probe{From: 7, News: bfgossip.News{Rows: []bfroster.Row{self, f.row(9, 2)}, Losses: []bfgossip.Loss{{State: bfroster.Dead, Packed: packed}}}}
@@ -34,53 +33,52 @@
 		if err != nil {
 			return
 		}
-		f.do(f.nodes[0], f.nodes[0].core.Receive(f.now, "10.0.0.9:1", message))
+		f.execute(f.nodes[0], f.nodes[0].core.Receive(f.now, "10.0.0.9:1", message))
 		if now := f.nodes[0].core.Self(); now.ID != self.ID || !now.State.Present() {
 			t.Fatalf("own row became %v", now)
 		}
 	})
 }
 
-// Rows that are wrong in each field come from a broken or newer node. Each is
-// refused with the field's name and changes nothing; an incarnation taken near
-// the largest number could never be outdone, and its member would stay dead.
-func TestWrongRowsAreRefusedByField(t *testing.T) {
+// Guards against invalid rows from a faulty or newer node: each is rejected with
+// the name of the field. An incarnation near the maximum, if accepted, could never
+// be refuted.
+func TestInvalidRowsAreRejectedByField(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("x", bfroster.MaxText+1)
-	for field, spoil := range map[string]func(*bfroster.Row){
+	for field, corrupt := range map[string]func(*bfroster.Row){
 		"id": func(r *bfroster.Row) { r.ID = "" }, "peer": func(r *bfroster.Row) { r.Peer = "" }, "domain": func(r *bfroster.Row) { r.Domain = long },
 		"service": func(r *bfroster.Row) { r.Service = long }, "incarnation": func(r *bfroster.Row) { r.Incarnation = math.MaxUint64 },
 		"sequence": func(r *bfroster.Row) { r.Sequence = math.MaxUint64 }, "state": func(r *bfroster.Row) { r.State = 9 },
 		"target": func(r *bfroster.Row) { r.Target = 9 },
 	} {
-		f := full(3, Convergence(), 3, 1)
+		f := newJoinedFleet(3, Convergence(), 3, 1)
 		core := f.nodes[0].core
 		before, row := core.Order(), f.row(7, 1)
-		spoil(&row)
+		corrupt(&row)
 		actions := core.Receive(f.now, "10.0.0.9:1", bfgossip.Page{})
 		actions = append(actions, core.Receive(f.now, "10.0.0.9:1", bfgossip.Ack{News: bfgossip.News{Rows: []bfroster.Row{row}}})...)
-		var wrong *bfroster.RowError
+		var rejected *bfroster.RowError
 		for _, a := range actions {
 			if r, isReport := a.(Report); isReport {
-				is.True(errors.As(r.Err, &wrong))
+				is.True(errors.As(r.Err, &rejected))
 			}
 		}
-		is.True(wrong != nil)
-		is.Equal(wrong.Field, field)
+		is.True(rejected != nil)
+		is.Equal(rejected.Field, field)
 		is.Equal(core.Order(), before)
 	}
 }
 
-// Twelve nodes start together, know nobody and find one another through the
-// meeting rows, while one datagram in five is lost. Operators must soon see all
-// twelve alive on every node once the loss stops.
+// Guards against a fleet that doesn't form: nodes that start together find each
+// other through the meeting rows alone, while one datagram in five is lost.
 func TestFleetFormsThroughMeetingRowsUnderLoss(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(11)
 	f.lossRate = 0.2
 	for i := range 12 {
 		n := f.add(Convergence(), f.row(i, 3))
-		f.do(n, n.core.Start(f.now, nil))
+		f.execute(n, n.core.Start(f.now, nil))
 	}
 	f.run(60 * time.Second)
 	f.lossRate = 0
@@ -89,80 +87,76 @@
 	is.Equal(f.nodes[0].core.Order().Digest(), f.nodes[11].core.Order().Digest())
 }
 
-// CASE 6, membership. A node is frozen for longer than every timeout while it
-// waits for acks; the others declare it dead. It wakes with old messages in its
-// sockets. It must declare nobody dead for its own long silence, learn what was
-// said of it, and be believed alive again under a higher incarnation. The same
-// holds where its sockets ran over and the old messages are gone.
-func TestFrozenNodeWakesAndRefutes(t *testing.T) {
-	t.Run("old messages", func(t *testing.T) { frozenNode(t, false) })
-	t.Run("sockets ran over", func(t *testing.T) { frozenNode(t, true) })
+// CASE 6, membership. A node that was paused for longer than every timeout, with
+// acks outstanding, must not declare other members dead, and must refute its own
+// death under a higher incarnation, even if its socket buffers overflowed.
+func TestPausedNodeResumesAndRefutes(t *testing.T) {
+	t.Run("messages kept", func(t *testing.T) { checkPausedNode(t, false) })
+	t.Run("buffers overflowed", func(t *testing.T) { checkPausedNode(t, true) })
 }
 
-func frozenNode(t *testing.T, ranOver bool) {
+func checkPausedNode(t *testing.T, overflowed bool) {
 	is := is.New(t)
-	f := full(5, Convergence(), 10, 2)
+	f := newJoinedFleet(5, Convergence(), 10, 2)
 	f.run(10 * time.Second)
-	frozen, quiet := f.nodes[0], f.nodes[1]
-	before := frozen.core.Self()
-	// Another member is quiet for a moment, so the node freezes with a suspicion.
-	quiet.frozen = true
+	stalled, suspected := f.nodes[0], f.nodes[1]
+	before := stalled.core.Self()
+	// Another member pauses briefly first, so the node holds a suspicion when it pauses.
+	suspected.paused = true
 	f.run(2500 * time.Millisecond)
-	is.Equal(len(frozen.core.detector.suspicion), 1)
-	frozen.frozen = true
-	f.thaw(quiet)
+	is.Equal(len(stalled.core.detector.suspicionDeadlines), 1)
+	stalled.paused = true
+	f.resume(suspected)
 	f.run(90 * time.Second)
 	row, _ := f.nodes[2].core.Row(before.ID)
 	is.Equal(row.State, bfroster.Dead)
-	if ranOver {
-		frozen.inbox = nil
+	if overflowed {
+		stalled.inbox = nil
 	}
-	f.thaw(frozen)
-	is.Equal(frozen.dead, 0)
+	f.resume(stalled)
+	is.Equal(stalled.dead, 0)
 	f.run(7 * time.Second)
-	is.True(frozen.core.Self().Incarnation > before.Incarnation)
+	is.True(stalled.core.Self().Incarnation > before.Incarnation)
 	is.True(f.agree(allAlive))
 }
 
-// A member dies and its row is dropped everywhere, while a partitioned node
-// still holds it as alive. When the partition heals the row must not come back
-// on any node, or callers would be sent to a target that has long gone.
-func TestDroppedRowDoesNotComeBack(t *testing.T) {
+// Guards against the return of a dropped row: a node that was partitioned while a
+// member died still holds it as alive, and must not reintroduce it elsewhere.
+func TestDroppedRowIsNotReintroduced(t *testing.T) {
 	is := is.New(t)
 	options := Convergence()
 	options.DeadRetention = 2 * time.Minute
-	f := full(9, options, 6, 2)
+	f := newJoinedFleet(9, options, 6, 2)
 	f.run(5 * time.Second)
-	away, gone := f.nodes[0], f.nodes[1]
-	id := gone.core.Self().ID
-	away.frozen, gone.down = true, true
+	isolated, dead := f.nodes[0], f.nodes[1]
+	id := dead.core.Self().ID
+	isolated.paused, dead.down = true, true
 	f.run(6 * time.Minute)
 	_, found := f.nodes[2].core.Row(id)
 	is.True(!found)
-	old, _ := away.core.Row(id)
+	old, _ := isolated.core.Row(id)
 	is.Equal(old.State, bfroster.Alive)
-	// What the partitioned node tells of the dead one, in each way it can.
+	// The partitioned node sends the row of the dead member by gossip and by anti-entropy.
 	healthy := f.nodes[2].core
-	answer := healthy.Receive(f.now, away.address, bfgossip.Probe{From: bfroster.HashID("x"), News: bfgossip.News{Rows: []bfroster.Row{old}}})
-	healthy.Receive(f.now, away.address, bfgossip.Repair{Self: old, Rows: []bfroster.Row{old}})
+	answer := healthy.Receive(f.now, isolated.address, bfgossip.Probe{From: bfroster.HashID("x"), News: bfgossip.News{Rows: []bfroster.Row{old}}})
+	healthy.Receive(f.now, isolated.address, bfgossip.Repair{Self: old, Rows: []bfroster.Row{old}})
 	_, found = healthy.Row(id)
 	is.True(!found)
-	// The teller is told of the death in the same exchange.
+	// The ack notifies the partitioned node of the death.
 	ack := answer[len(answer)-2].(Send).Message.(bfgossip.Ack)
-	away.core.Receive(f.now, healthy.Self().Peer, ack)
-	row, _ := away.core.Row(id)
+	isolated.core.Receive(f.now, healthy.Self().Peer, ack)
+	row, _ := isolated.core.Row(id)
 	is.Equal(row.State, bfroster.Dead)
 }
 
-// Every datagram that carries a change is lost, so no node but its own knows
-// it. The periodic comparison of views must bring it to all; otherwise a target
-// that became ready would stay unused for as long as it lives.
-func TestRepairBringsWhatGossipLost(t *testing.T) {
+// Guards against a change that stays unknown: if all its gossip is lost,
+// anti-entropy must bring it to every node.
+func TestRepairDeliversLostGossip(t *testing.T) {
 	is := is.New(t)
-	f := full(21, Convergence(), 12, 3)
+	f := newJoinedFleet(21, Convergence(), 12, 3)
 	f.lossRate = 1
 	n := f.nodes[4]
-	f.do(n, n.core.SetTarget(f.now, bfroster.TargetLeaving, 3))
+	f.execute(n, n.core.SetTarget(f.now, bfroster.TargetLeaving, 3))
 	n.core.gossip = bfgossip.NewQueue()
 	f.lossRate = 0
 	f.run(10 * time.Minute)
@@ -172,34 +166,32 @@
 	}
 }
 
-// Two sides of a fleet lose each other for twenty minutes and each declares the
-// other dead; then the network heals, while the table is away. Both sides must
-// find each other again with no operator and no restart.
-func TestHealedPartitionFindsTheOtherSide(t *testing.T) {
+// Guards against a permanent split: after a partition in which each side declared
+// the other dead, both must merge without the table, an operator or a restart.
+func TestHealedPartitionMerges(t *testing.T) {
 	is := is.New(t)
-	f := full(13, Convergence(), 12, 2)
-	f.away = true
+	f := newJoinedFleet(13, Convergence(), 12, 2)
+	f.tableDown = true
 	side := func(n *node) bool { return slices.Index(f.nodes, n)%2 == 0 }
-	f.cut = func(a, b *node) bool { return side(a) != side(b) }
+	f.partitioned = func(a, b *node) bool { return side(a) != side(b) }
 	f.run(20 * time.Minute)
 	row, _ := f.nodes[0].core.Row(f.nodes[1].core.Self().ID)
 	is.Equal(row.State, bfroster.Dead)
-	f.cut = nil
+	f.partitioned = nil
 	f.run(5 * time.Minute)
 	is.True(f.agree(allAlive))
 }
 
-// A whole domain loses its network for ten minutes and comes back. Callers must
-// be kept from all of it within seconds, and find all of it again within a
-// minute of its return; nearly no member may be declared dead for it, or the
-// refutations of a domain's members would fill the control budget of minutes.
-func TestLostDomainIsOneRecordAndComesBack(t *testing.T) {
+// Guards against slow detection of a lost domain and of its return, and against
+// deaths of its members: their refutations would use up the control bandwidth for
+// minutes.
+func TestLostDomainIsDetectedAndReturns(t *testing.T) {
 	is := is.New(t)
-	f := full(41, Convergence(), 120, 4)
+	f := newJoinedFleet(41, Convergence(), 120, 4)
 	lost := func(n *node) bool { return n.core.Self().Domain == "wien-domain-02" }
 	started := f.now.UnixMicro()
 	f.run(5 * time.Second)
-	f.cut = func(a, b *node) bool { return lost(a) != lost(b) }
+	f.partitioned = func(a, b *node) bool { return lost(a) != lost(b) }
 	f.run(15 * time.Second)
 	for _, n := range f.nodes {
 		if !lost(n) {
@@ -207,25 +199,25 @@
 		}
 	}
 	f.run(10 * time.Minute)
-	f.cut = nil
+	f.partitioned = nil
 	f.run(time.Minute)
 	is.True(f.allSee(120))
-	reborn := 0
+	refuted := 0
 	for _, n := range f.nodes {
 		if n.core.Self().Incarnation > uint64(started)+uint64(len(f.nodes)) {
-			reborn++
+			refuted++
 		}
 	}
-	t.Logf("%d of 120 members had to refute their death", reborn)
-	is.True(reborn < 20)
+	t.Logf("%d of 120 members had to refute their death", refuted)
+	is.True(refuted < 20)
 }
 
-// Half of a domain dies at once. The outage of the whole may be declared in
-// error, since most members probed don't answer; the first living one that is
-// heard from must end it, and the dead alone stay away.
-func TestHalfOfADomainIsNotTheWhole(t *testing.T) {
+// Guards against a wrong outage that lasts: if half of a domain dies, the first
+// message from an alive member must end the outage, and only the dead members
+// stay unreachable.
+func TestPartialDomainLossIsNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	f := full(43, Convergence(), 120, 3)
+	f := newJoinedFleet(43, Convergence(), 120, 3)
 	f.run(5 * time.Second)
 	for i, n := range f.nodes {
 		n.down = i%3 == 1 && i%2 == 0
@@ -240,14 +232,14 @@
 	is.True(f.agree(want))
 }
 
-// A node leaves gracefully: the others hear so within seconds, nobody suspects
-// it, and it never comes back by its own old news.
-func TestLeavingIsToldAndFinal(t *testing.T) {
+// Guards against a node that left gracefully being suspected, or reintroduced by
+// gossip that is still in transit.
+func TestLeaveIsGossipedAndFinal(t *testing.T) {
 	is := is.New(t)
-	f := full(17, Convergence(), 12, 3)
+	f := newJoinedFleet(17, Convergence(), 12, 3)
 	f.run(5 * time.Second)
 	leaver := f.nodes[3]
-	f.do(leaver, leaver.core.Leave(f.now))
+	f.execute(leaver, leaver.core.Leave(f.now))
 	f.run(200 * time.Millisecond)
 	leaver.down = true
 	f.run(5 * time.Second)
@@ -260,12 +252,11 @@
 	is.True(f.agree(want))
 }
 
-// The table's writes for meeting rows must not grow with the fleet, or the
-// fleet's growth alone would overload the table.
+// Guards against a rate of meeting writes that grows with the fleet and overloads the table.
 func TestMeetingWritesDoNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []int{20, 160} {
-		f := full(uint64(size), Bytes(), size, 4)
+		f := newJoinedFleet(uint64(size), Bytes(), size, 4)
 		f.run(10 * time.Minute)
 		perSecond := float64(f.writes) / 600
 		t.Logf("%d nodes: %.2f writes a second", size, perSecond)
--- a/lib/bfmember/options.go
+++ b/lib/bfmember/options.go
@@ -7,55 +7,58 @@
 	"bilberryflow.org/lib/bfview"
 )
 
-// Options are the settings of membership.
+// Options configures membership.
 type Options struct {
-	// ProbeInterval is the time between two probes of one node.
+	// ProbeInterval is the time between two probes that a node sends.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the wait for an ack before others are asked to probe.
+	// ProbeTimeout is the time without an ack after which indirect probes are sent.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many others are asked.
+	// IndirectProbes is the number of members that probe indirectly.
 	IndirectProbes int
-	// SuspicionFactor times log10 of the fleet's size times ProbeInterval is the time to refute.
+	// SuspicionFactor times log10 of the fleet's size times ProbeInterval is the time
+	// a suspected member has to refute.
 	SuspicionFactor float64
-	// RetransmitFactor times log2 of the fleet's size is how often a node tells a change.
+	// RetransmitFactor times log2 of the fleet's size is the number of times a node
+	// gossips a change.
 	RetransmitFactor float64
-	// NewsBytes bounds the news on one datagram.
+	// NewsBytes bounds the bytes of piggybacked updates in one datagram.
 	NewsBytes int
-	// RepairInterval is the mean time between two repairs a node opens.
+	// RepairInterval is the mean time between two anti-entropy exchanges that a node starts.
 	RepairInterval time.Duration
-	// RepairBuckets and RepairCells bound what one repair compares and carries, and so its bytes.
+	// RepairBuckets and RepairCells bound the digests and rows of one exchange.
 	RepairBuckets, RepairCells int
-	// DeadRetention is how long a dead member's row is kept, to find it again after a partition.
+	// DeadRetention is how long a dead member's row is kept, for probes that detect
+	// the end of a partition.
 	DeadRetention time.Duration
-	// GraveRetention is how long the incarnation of a dropped row stays barred.
-	GraveRetention time.Duration
-	// MaxGraves bounds what is kept of dropped rows.
-	MaxGraves int
-	// MeetingSlots is how many meeting rows the table has.
+	// TombstoneRetention is how long the incarnation of a dropped row is rejected.
+	TombstoneRetention time.Duration
+	// MaxTombstones bounds the number of tombstones kept for dropped rows.
+	MaxTombstones int
+	// MeetingSlots is the number of meeting rows in the table.
 	MeetingSlots int
-	// MeetingRate is how many meeting rows the whole fleet writes in a second.
+	// MeetingRate is the rate, per second, at which the whole fleet writes meeting rows.
 	MeetingRate float64
-	// PageRows is how many rows a joiner pulls at once.
+	// PageRows is the number of rows that a joiner requests per page.
 	PageRows int
-	// JoinTimeout is the wait for one page.
+	// JoinTimeout is the timeout of one page request.
 	JoinTimeout time.Duration
-	// ReconnectInterval is the mean time between two probes of members held dead.
+	// ReconnectInterval is the mean time between two probes of dead or lost members.
 	ReconnectInterval time.Duration
 }
 
-// Convergence is the profile of a fleet that weighs convergence time more.
+// Convergence returns the options that favor a short convergence time.
 func Convergence() Options {
 	return Options{
 		ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3,
 		SuspicionFactor: 3, RetransmitFactor: 1, NewsBytes: 800,
 		RepairInterval: time.Minute, RepairBuckets: 4, RepairCells: 16,
-		DeadRetention: 2 * time.Hour, GraveRetention: 24 * time.Hour, MaxGraves: 1 << 16,
+		DeadRetention: 2 * time.Hour, TombstoneRetention: 24 * time.Hour, MaxTombstones: 1 << 16,
 		MeetingSlots: 8, MeetingRate: 0.5, PageRows: 400, JoinTimeout: 2 * time.Second,
 		ReconnectInterval: time.Minute,
 	}
 }
 
-// Bytes is the profile of a fleet that weighs control bytes more.
+// Bytes returns the options that favor low control traffic.
 func Bytes() Options {
 	o := Convergence()
 	o.ProbeInterval = 3 * time.Second
@@ -67,18 +70,19 @@
 	return o
 }
 
-func (o Options) suspicion(fleet int) time.Duration {
-	spread := max(1, math.Log10(float64(fleet+1)))
-	return time.Duration(o.SuspicionFactor * spread * float64(o.ProbeInterval))
+func (o Options) suspicionTimeout(members int) time.Duration {
+	scale := max(1, math.Log10(float64(members+1)))
+	return time.Duration(o.SuspicionFactor * scale * float64(o.ProbeInterval))
 }
 
-func (o Options) retransmits(fleet int) int {
-	return max(2, int(math.Ceil(o.RetransmitFactor*math.Log2(float64(fleet+1)))))
+func (o Options) transmitLimit(members int) int {
+	return max(2, int(math.Ceil(o.RetransmitFactor*math.Log2(float64(members+1)))))
 }
 
 func (o Options) retention() bfview.Retention {
-	return bfview.Retention{Rows: o.DeadRetention, Graves: o.GraveRetention, MaxGraves: o.MaxGraves}
+	return bfview.Retention{Rows: o.DeadRetention, Graves: o.TombstoneRetention, MaxGraves: o.MaxTombstones}
 }
 
-// paused is the gap between two calls after which the node itself must have stood still.
-func (o Options) paused() time.Duration { return 2 * o.ProbeInterval }
+// pauseThreshold is the gap between two calls above which the process is assumed
+// to have been paused.
+func (o Options) pauseThreshold() time.Duration { return 2 * o.ProbeInterval }
--- a/lib/bfmember/outage.go
+++ b/lib/bfmember/outage.go
@@ -8,48 +8,49 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// DomainLost reports an outage that began or ended here.
+// DomainLost reports that an outage of a failure domain began or ended in this node's view.
 type DomainLost struct{ Outage bfgossip.Outage }
 
 func (DomainLost) isAction() {}
 
 const (
-	// minOutage is the smallest domain that is told as a whole.
+	// minOutage is the smallest number of members of a failure domain with outage records.
 	minOutage = 24
-	// outageSuspects members must be suspected, or dead of late, before a domain is checked.
+	// outageSuspects is the number of suspected or recently dead members that starts a check.
 	outageSuspects = 5
 	// outageRecent is how long a death counts towards an outage.
 	outageRecent = time.Minute
-	// outageProbes more members, drawn by chance, must all fail to answer.
+	// outageProbes is the number of random alive members that must all fail to answer.
 	outageProbes = 3
 	// outageHold is how long after its return a domain is not declared lost again.
 	outageHold = 5 * time.Minute
+	// maxOutages bounds the number of domains with an outage record.
 	maxOutages = 1024
 )
 
-// outages is what this node knows of whole domains.
+// outages is this node's state of whole failure domains.
 type outages struct {
-	records *bfgossip.Outages
-	checks  map[bfroster.Key]*outageCheck
-	contact map[bfroster.Key]time.Time
+	records     *bfgossip.Outages
+	checks      map[bfroster.Key]*outageCheck
+	lastContact map[bfroster.Key]time.Time
 }
 
-// outageCheck counts the probes that decide whether a domain is lost.
+// outageCheck counts the failed probes of a check.
 type outageCheck struct{ failed int }
 
 func newOutages() outages {
 	return outages{
-		records: bfgossip.NewOutages(), checks: map[bfroster.Key]*outageCheck{}, contact: map[bfroster.Key]time.Time{},
+		records: bfgossip.NewOutages(), checks: map[bfroster.Key]*outageCheck{}, lastContact: map[bfroster.Key]time.Time{},
 	}
 }
 
-// weigh checks a domain in which many members came to be suspected.
+// startOutageCheck probes random members of a domain with many suspected members.
 //
-// The suspicions alone may be a lost rack. Only if further members, drawn by
-// chance, answer neither this node nor the others it asks is the domain lost:
-// with a tenth of it alive that happens in error three times in four, with half
-// of it once in eight; and one member heard from ends the outage.
-func (m *Members) weigh(now time.Time, row bfroster.Row) {
+// The suspicions alone may come from a lost rack. The domain is declared lost
+// only if further random members answer neither direct nor indirect probes. With
+// a tenth of the members alive, this is wrong three times in four; with half of
+// them alive, once in eight. Any message from a member ends the outage.
+func (m *Members) startOutageCheck(now time.Time, row bfroster.Row) {
 	domain := row.DomainKey()
 	if row.State != bfroster.Suspect || m.outages.records.Lost(domain) || m.outages.checks[domain] != nil || domain == m.self().DomainKey() {
 		return
@@ -67,19 +68,19 @@
 	m.outages.checks[domain] = &outageCheck{}
 	m.rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	for _, member := range alive[:min(outageProbes, len(alive))] {
-		m.probeFor(now, member, domain)
+		m.probeWithDeadline(now, member, domain)
 	}
 	if len(alive) < outageProbes {
-		m.declare(now, domain)
+		m.declareLost(now, domain)
 	}
 }
 
-// shielded reports whether news of a member is void while its domain is lost.
+// suppressed reports whether a member's row is ignored because its domain is lost.
 //
-// Nobody can tell a dead member of a lost domain from a living one, and deaths
-// declared in error would each have to be refuted when the domain is back. A
-// true death is found again then.
-func (m *Members) shielded(row bfroster.Row) bool {
+// During an outage, dead and alive members of the domain can't be distinguished,
+// and each wrong death would have to be refuted when the domain returns. Real
+// deaths are detected again then.
+func (m *Members) suppressed(row bfroster.Row) bool {
 	if !m.table.Lost(row.DomainKey()) {
 		return false
 	}
@@ -88,52 +89,54 @@
 }
 
 func (m *Members) recentContact(now time.Time, domain bfroster.Key) bool {
-	at, found := m.outages.contact[domain]
+	at, found := m.outages.lastContact[domain]
 	return found && now.Sub(at) < 2*m.options.ProbeInterval
 }
 
-// checkFailed counts a probe of a check that nobody answered.
-func (m *Members) checkFailed(now time.Time, domain bfroster.Key) {
+// countFailedProbe counts a failed probe of a check.
+func (m *Members) countFailedProbe(now time.Time, domain bfroster.Key) {
 	check, running := m.outages.checks[domain]
 	if !running {
 		return
 	}
 	if check.failed++; check.failed >= outageProbes {
-		m.declare(now, domain)
+		m.declareLost(now, domain)
 	}
 }
 
-func (m *Members) declare(now time.Time, domain bfroster.Key) {
+func (m *Members) declareLost(now time.Time, domain bfroster.Key) {
 	delete(m.outages.checks, domain)
 	m.changeOutage(now, bfgossip.Outage{Region: domain.Region, Domain: domain.Domain, Epoch: m.outages.records.Epoch(domain) + 1, Lost: true})
 }
 
-// heardFrom ends an outage: a message came from a member of the domain.
-func (m *Members) heardFrom(now time.Time, from uint64) {
+// recordContact handles the fact that a member sent a message: it cancels a check
+// of the member's domain and ends its outage.
+func (m *Members) recordContact(now time.Time, from uint64) {
 	member := m.table.Present(from)
 	if member == nil {
 		return
 	}
 	domain := member.Row().DomainKey()
-	m.outages.contact[domain] = now
+	m.outages.lastContact[domain] = now
 	delete(m.outages.checks, domain)
 	if m.outages.records.Lost(domain) {
 		m.changeOutage(now, bfgossip.Outage{Region: domain.Region, Domain: domain.Domain, Epoch: m.outages.records.Epoch(domain) + 1})
 	}
 }
 
-// learnOutage takes a record that another told.
-func (m *Members) learnOutage(now time.Time, o bfgossip.Outage) {
+// applyOutage merges an outage record received from another node.
+func (m *Members) applyOutage(now time.Time, o bfgossip.Outage) {
 	domain := o.Key()
 	if err := o.Check(); err != nil {
-		m.do(Report{Err: err})
+		m.emit(Report{Err: err})
 		return
 	}
 	if o.Epoch <= m.outages.records.Epoch(domain) || m.outages.records.Len() >= maxOutages {
 		return
 	}
 	m.changeOutage(now, o)
-	// This node is of the domain itself, or just heard from it: it knows better.
+	// This node is in the domain, or received a message from it just now, so it
+	// refutes the outage with a higher epoch.
 	if o.Lost && (domain == m.self().DomainKey() || m.recentContact(now, domain)) {
 		m.changeOutage(now, bfgossip.Outage{Region: o.Region, Domain: o.Domain, Epoch: o.Epoch + 1})
 	}
@@ -148,8 +151,8 @@
 	}
 	m.changed, m.lastChange = true, now
 	for _, hash := range m.table.SetLost(domain, o.Lost) {
-		delete(m.detector.suspicion, hash)
+		delete(m.detector.suspicionDeadlines, hash)
 		m.gossip.Remove(hash)
 	}
-	m.do(DomainLost{Outage: o})
+	m.emit(DomainLost{Outage: o})
 }
--- a/lib/bfmember/repair.go
+++ b/lib/bfmember/repair.go
@@ -9,9 +9,9 @@
 	"bilberryflow.org/lib/bfview"
 )
 
-// openRepair compares views with a random member.
-func (m *Members) openRepair() {
-	for _, peer := range m.pick(1, m.hash) {
+// startRepair starts an anti-entropy exchange with a random member.
+func (m *Members) startRepair() {
+	for _, peer := range m.pickAlive(1, m.hash) {
 		m.send(peer.Row().Peer, m.summary())
 	}
 }
@@ -20,33 +20,34 @@
 	return bfgossip.Summary{Self: m.Self(), Buckets: m.table.Summary(), Outages: m.outages.records.All()}
 }
 
-// compareViews repairs early where two views differ though nothing changed here for long.
+// compareViews starts an exchange early if the views differ although this view
+// has not changed for a while.
 func (m *Members) compareViews(now time.Time, ack bfgossip.Ack) {
-	settled := m.options.suspicion(m.fleet()) * 4
+	settled := m.options.suspicionTimeout(m.memberCount()) * 4
 	if ack.Advert.Members == m.table.Digest() || now.Sub(m.lastChange) < settled {
 		return
 	}
 	row, known := m.table.Row(ack.From)
-	if !known || m.repair.Sub(now) < m.options.RepairInterval/2 {
+	if !known || m.nextRepair.Sub(now) < m.options.RepairInterval/2 {
 		return
 	}
-	m.repair = now.Add(m.options.RepairInterval / 2)
+	m.nextRepair = now.Add(m.options.RepairInterval / 2)
 	m.send(row.Peer, m.summary())
 }
 
-// learnSender takes the row that a sender told of itself and reports whether it can be answered.
-func (m *Members) learnSender(now time.Time, self bfroster.Row) bool {
-	m.learnRows(now, []bfroster.Row{self}, true)
-	m.heardFrom(now, bfroster.HashID(self.ID))
+// applySender merges the sender's own row and reports whether the sender can be answered.
+func (m *Members) applySender(now time.Time, self bfroster.Row) bool {
+	m.applyRows(now, []bfroster.Row{self}, true)
+	m.recordContact(now, bfroster.HashID(self.ID))
 	return self.Check() == nil && self.ID != m.Self().ID
 }
 
 func (m *Members) onSummary(now time.Time, s bfgossip.Summary) {
-	if !m.learnSender(now, s.Self) {
+	if !m.applySender(now, s.Self) {
 		return
 	}
 	for _, outage := range s.Outages {
-		m.learnOutage(now, outage)
+		m.applyOutage(now, outage)
 	}
 	list := m.table.DifferingBuckets(s.Buckets)
 	m.rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -60,7 +61,7 @@
 }
 
 func (m *Members) onDetail(now time.Time, d bfgossip.Detail) {
-	if !m.learnSender(now, d.Self) {
+	if !m.applySender(now, d.Self) {
 		return
 	}
 	var wanted []uint16
@@ -75,21 +76,21 @@
 }
 
 func (m *Members) onRepair(now time.Time, r bfgossip.Repair) {
-	if !m.learnSender(now, r.Self) || len(r.Cells) > bfview.Cells {
+	if !m.applySender(now, r.Self) || len(r.Cells) > bfview.Cells {
 		return
 	}
-	m.learnRows(now, r.Rows, true)
-	rows := m.deaths()
+	m.applyRows(now, r.Rows, true)
+	rows := m.barredRows()
 	if r.Answer {
-		rows = append(rows, m.newer(r)...)
+		rows = append(rows, m.missingRows(r)...)
 	}
 	if len(rows) > 0 {
 		m.send(r.Self.Peer, bfgossip.Repair{Self: m.Self(), Cells: r.Cells, Rows: rows})
 	}
 }
 
-// newer lists the rows of the cells that the sender does not hold as they are here.
-func (m *Members) newer(r bfgossip.Repair) []bfroster.Row {
+// missingRows lists the rows of the requested cells that the sender does not hold identically.
+func (m *Members) missingRows(r bfgossip.Repair) []bfroster.Row {
 	var rows []bfroster.Row
 	for _, row := range m.table.InCells(r.Cells) {
 		same := func(o bfroster.Row) bool { return o == row }
@@ -100,8 +101,9 @@
 	return rows
 }
 
-// deaths are the rows that a grave refused, as dead, for the one who still holds them.
-func (m *Members) deaths() []bfroster.Row {
+// barredRows returns, as dead, the received rows whose incarnation was dropped
+// here, for the sender that still holds them.
+func (m *Members) barredRows() []bfroster.Row {
 	var rows []bfroster.Row
 	for _, row := range m.barred {
 		if row.State.Present() {
