--- a/lib/bfgossip/advert.go
+++ b/lib/bfgossip/advert.go
@@ -1,7 +1,7 @@
 package bfgossip
 
-// WithQuarantine is a message with the digest of what its sender holds in quarantine. One
-// that is handed on for another member stays as it is.
+// WithQuarantine returns the message with the digest of its sender's quarantine in the
+// advert. An Ack relayed for another member is returned unchanged.
 func WithQuarantine(message Message, sender, digest uint64) Message {
 	switch m := message.(type) {
 	case Probe:
--- a/lib/bfgossip/codec.go
+++ b/lib/bfgossip/codec.go
@@ -6,7 +6,7 @@
 	"bilberryflow.org/lib/bfcodec"
 )
 
-// The first byte of an encoded message names its form; numbers below 16 are this package's.
+// The first byte of an encoded message is its kind; values below 16 belong to this package.
 const (
 	kindProbe byte = iota + 1
 	kindAck
@@ -31,13 +31,13 @@
 // Owns reports whether data is an encoded message of this package.
 func Owns(data []byte) bool { return len(data) > 0 && data[0] > 0 && data[0] < kindLimit }
 
-// Encode writes a message as one byte for its form and CBOR.
+// Encode encodes a message as its kind in one byte, followed by CBOR.
 func Encode(m Message) ([]byte, error) { return bfcodec.EncodeForm(m.kind(), m) }
 
-// Decode reads what Encode wrote.
+// Decode decodes the output of Encode; it returns a bfcodec.Error for anything else.
 func Decode(data []byte) (Message, error) {
 	if !Owns(data) {
-		return nil, &bfcodec.Error{What: "message", Reason: fmt.Errorf("form unknown")}
+		return nil, &bfcodec.Error{What: "message", Reason: fmt.Errorf("unknown kind")}
 	}
 	switch data[0] {
 	case kindProbe:
@@ -68,5 +68,5 @@
 	return message, nil
 }
 
-// EncodedSize is how many bytes a part of a message takes.
+// EncodedSize returns the encoded size, in bytes, of a part of a message.
 func EncodedSize(v any) int { return len(bfcodec.Must(bfcodec.Marshal(v))) }
--- a/lib/bfgossip/meeting.go
+++ b/lib/bfgossip/meeting.go
@@ -7,20 +7,22 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Meeting is one of the few rows in the table by which new nodes find the first peer.
+// Meeting is one of the few rows of the table that list a running node each, for
+// new nodes to find their first peer.
 type Meeting struct {
 	Slot int          `cbor:"1,keyasint"`
 	At   time.Time    `cbor:"2,keyasint"`
 	Row  bfroster.Row `cbor:"3,keyasint"`
 }
 
-// EncodeMeeting writes the value of a meeting row.
+// EncodeMeeting encodes the value of a meeting row, with the time truncated to seconds.
 func EncodeMeeting(m Meeting) ([]byte, error) {
 	m.At = m.At.UTC().Truncate(time.Second)
 	return bfcodec.Marshal(m)
 }
 
-// DecodeMeeting reads what EncodeMeeting wrote.
+// DecodeMeeting decodes the value of a meeting row; it returns a bfcodec.Error if
+// the value or the member's row in it is invalid.
 func DecodeMeeting(data []byte) (Meeting, error) {
 	var m Meeting
 	if err := bfcodec.Unmarshal(data, "meeting row", &m); err != nil {
--- a/lib/bfgossip/outage.go
+++ b/lib/bfgossip/outage.go
@@ -9,13 +9,14 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Outage says that a whole failure domain is out of reach, or back.
+// Outage reports that a whole failure domain is unreachable, or has returned.
+// The larger Epoch wins.
 //
-// The loss of a domain of 960 told member by member is 16 kB, each told many
-// times and told again as deaths and once more as refutations when the domain
-// comes back: at 4 kB a second the fleet is busy with it for many minutes. An
-// outage is one record that leaves the members' rows as they are, so both the
-// loss and the return cost a few dozen bytes. The larger Epoch wins.
+// Sent member by member, the loss of a domain of 960 takes 16 kB, retransmitted
+// many times as suspicions, as deaths, and as refutations when the domain
+// returns; with 4 kB/s of control bandwidth per node this takes many minutes. An
+// outage is one record that leaves the members' rows unchanged, so the loss and
+// the return take a few dozen bytes each.
 type Outage struct {
 	Region string `cbor:"1,keyasint,omitempty"`
 	Domain string `cbor:"2,keyasint,omitempty"`
@@ -23,7 +24,7 @@
 	Lost   bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// Check refuses an outage that can't be of a domain.
+// Check returns a bfcodec.Error if a field is out of range.
 func (o Outage) Check() error {
 	if len(o.Region) > bfroster.MaxText || len(o.Domain) > bfroster.MaxText || o.Epoch > bfroster.MaxSequence {
 		return &bfcodec.Error{What: "outage", Reason: &bfroster.RowError{Field: "domain or epoch", Reason: "is out of range"}}
@@ -31,10 +32,10 @@
 	return nil
 }
 
-// Key is the first key of the outage's domain, which names the domain.
+// Key returns the first key of the domain, which identifies the domain.
 func (o Outage) Key() bfroster.Key { return bfroster.Key{Region: o.Region, Domain: o.Domain} }
 
-// Outages holds the latest outage known of each domain, and tells them.
+// Outages holds the latest outage of each domain and the number of times it was sent.
 type Outages struct {
 	records map[bfroster.Key]*outageRecord
 }
@@ -45,15 +46,15 @@
 	sent   int
 }
 
-// NewOutages makes an empty set.
+// NewOutages returns an empty set.
 func NewOutages() *Outages { return &Outages{records: map[bfroster.Key]*outageRecord{}} }
 
-// Set takes the latest outage of a domain.
+// Set replaces the outage of a domain.
 func (o *Outages) Set(now time.Time, outage Outage) {
 	o.records[outage.Key()] = &outageRecord{outage: outage, since: now}
 }
 
-// Len is how many domains ever had an outage.
+// Len returns the number of domains that have a record.
 func (o *Outages) Len() int { return len(o.records) }
 
 // Lost reports whether a domain is lost.
@@ -62,7 +63,7 @@
 	return found && record.outage.Lost
 }
 
-// Epoch is the number of a domain's latest outage, 0 where it never had one.
+// Epoch returns the epoch of a domain's latest outage, 0 if there is none.
 func (o *Outages) Epoch(domain bfroster.Key) uint64 {
 	if record, found := o.records[domain]; found {
 		return record.outage.Epoch
@@ -70,7 +71,7 @@
 	return 0
 }
 
-// Since is when a domain was lost or came back; false where it was never lost.
+// Since returns the time at which a domain's latest outage was set; false if there is none.
 func (o *Outages) Since(domain bfroster.Key) (time.Time, bool) {
 	record, found := o.records[domain]
 	if !found {
@@ -79,14 +80,14 @@
 	return record.since, true
 }
 
-// sorted lists the records by domain.
+// sorted returns the records ordered by domain.
 func (o *Outages) sorted() []*outageRecord {
 	return slices.SortedFunc(maps.Values(o.records), func(a, b *outageRecord) int {
 		return a.outage.Key().Compare(b.outage.Key())
 	})
 }
 
-// All lists what a node without any knowledge needs.
+// All lists the latest outage of every domain, for a node that joins.
 func (o *Outages) All() []Outage {
 	var list []Outage
 	for _, record := range o.sorted() {
@@ -95,7 +96,8 @@
 	return list
 }
 
-// Pack adds to news the outages not told limit times, and returns what is left of the budget.
+// Pack adds to news the outages sent fewer than limit times, and returns the rest
+// of the budget in bytes.
 func (o *Outages) Pack(news *News, budget, limit int) int {
 	for _, record := range o.sorted() {
 		size := EncodedSize(record.outage)
--- a/lib/bfgossip/queue.go
+++ b/lib/bfgossip/queue.go
@@ -8,29 +8,31 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Rows finds the row of a member by the hash of its ID.
-type Rows func(hash uint64) (bfroster.Row, bool)
+// RowFunc returns the row of the member whose ID has the given hash.
+type RowFunc func(hash uint64) (bfroster.Row, bool)
 
-// change is a row that still has to be told.
+// change is a changed row that is still being sent.
 type change struct {
 	hash uint64
 	sent int
-	// stamp grows with every change, so that the newest is told first.
+	// stamp is the position in the sequence of changes; the newest is sent first.
 	stamp uint64
-	// whole changes carry the row, others only what changes within an incarnation.
+	// whole sends the entire row instead of only the fields that can change within
+	// an incarnation.
 	whole bool
 }
 
-// Queue holds the changes of rows that still have to be told.
+// Queue holds the changes of rows that are still being sent.
 type Queue struct {
 	changes map[uint64]*change
 	stamp   uint64
 }
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{changes: map[uint64]*change{}} }
 
-// Add queues a change; a whole one carries the row, others what changes within an incarnation.
+// Add queues a change of a row; if whole, the entire row is sent, otherwise only
+// the fields that can change within an incarnation.
 func (q *Queue) Add(hash uint64, whole bool) {
 	q.stamp++
 	if old, waiting := q.changes[hash]; waiting {
@@ -39,19 +41,20 @@
 	q.changes[hash] = &change{hash: hash, stamp: q.stamp, whole: whole}
 }
 
-// Remove forgets a change that is void.
+// Remove drops the change of a row, if any.
 func (q *Queue) Remove(hash uint64) { delete(q.changes, hash) }
 
-// Len is how many changes wait to be told.
+// Len returns the number of queued changes.
 func (q *Queue) Len() int { return len(q.changes) }
 
-// Pack adds to news what fits the budget in bytes, and drops what was told limit times.
+// Pack adds to news the changes that fit into the budget, in bytes, and drops those
+// sent limit times.
 //
-// Rows are read when they are told, so that a change tells the latest row.
-func (q *Queue) Pack(rows Rows, news *News, budget, limit int) {
-	p := packer{news: news, left: budget}
-	for _, c := range q.inTurn() {
-		if p.left <= smallestNews {
+// Rows are looked up when they are packed, so the latest row is sent.
+func (q *Queue) Pack(rows RowFunc, news *News, budget, limit int) {
+	p := packer{news: news, remaining: budget}
+	for _, c := range q.byPriority() {
+		if p.remaining <= minNewsBytes {
 			break
 		}
 		row, found := rows(c.hash)
@@ -59,7 +62,7 @@
 			delete(q.changes, c.hash)
 			continue
 		}
-		if !p.take(c, row) {
+		if !p.pack(c, row) {
 			continue
 		}
 		if c.sent++; c.sent >= limit {
@@ -68,8 +71,8 @@
 	}
 }
 
-// inTurn lists the least told changes first, and among them the newest.
-func (q *Queue) inTurn() []*change {
+// byPriority lists the least often sent changes first, the newest first among equals.
+func (q *Queue) byPriority() []*change {
 	list := make([]*change, 0, len(q.changes))
 	for _, c := range q.changes {
 		list = append(list, c)
@@ -81,62 +84,63 @@
 }
 
 const (
-	smallestNews = 18
-	// lossHeader is what a Loss costs besides its domain's name and its members.
-	lossHeader = 10
+	// minNewsBytes is the budget, in bytes, into which no change fits.
+	minNewsBytes = 18
+	// lossHeaderBytes is the size, in bytes, of a Loss without its domain's name and its members.
+	lossHeaderBytes = 10
 )
 
-// packer fills one datagram's news.
+// packer fills the news of one datagram.
 type packer struct {
-	news *News
-	left int
+	news      *News
+	remaining int
 }
 
-func (p *packer) take(c *change, row bfroster.Row) bool {
+func (p *packer) pack(c *change, row bfroster.Row) bool {
 	switch {
 	case c.whole:
-		return p.takeRow(row)
+		return p.packRow(row)
 	case row.State == bfroster.Alive:
-		return p.takeMark(c.hash, row)
+		return p.packMark(c.hash, row)
 	default:
-		return p.takeLoss(c.hash, row)
+		return p.packLoss(c.hash, row)
 	}
 }
 
-func (p *packer) spend(size int) bool {
-	if size > p.left {
+func (p *packer) reserve(size int) bool {
+	if size > p.remaining {
 		return false
 	}
-	p.left -= size
+	p.remaining -= size
 	return true
 }
 
-func (p *packer) takeRow(row bfroster.Row) bool {
-	if !p.spend(EncodedSize(row)) {
+func (p *packer) packRow(row bfroster.Row) bool {
+	if !p.reserve(EncodedSize(row)) {
 		return false
 	}
 	p.news.Rows = append(p.news.Rows, row)
 	return true
 }
 
-func (p *packer) takeMark(hash uint64, row bfroster.Row) bool {
+func (p *packer) packMark(hash uint64, row bfroster.Row) bool {
 	mark := Mark{
 		Hash: hash, Incarnation: row.Incarnation, Sequence: row.Sequence, Target: row.Target, Slots: row.Slots,
 	}
-	if !p.spend(EncodedSize(mark)) {
+	if !p.reserve(EncodedSize(mark)) {
 		return false
 	}
 	p.news.Marks = append(p.news.Marks, mark)
 	return true
 }
 
-func (p *packer) takeLoss(hash uint64, row bfroster.Row) bool {
+func (p *packer) packLoss(hash uint64, row bfroster.Row) bool {
 	size := 16 + len(binary.AppendUvarint(nil, row.Sequence))
 	i := slices.IndexFunc(p.news.Losses, func(l Loss) bool { return l.Domain == row.Domain && l.State == row.State })
 	if i < 0 {
-		size += lossHeader + len(row.Domain)
+		size += lossHeaderBytes + len(row.Domain)
 	}
-	if !p.spend(size) {
+	if !p.reserve(size) {
 		return false
 	}
 	if i < 0 {
--- a/lib/bfgossip/queue_test.go
+++ b/lib/bfgossip/queue_test.go
@@ -11,7 +11,7 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -22,9 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// Members of a lost rack are packed into few bytes, and arrive damaged at times.
-// What was packed must come out again, and no damage may do more than an error.
-func TestLossUnpacksWhatWasPacked(t *testing.T) {
+// Guards against a lossy encoding of packed members, and against a truncated one
+// that decodes to other members.
+func TestLossRoundTrip(t *testing.T) {
 	members := rapid.SliceOf(rapid.Custom(func(t *rapid.T) LostMember {
 		return LostMember{
 			Hash: rapid.Uint64().Draw(t, "hash"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Sequence: rapid.Uint64().Draw(t, "sequence"),
@@ -47,10 +47,9 @@
 	})
 }
 
-// A node has more changes to tell than one datagram holds. No datagram's news
-// may go over the budget, and each change must be told as often as asked and
-// then no more; else news would starve, or be told for ever.
-func TestQueueTellsEachChangeSoOftenWithinTheBudget(t *testing.T) {
+// Guards against datagrams over the budget, and against changes that are sent more
+// or less often than the limit.
+func TestQueueSendsEachChangeUpToLimitWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows, queue := map[uint64]bfroster.Row{}, NewQueue()
 		for i := range rapid.IntRange(0, 20).Draw(t, "rows") {
@@ -63,29 +62,29 @@
 		find := func(hash uint64) (bfroster.Row, bool) { row, found := rows[hash]; return row, found }
 		limit := rapid.IntRange(1, 5).Draw(t, "limit")
 		budget := rapid.IntRange(150, 600).Draw(t, "budget")
-		told := map[uint64]int{}
+		sent := map[uint64]int{}
 		for range limit * (len(rows) + 1) {
 			var news News
 			queue.Pack(find, &news, budget, limit)
 			if size := EncodedSize(news) - EncodedSize(News{}); size > budget+8 {
 				t.Fatalf("%d bytes of news in a budget of %d", size, budget)
 			}
-			countNews(t, told, news)
+			countNews(t, sent, news)
 		}
 		for hash := range rows {
-			if told[hash] != limit || queue.Len() != 0 {
-				t.Fatalf("told %d times instead of %d, %d changes left", told[hash], limit, queue.Len())
+			if sent[hash] != limit || queue.Len() != 0 {
+				t.Fatalf("told %d times instead of %d, %d changes left", sent[hash], limit, queue.Len())
 			}
 		}
 	})
 }
 
-func countNews(t *rapid.T, told map[uint64]int, news News) {
+func countNews(t *rapid.T, sent map[uint64]int, news News) {
 	for _, row := range news.Rows {
-		told[bfroster.HashID(row.ID)]++
+		sent[bfroster.HashID(row.ID)]++
 	}
 	for _, mark := range news.Marks {
-		told[mark.Hash]++
+		sent[mark.Hash]++
 	}
 	for _, loss := range news.Losses {
 		members, err := loss.Members()
@@ -93,7 +92,7 @@
 			t.Fatal(err)
 		}
 		for _, m := range members {
-			told[m.Hash]++
+			sent[m.Hash]++
 		}
 	}
 }
