--- a/lib/bfspread/action.go
+++ b/lib/bfspread/action.go
@@ -6,43 +6,46 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Action is the sealed set of what a decision asks its shell to do.
+// Action is the sealed set of effects that the caller of Spreader carries out.
 type Action interface{ isAction() }
 
-// Send sends a message to a member, as a datagram where it fits one.
+// Send sends a message to a member, as a datagram if it fits into one.
 //
-// Without an Address it goes to where the message it answers came from.
+// If Address is empty, the message goes to the source address of the message
+// that it answers.
 type Send struct {
 	To      uint64
 	Address string
 	Message Message
 }
 
-// ReadHead asks for the table's head, to be given to HeadRead.
+// ReadHead requests the table's head; the caller passes it to HeadRead.
 type ReadHead struct{}
 
-// FetchDeltas asks the store for the versions after After, to be given to StoreDeltas.
+// FetchDeltas requests the versions after After from the store; the caller passes
+// them to StoreDeltas.
 type FetchDeltas struct{ After bfconfig.Version }
 
-// FetchSnapshot asks the store for a whole state of at least AtLeast, to be given to StoreSnapshot.
+// FetchSnapshot requests a snapshot of version AtLeast or later from the store; the
+// caller passes it to StoreSnapshot.
 type FetchSnapshot struct{ AtLeast bfconfig.Version }
 
-// Adopt hands out a version that the node now holds; versions come in rising order.
+// Adopt reports a version that the node now holds; versions are strictly increasing.
 type Adopt struct{ State *bfconfig.State }
 
-// RefuseVersion reports a version that can't be applied; the older one stays in force.
+// RefuseVersion reports a version that can't be applied; the node keeps the older one.
 type RefuseVersion struct {
 	Version bfconfig.Version
 	Err     error
 }
 
-// CensusDone answers Census.
+// CensusDone is the result of Census.
 type CensusDone struct {
 	ID    uint32
 	Tally bfcount.Tally
 }
 
-// Report passes on something that should not happen.
+// Report passes an unexpected error to the caller.
 type Report struct{ Err error }
 
 func (Send) isAction()          {}
--- a/lib/bfspread/census.go
+++ b/lib/bfspread/census.go
@@ -9,44 +9,45 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// SetInForce takes the version in force on this node, which a census tells.
+// SetInForce sets the version in force on this node, which it reports in a census.
 func (s *Spreader) SetInForce(version bfconfig.Version) { s.counter.SetInForce(version) }
 
-// Census asks the whole fleet what is in force; CensusDone answers with the returned ID within wait.
+// Census counts the versions in force in the whole fleet; the result is a CensusDone
+// with the returned ID, at the latest after wait.
 func (s *Spreader) Census(now time.Time, wait time.Duration) (uint32, []Action) {
 	s.begin()
 	id, actions := s.counter.Start(now, wait)
-	s.count(actions)
+	s.countActions(actions)
 	return id, s.out
 }
 
-// count does what the counter decided.
-func (s *Spreader) count(actions []bfcount.Action) {
+// countActions carries out the actions of the counter.
+func (s *Spreader) countActions(actions []bfcount.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case bfcount.Ask:
-			s.do(sendTo(action.Relay, Census(action.Question)))
+			s.emit(sendTo(action.Relay, Census(action.Question)))
 		case bfcount.Reply:
 			s.send(action.To, CensusAnswer(action.Answer))
 		case bfcount.Done:
-			s.do(CensusDone{ID: action.ID, Tally: action.Tally})
+			s.emit(CensusDone{ID: action.ID, Tally: action.Tally})
 		}
 	}
 }
 
-// relays is what the counter needs of the spreader.
-type relays struct{ spreader *Spreader }
+// censusFleet implements bfcount.Fleet with the spreader's tree.
+type censusFleet struct{ spreader *Spreader }
 
-// Order is the view that parts are drawn from.
-func (r relays) Order() *bfroster.Order { return r.spreader.order }
+// Order returns the spreader's view of the members.
+func (r censusFleet) Order() *bfroster.Order { return r.spreader.order }
 
-// Split splits as a push does.
-func (r relays) Split(over bfspan.Span) []bfspan.Span { return r.spreader.split(over) }
+// Split splits a span as a push does.
+func (r censusFleet) Split(span bfspan.Span) []bfspan.Span { return r.spreader.split(span) }
 
-// Relay draws as a push does.
-func (r relays) Relay(over bfspan.Span, tried []bfroster.Key) (*bfroster.Member, bool) {
-	return r.spreader.relay(over, tried)
+// Relay picks a relay as a push does.
+func (r censusFleet) Relay(span bfspan.Span, tried []bfroster.Key) (*bfroster.Member, bool) {
+	return r.spreader.pickRelay(span, tried)
 }
 
-// NewNonce takes the next number of the spreader's messages.
-func (r relays) NewNonce() uint32 { return r.spreader.newNonce() }
+// NewNonce returns a new nonce of the spreader.
+func (r censusFleet) NewNonce() uint32 { return r.spreader.newNonce() }
--- a/lib/bfspread/doc.go
+++ b/lib/bfspread/doc.go
@@ -1,10 +1,11 @@
-// Package bfspread decides how versions of the configuration reach every node.
+// Package bfspread distributes versions of the configuration to every node.
 //
-// Spreader is the core: it takes the time and a message and returns what to do.
-// Whoever has a new version first covers the whole Order of members; each
-// receiver splits the range it was given and hands the parts on, so the tree
-// needs no upkeep and no node is special. Versions that got lost on the way are
-// noticed by the heads that ride on other messages, and pulled once. A node
-// applies versions in order only, each whole or not at all. Package bfspan
-// splits the ranges, and package bfcount runs the censuses.
+// Spreader is a deterministic state machine: its methods take the time and an
+// event and return the actions to carry out. The node that has a new version
+// first pushes it to the whole Order of members: it splits the order into parts
+// and sends the version to one relay of each, which splits its part in turn.
+// Every node can be a relay, and the tree is built anew for each push. Lost
+// pushes are detected by the heads that are piggybacked on other messages, and
+// the missing versions are pulled. A node applies versions atomically and in
+// order. Package bfspan splits the spans, and package bfcount runs the censuses.
 package bfspread
--- a/lib/bfspread/figures_test.go
+++ b/lib/bfspread/figures_test.go
@@ -8,33 +8,34 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// quiet is a world in which only the spread itself sends.
-func quiet(size, fanout int) *world {
+// newQuietWorld returns a world without adverts and with hardly any polls, so that
+// only pushes send.
+func newQuietWorld(size, fanout int) *world {
 	options := Convergence()
 	options.Fanout, options.PollRate = fanout, 0.0001
 	w := newWorld(uint64(size+fanout), options, size, 26)
-	w.queue, w.advert, w.messages = nil, 0, 0
+	w.queue, w.advertInterval, w.messages = nil, 0, 0
 	return w
 }
 
-// BenchmarkSpread counts one spread: fanout against depth, bytes and crossings of domains.
+// BenchmarkSpread measures the depth, bytes and domain crossings of one push by fanout.
 func BenchmarkSpread(b *testing.B) {
 	for _, size := range []int{200, 2000} {
 		for _, fanout := range []int{2, 4, 8, 16} {
 			b.Run(fmt.Sprintf("nodes=%d/fanout=%d", size, fanout), func(b *testing.B) {
 				for b.Loop() {
-					w := quiet(size, fanout)
+					w := newQuietWorld(size, fanout)
 					start := w.now
 					w.commit(w.nodes[0])
 					w.run(5 * time.Second)
-					report(b, w, start)
+					reportPush(b, w, start)
 				}
 			})
 		}
 	}
 }
 
-func report(b *testing.B, w *world, start time.Time) {
+func reportPush(b *testing.B, w *world, start time.Time) {
 	depth, sent, mostSent := 0, 0, 0
 	last := start
 	for _, n := range w.nodes {
@@ -54,8 +55,8 @@
 	b.ReportMetric(float64(w.behind()), "behind")
 }
 
-// BenchmarkSpreadUnderFaults counts the worst and the mean of ten spreads while messages are
-// lost, or while a domain of 26 is gone and nobody knows it yet.
+// BenchmarkSpreadUnderFaults measures the worst and the mean of ten pushes while messages are
+// lost, or while one domain of 26 is down and not yet detected.
 func BenchmarkSpreadUnderFaults(b *testing.B) {
 	cases := []struct {
 		name   string
@@ -65,13 +66,13 @@
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				faults(b, c.loss, c.domain)
+				measureFaults(b, c.loss, c.domain)
 			}
 		})
 	}
 }
 
-func faults(b *testing.B, loss float64, domain int) {
+func measureFaults(b *testing.B, loss float64, domain int) {
 	const runs = 10
 	var worst, sum time.Duration
 	sent, behind := 0, 0
@@ -97,7 +98,7 @@
 	b.ReportMetric(float64(behind), "behind")
 }
 
-// BenchmarkSteadyChanges is 1.1 changes a second for a minute, from random nodes, adverts not counted.
+// BenchmarkSteadyChanges measures 1.1 changes per second for a minute, from random nodes, without adverts.
 func BenchmarkSteadyChanges(b *testing.B) {
 	for name, options := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
 		b.Run(name, func(b *testing.B) {
@@ -125,7 +126,8 @@
 	}
 }
 
-// BenchmarkBaseline is the naive way: every node polls the whole state.
+// BenchmarkBaseline measures the size of the whole state, which every node would
+// poll in a naive design.
 func BenchmarkBaseline(b *testing.B) {
 	state := bfconfig.Empty()
 	var ops []bfconfig.Op
@@ -163,13 +165,13 @@
 	b.ReportMetric(float64(len(data)), "B-delta")
 }
 
-// BenchmarkCensus counts one question of what is in force where.
+// BenchmarkCensus measures the cost of one census.
 func BenchmarkCensus(b *testing.B) {
 	for b.Loop() {
-		w := quiet(2000, 8)
+		w := newQuietWorld(2000, 8)
 		start := w.now
 		_, actions := w.nodes[0].core.Census(w.now, 5*time.Second)
-		w.do(w.nodes[0], actions)
+		w.execute(w.nodes[0], actions)
 		for w.nodes[0].tally == nil {
 			w.run(time.Millisecond)
 		}
--- a/lib/bfspread/message.go
+++ b/lib/bfspread/message.go
@@ -10,33 +10,34 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// Message is the sealed set of what spreaders send one another.
+// Message is the sealed set of messages between spreaders.
 type Message interface{ kind() byte }
 
-// Head is the newest version of a node and the first 8 bytes of its digest.
+// Head is the newest version that a node holds, and the first 8 bytes of its digest.
 type Head struct {
 	Version bfconfig.Version `cbor:"1,keyasint,omitempty"`
 	Digest  uint64           `cbor:"2,keyasint,omitempty"`
 }
 
-// Push carries consecutive versions to a node that covers Range with them.
+// Push sends consecutive versions to a relay, which forwards them to Range.
 type Push struct {
 	From   uint64       `cbor:"1,keyasint"`
 	Nonce  uint32       `cbor:"2,keyasint"`
 	Deltas [][]byte     `cbor:"3,keyasint"`
 	Range  bfspan.Range `cbor:"4,keyasint,omitzero"`
-	// Head is the sender's where it is beyond the deltas.
+	// Head is the sender's head, if it is newer than the deltas.
 	Head Head `cbor:"5,keyasint,omitzero"`
 }
 
-// Ack answers a Push before its versions are applied or handed on.
+// Ack acknowledges a Push, whether or not its versions could be applied and before
+// they are forwarded.
 type Ack struct {
 	Nonce uint32 `cbor:"1,keyasint"`
-	// Head is the receiver's where it is not the last of the push.
+	// Head is the receiver's head, if it isn't the last version of the push.
 	Head Head `cbor:"2,keyasint,omitzero"`
 }
 
-// Pull asks for what follows Held, or for a whole snapshot.
+// Pull requests the versions after Held, or a snapshot.
 type Pull struct {
 	From     uint64           `cbor:"1,keyasint"`
 	Nonce    uint32           `cbor:"2,keyasint"`
@@ -44,33 +45,34 @@
 	Snapshot bool             `cbor:"4,keyasint,omitempty"`
 }
 
-// Deltas answers a Pull; it is empty where the giver has nothing newer.
+// Deltas answers a Pull; it is empty if the sender has nothing newer.
 type Deltas struct {
 	Nonce  uint32   `cbor:"1,keyasint"`
 	Deltas [][]byte `cbor:"2,keyasint,omitempty"`
 	Head   Head     `cbor:"3,keyasint,omitzero"`
 }
 
-// Snapshot answers a Pull from too far behind.
+// Snapshot answers a Pull that requests a snapshot, or whose versions are no
+// longer in the sender's log.
 type Snapshot struct {
 	Nonce   uint32           `cbor:"1,keyasint"`
 	Version bfconfig.Version `cbor:"2,keyasint"`
 	Data    []byte           `cbor:"3,keyasint"`
 }
 
-// Busy answers a Pull that would need a snapshot over the giver's cap.
+// Busy answers a Pull that needs a snapshot while the sender's rate limit is used up.
 type Busy struct {
 	Nonce      uint32 `cbor:"1,keyasint"`
 	RetryAfter uint32 `cbor:"2,keyasint"` // milliseconds
 }
 
-// Census asks what the members of a range hold.
+// Census requests the number of members of a range by version in force.
 type Census bfcount.Question
 
-// CensusAnswer is what the members of a census's range hold.
+// CensusAnswer answers a Census.
 type CensusAnswer bfcount.Answer
 
-// The first byte of an encoded message names its form; 16 to 31 are this package's.
+// The first byte of an encoded message is its kind; 16 to 31 belong to this package.
 const (
 	kindPush byte = iota + 16
 	kindAck
@@ -95,13 +97,13 @@
 // Owns reports whether data is an encoded message of this package.
 func Owns(data []byte) bool { return len(data) > 0 && data[0] >= kindPush && data[0] < kindLimit }
 
-// Encode writes a message as one byte for its form and CBOR.
+// Encode encodes a message as its kind in one byte, followed by CBOR.
 func Encode(m Message) ([]byte, error) { return bfcodec.EncodeForm(m.kind(), m) }
 
-// Decode reads what Encode wrote.
+// Decode decodes the output of Encode; it returns a bfcodec.Error for anything else.
 func Decode(data []byte) (Message, error) {
 	if !Owns(data) {
-		return nil, &bfcodec.Error{What: "message", Reason: fmt.Errorf("form unknown")}
+		return nil, &bfcodec.Error{What: "message", Reason: fmt.Errorf("unknown kind")}
 	}
 	switch data[0] {
 	case kindPush:
--- a/lib/bfspread/options.go
+++ b/lib/bfspread/options.go
@@ -2,55 +2,60 @@
 
 import "time"
 
-// Options are the settings of spreading.
+// Options configures a Spreader.
 type Options struct {
-	// Fanout is into how many parts a node splits its range.
+	// Fanout is the number of parts into which a node splits its span.
 	Fanout int
-	// Window is how long an origin gathers versions that come thick.
-	Window time.Duration
-	// AckNear and AckFar are the waits for an ack from the own and from another region.
-	AckNear, AckFar time.Duration
-	// PushTries is how many relays of a part are tried before it is left to repair.
-	PushTries int
-	// Grace and GraceSpread bound the random wait before a pull, since a push is probably under way.
-	Grace, GraceSpread time.Duration
-	// PullTimeout is the wait for the answer to a pull.
+	// BatchWindow is the minimum time between two pushes of one origin; versions in
+	// between are batched.
+	BatchWindow time.Duration
+	// LocalAckTimeout and RemoteAckTimeout are the ack timeouts for a relay in the same
+	// region and in another one.
+	LocalAckTimeout, RemoteAckTimeout time.Duration
+	// PushAttempts is the number of relays of a part that are tried; after that the
+	// part relies on pulls.
+	PushAttempts int
+	// PullDelay is the delay before a pull, since a push is probably in transit, and
+	// PullDelayJitter its random part.
+	PullDelay, PullDelayJitter time.Duration
+	// PullTimeout is the timeout of one pull.
 	PullTimeout time.Duration
-	// Backoff and MaxBackoff bound the growing waits after failures.
+	// Backoff and MaxBackoff bound the exponential backoff after failures.
 	Backoff, MaxBackoff time.Duration
-	// LogVersions and LogBytes bound the deltas kept for others to pull.
+	// LogVersions and LogBytes bound the deltas that are kept to answer pulls.
 	LogVersions, LogBytes int
-	// BufferVersions bounds the deltas kept that came before their turn.
+	// BufferVersions bounds the deltas that are buffered because they arrived out of order.
 	BufferVersions int
-	// MessageBytes bounds the deltas in one message.
+	// MessageBytes bounds the bytes of deltas in one message.
 	MessageBytes int
-	// SnapshotRate is how many snapshots a node gives in a second.
+	// SnapshotRate is the number of snapshots per second that a node sends to others.
 	SnapshotRate float64
-	// PollRate is how often the whole fleet reads the head in a second.
+	// PollRate is the rate, per second, at which the whole fleet reads the head.
 	PollRate float64
-	// MinFleet is the least size that polls reckon with, for a herd that starts without a view.
-	MinFleet int
-	// MinPoll bounds the polls of one node in a small fleet.
-	MinPoll time.Duration
+	// MinFleetSize is the minimum fleet size assumed for polls, so that nodes that
+	// start together without a view don't poll too often.
+	MinFleetSize int
+	// MinPollInterval is the minimum time between two polls of one node.
+	MinPollInterval time.Duration
 }
 
-// Convergence is the profile of a fleet that weighs convergence time more.
+// Convergence returns the options that favor a short convergence time.
 func Convergence() Options {
 	return Options{
-		Fanout: 8, Window: 50 * time.Millisecond,
-		AckNear: 250 * time.Millisecond, AckFar: 600 * time.Millisecond, PushTries: 3,
-		Grace: 200 * time.Millisecond, GraceSpread: 600 * time.Millisecond, PullTimeout: 2 * time.Second,
+		Fanout: 8, BatchWindow: 50 * time.Millisecond,
+		LocalAckTimeout: 250 * time.Millisecond, RemoteAckTimeout: 600 * time.Millisecond, PushAttempts: 3,
+		PullDelay: 200 * time.Millisecond, PullDelayJitter: 600 * time.Millisecond, PullTimeout: 2 * time.Second,
 		Backoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second,
 		LogVersions: 1024, LogBytes: 1 << 20, BufferVersions: 64, MessageBytes: 64 << 10,
-		SnapshotRate: 2, PollRate: 20, MinPoll: 250 * time.Millisecond,
+		SnapshotRate: 2, PollRate: 20, MinPollInterval: 250 * time.Millisecond,
 	}
 }
 
-// Bytes is the profile of a fleet that weighs control bytes more.
+// Bytes returns the options that favor low control traffic.
 func Bytes() Options {
 	o := Convergence()
-	o.Window = 500 * time.Millisecond
-	o.Grace, o.GraceSpread = time.Second, 2*time.Second
+	o.BatchWindow = 500 * time.Millisecond
+	o.PullDelay, o.PullDelayJitter = time.Second, 2*time.Second
 	o.PollRate = 5
 	return o
 }
--- a/lib/bfspread/poll.go
+++ b/lib/bfspread/poll.go
@@ -7,41 +7,42 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// poll is when the node reads the table's head.
+// poll schedules the reads of the table's head.
 type poll struct {
 	due time.Time
-	// slowdown stretches the waits while the table is away.
+	// slowdown multiplies the mean interval while the table is unavailable.
 	slowdown float64
 }
 
 const (
 	maxSlowdown = 8
-	// maxOrphans is how many versions a node may find that nobody told of. One
-	// that lacks more was away itself: in a herd that returns, the member it
-	// asked may lack them too, and it would push the history to the whole fleet.
+	// maxOrphans is the maximum number of missing versions that a node treats as
+	// orphaned. A node that lacks more has probably just restarted; the member it
+	// asked may have restarted too, and the node would then push the whole history
+	// to the fleet.
 	maxOrphans = 16
 )
 
-// resetPoll draws the next read.
+// resetPoll schedules the next read.
 //
-// The wait is exponential with a mean that grows with the fleet, so the table
-// sees PollRate reads a second whatever the fleet's size, from no node in
-// particular, and a herd that starts at once does not read at once.
+// The delay is exponentially distributed with a mean that grows with the fleet,
+// so the table gets PollRate reads per second from random nodes whatever the
+// fleet's size, and nodes that start together don't read together.
 func (s *Spreader) resetPoll(now time.Time) {
 	const longest = 8
-	mean := float64(max(1, s.options.MinFleet, s.order.Alive())) / s.options.PollRate * s.poll.slowdown
+	mean := float64(max(1, s.options.MinFleetSize, s.order.Alive())) / s.options.PollRate * s.poll.slowdown
 	wait := time.Duration(math.Min(s.rand.ExpFloat64(), longest) * mean * float64(time.Second))
-	s.poll.due = now.Add(max(wait, s.options.MinPoll))
+	s.poll.due = now.Add(max(wait, s.options.MinPollInterval))
 }
 
 func (s *Spreader) tickPoll(now time.Time) {
-	if due(now, s.poll.due) {
+	if isDue(now, s.poll.due) {
 		s.resetPoll(now)
-		s.do(ReadHead{})
+		s.emit(ReadHead{})
 	}
 }
 
-// HeadRead takes the answer to ReadHead.
+// HeadRead handles the result of ReadHead.
 func (s *Spreader) HeadRead(now time.Time, version bfconfig.Version, err error) []Action {
 	s.begin()
 	if err != nil {
@@ -51,36 +52,36 @@
 	}
 	s.poll.slowdown = 1
 	if held := s.state.Version(); version > held {
-		s.pull.discovered = s.pull.discovered || version > s.pull.want.Version && version-held <= maxOrphans
-		s.expect(now, Head{Version: version}, 0)
+		s.pull.discovered = s.pull.discovered || version > s.pull.wanted.Version && version-held <= maxOrphans
+		s.schedulePull(now, Head{Version: version}, 0)
 	}
 	return s.out
 }
 
-// StoreDeltas takes the answer to FetchDeltas.
+// StoreDeltas handles the result of FetchDeltas.
 //
-// Versions that only the table knew of were pushed by nobody: their author died
-// between its commit and its first push. Whoever finds them covers the fleet.
-// A member was asked before, so a node that was merely behind tells nobody.
+// A version is orphaned if the node that committed it crashed before its first
+// push. The node that finds it in the table pushes it to the fleet. A member was
+// asked for it first, so that a node that merely lags behind doesn't push.
 func (s *Spreader) StoreDeltas(now time.Time, encoded [][]byte, err error) []Action {
 	s.begin()
-	if !s.pull.atStore {
+	if !s.pull.fromStore {
 		return s.out
 	}
-	s.pull.atStore = false
+	s.pull.fromStore = false
 	orphaned := s.pull.discovered
 	before := s.state.Version()
 	if err == nil {
-		s.offerAll(now, encoded)
+		s.receiveDeltas(now, encoded)
 	}
 	if orphaned {
-		s.adoptOrphans(now, encoded, before)
+		s.originateOrphans(now, encoded, before)
 	}
-	s.pulled(now, before)
+	s.continuePull(now, before)
 	return s.out
 }
 
-func (s *Spreader) adoptOrphans(now time.Time, encoded [][]byte, before bfconfig.Version) {
+func (s *Spreader) originateOrphans(now time.Time, encoded [][]byte, before bfconfig.Version) {
 	for _, data := range encoded {
 		delta, err := bfconfig.DecodeDelta(data)
 		if err == nil && delta.Version() > before && delta.Version() <= s.state.Version() {
--- a/lib/bfspread/pull.go
+++ b/lib/bfspread/pull.go
@@ -7,72 +7,73 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// pulling is the one pull that a node has, waiting or outstanding.
-type pulling struct {
-	want Head
-	// tellers are members that hold what is wanted, the latest last.
-	tellers []uint64
+// pullState is the state of the node's only pull, scheduled or outstanding.
+type pullState struct {
+	wanted Head
+	// sources lists members that advertised the wanted version, the latest last.
+	sources []uint64
 	due     time.Time
 	// nonce is not 0 while an answer is outstanding; due is then its deadline.
-	nonce uint32
-	tries int
-	wait  time.Duration
-	// discovered is set when the head came from the table and not from a member.
+	nonce    uint32
+	attempts int
+	backoff  time.Duration
+	// discovered is set if the wanted version was read from the table and not
+	// advertised by a member.
 	discovered bool
-	atStore    bool
+	fromStore  bool
 }
 
 const (
-	maxTellers = 8
-	// peerTries is how many members are asked before the store.
-	peerTries = 3
+	maxSources = 8
+	// maxPeerAttempts is the maximum number of members asked before the store.
+	maxPeerAttempts = 3
 )
 
-// adopted ends the pull when what it was for is held.
-func (p *pulling) adopted(version bfconfig.Version) {
-	if version >= p.want.Version {
-		*p = pulling{}
+// adopted ends the pull once the wanted version is held.
+func (p *pullState) adopted(version bfconfig.Version) {
+	if version >= p.wanted.Version {
+		*p = pullState{}
 	}
 }
 
-// Heard takes what a member advertised on a probe or an ack.
+// Heard handles the head that a member advertised on a probe or an ack.
 func (s *Spreader) Heard(now time.Time, from uint64, head Head) []Action {
 	s.begin()
-	s.hear(now, from, head)
+	s.onHead(now, from, head)
 	return s.out
 }
 
-func (s *Spreader) hear(now time.Time, from uint64, head Head) {
+func (s *Spreader) onHead(now time.Time, from uint64, head Head) {
 	held := s.Head()
 	switch {
 	case head.Version > held.Version:
 		s.resetPoll(now)
-		s.expect(now, head, from)
+		s.schedulePull(now, head, from)
 	case head.Version == held.Version && head.Digest != 0 && head.Digest != held.Digest:
-		s.disagree(now, held.Version)
+		s.onDigestMismatch(now, held.Version)
 	}
 }
 
-// expect schedules a pull after a random grace, since a push is probably under way.
-func (s *Spreader) expect(now time.Time, head Head, teller uint64) {
-	if head.Version > s.pull.want.Version {
-		s.pull.want = head
+// schedulePull schedules a pull after a random delay, since a push is probably in transit.
+func (s *Spreader) schedulePull(now time.Time, head Head, source uint64) {
+	if head.Version > s.pull.wanted.Version {
+		s.pull.wanted = head
 	}
-	if teller != 0 && !slices.Contains(s.pull.tellers, teller) {
-		s.pull.tellers = append(s.pull.tellers, teller)
-		s.pull.tellers = s.pull.tellers[max(0, len(s.pull.tellers)-maxTellers):]
+	if source != 0 && !slices.Contains(s.pull.sources, source) {
+		s.pull.sources = append(s.pull.sources, source)
+		s.pull.sources = s.pull.sources[max(0, len(s.pull.sources)-maxSources):]
 	}
 	if s.pull.due.IsZero() {
-		s.pull.due = now.Add(s.jitter(s.options.Grace, s.options.GraceSpread))
+		s.pull.due = now.Add(s.jitter(s.options.PullDelay, s.options.PullDelayJitter))
 	}
 }
 
 func (s *Spreader) tickPull(now time.Time) {
-	if !due(now, s.pull.due) {
+	if !isDue(now, s.pull.due) {
 		return
 	}
-	if s.pull.nonce != 0 || s.pull.atStore {
-		// The answer did not come.
+	if s.pull.nonce != 0 || s.pull.fromStore {
+		// The pull timed out.
 		s.retryPull(now)
 		return
 	}
@@ -80,50 +81,51 @@
 }
 
 func (s *Spreader) startPull(now time.Time) {
-	if s.refusal.version == s.state.Version()+1 && s.refusal.pending(now) {
-		// The version after the held one can't be applied. Pulled again it would
-		// fail again, in a loop of whole messages; the refusal's own waits decide.
-		s.pull.due = s.refusal.due
+	if s.rejection.version == s.state.Version()+1 && s.rejection.pending(now) {
+		// The next version can't be applied. Pulling it again would fail again, in
+		// a loop without delay, so the pull waits for the backoff of the rejection.
+		s.pull.due = s.rejection.due
 		return
 	}
 	s.pull.due = now.Add(s.options.PullTimeout)
-	source, found := s.source()
+	source, found := s.pickSource()
 	if !found {
-		s.pull.atStore = true
-		s.do(FetchDeltas{After: s.state.Version()})
+		s.pull.fromStore = true
+		s.emit(FetchDeltas{After: s.state.Version()})
 		return
 	}
 	s.pull.nonce = s.newNonce()
 	s.send(source, Pull{From: s.key.Hash, Nonce: s.pull.nonce, Held: s.state.Version()})
 }
 
-// source draws whom to ask: a member that told of the version, then any, then the store.
-func (s *Spreader) source() (uint64, bool) {
-	if s.pull.tries%(peerTries+1) >= s.peerTries() {
+// pickSource picks the source of the next attempt: a member that advertised the
+// version, then a random member; false stands for the store.
+func (s *Spreader) pickSource() (uint64, bool) {
+	if s.pull.attempts%(maxPeerAttempts+1) >= s.peerAttempts() {
 		return 0, false
 	}
-	if n := len(s.pull.tellers); n > 0 {
-		// The latest teller first; each is asked once, so a herd that heard of
-		// one version from one node does not stay with it.
-		teller := s.pull.tellers[n-1]
-		s.pull.tellers = s.pull.tellers[:n-1]
-		if _, known := s.order.RankOf(teller); known {
-			return teller, true
+	if n := len(s.pull.sources); n > 0 {
+		// The latest source comes first and each is asked once, so that nodes that
+		// received an advert from the same member don't all keep asking it.
+		latest := s.pull.sources[n-1]
+		s.pull.sources = s.pull.sources[:n-1]
+		if _, known := s.order.RankOf(latest); known {
+			return latest, true
 		}
 	}
-	return s.anyPeer()
+	return s.randomPeer()
 }
 
-// peerTries is smaller for a head that only the table told of: one member is
-// asked, to see whether others have the version.
-func (s *Spreader) peerTries() int {
+// peerAttempts returns the number of members to ask before the store. For a version
+// found in the table it is one, which shows whether other members have it.
+func (s *Spreader) peerAttempts() int {
 	if s.pull.discovered {
 		return 1
 	}
-	return peerTries
+	return maxPeerAttempts
 }
 
-func (s *Spreader) anyPeer() (uint64, bool) {
+func (s *Spreader) randomPeer() (uint64, bool) {
 	const draws = 8
 	if s.order.Len() < 2 {
 		return 0, false
@@ -137,19 +139,19 @@
 	return 0, false
 }
 
-// retryPull asks another source after a growing wait.
+// retryPull schedules another source, with exponential backoff.
 func (s *Spreader) retryPull(now time.Time) {
-	s.pull.nonce, s.pull.atStore = 0, false
-	s.pull.tries++
-	if s.pull.tries%(peerTries+1) == 0 {
+	s.pull.nonce, s.pull.fromStore = 0, false
+	s.pull.attempts++
+	if s.pull.attempts%(maxPeerAttempts+1) == 0 {
 		s.pull.discovered = false
-		s.pull.wait = min(max(2*s.pull.wait, s.options.Backoff), s.options.MaxBackoff)
+		s.pull.backoff = min(max(2*s.pull.backoff, s.options.Backoff), s.options.MaxBackoff)
 	}
-	if s.pull.discovered && s.pull.tries%(peerTries+1) == 1 {
+	if s.pull.discovered && s.pull.attempts%(maxPeerAttempts+1) == 1 {
 		s.startPull(now)
 		return
 	}
-	wait := max(s.pull.wait, s.options.Backoff/4)
+	wait := max(s.pull.backoff, s.options.Backoff/4)
 	s.pull.due = now.Add(s.jitter(wait, wait))
 }
 
@@ -159,31 +161,31 @@
 	}
 	s.pull.nonce = 0
 	before := s.state.Version()
-	s.offerAll(now, answer.Deltas)
-	s.hear(now, from, answer.Head)
-	s.pulled(now, before)
+	s.receiveDeltas(now, answer.Deltas)
+	s.onHead(now, from, answer.Head)
+	s.continuePull(now, before)
 }
 
-func (s *Spreader) offerAll(now time.Time, encoded [][]byte) {
+func (s *Spreader) receiveDeltas(now time.Time, encoded [][]byte) {
 	_, deltas, err := readBatch(encoded)
 	if err != nil {
 		if len(encoded) > 0 {
-			s.do(Report{Err: err})
+			s.emit(Report{Err: err})
 		}
 		return
 	}
 	for i, delta := range deltas {
-		s.offer(now, delta, encoded[i])
+		s.receiveDelta(now, delta, encoded[i])
 	}
 }
 
-// pulled goes on at once while there is progress, and to another source where there is none.
-func (s *Spreader) pulled(now time.Time, before bfconfig.Version) {
+// continuePull pulls again at once after progress, and from another source otherwise.
+func (s *Spreader) continuePull(now time.Time, before bfconfig.Version) {
 	switch {
-	case s.pull.want.Version <= s.state.Version():
-		s.pull = pulling{}
+	case s.pull.wanted.Version <= s.state.Version():
+		s.pull = pullState{}
 	case s.state.Version() > before:
-		s.pull.tries, s.pull.wait = 0, 0
+		s.pull.attempts, s.pull.backoff = 0, 0
 		s.startPull(now)
 	default:
 		s.retryPull(now)
@@ -191,34 +193,34 @@
 }
 
 func (s *Spreader) onBusy(now time.Time, from uint64, busy Busy) {
-	if s.refusal.nonce != 0 && busy.Nonce == s.refusal.nonce {
-		s.refusal.nonce = 0
+	if s.rejection.nonce != 0 && busy.Nonce == s.rejection.nonce {
+		s.rejection.nonce = 0
 		return
 	}
 	if s.pull.nonce == 0 || busy.Nonce != s.pull.nonce {
 		return
 	}
-	// A busy member is no failure: counted as one it would send the whole herd
-	// on to the store. Another may be free, so the wait starts short and grows to
-	// what the busy one asked for; then it comes before members drawn by chance,
-	// who may be of the herd themselves.
+	// A busy member doesn't count as a failure: otherwise all nodes that lag
+	// behind would turn to the store. Another member may be free, so the backoff
+	// starts short and grows to RetryAfter. The busy member is then asked before
+	// random members, which may lag behind themselves.
 	s.pull.nonce = 0
-	if len(s.pull.tellers) < maxTellers {
-		s.pull.tellers = slices.Insert(s.pull.tellers, 0, from)
+	if len(s.pull.sources) < maxSources {
+		s.pull.sources = slices.Insert(s.pull.sources, 0, from)
 	}
-	asked := time.Duration(busy.RetryAfter) * time.Millisecond
-	s.pull.wait = min(max(2*s.pull.wait, s.options.Backoff/2), max(asked, s.options.Backoff/2), s.options.MaxBackoff)
-	s.pull.due = now.Add(s.jitter(s.pull.wait, s.pull.wait))
+	retryAfter := time.Duration(busy.RetryAfter) * time.Millisecond
+	s.pull.backoff = min(max(2*s.pull.backoff, s.options.Backoff/2), max(retryAfter, s.options.Backoff/2), s.options.MaxBackoff)
+	s.pull.due = now.Add(s.jitter(s.pull.backoff, s.pull.backoff))
 }
 
 func (s *Spreader) onSnapshot(now time.Time, answer Snapshot) {
-	repairing := s.refusal.nonce != 0 && answer.Nonce == s.refusal.nonce
+	repairing := s.rejection.nonce != 0 && answer.Nonce == s.rejection.nonce
 	pulling := s.pull.nonce != 0 && answer.Nonce == s.pull.nonce
 	if !repairing && !pulling {
 		return
 	}
 	if repairing {
-		s.refusal.nonce = 0
+		s.rejection.nonce = 0
 	}
 	if pulling {
 		s.pull.nonce = 0
@@ -226,11 +228,11 @@
 	before := s.state.Version()
 	s.restore(now, answer.Version, answer.Data, false)
 	if pulling {
-		s.pulled(now, before)
+		s.continuePull(now, before)
 	}
 }
 
-// restore adopts a snapshot whole, or nothing of it.
+// restore adopts a snapshot atomically.
 func (s *Spreader) restore(now time.Time, version bfconfig.Version, data []byte, fromStore bool) {
 	held := s.Head()
 	if version < held.Version || version == held.Version && !fromStore {
@@ -238,20 +240,20 @@
 	}
 	state, err := bfconfig.Restore(data, version)
 	if err != nil {
-		s.do(RefuseVersion{Version: version, Err: err})
+		s.emit(RefuseVersion{Version: version, Err: err})
 		return
 	}
 	if HeadOf(state) == held {
-		s.refusal.verified = version
+		s.rejection.verified = version
 		return
 	}
 	s.log = deltaLog{}
 	s.adopt(now, state)
-	s.applyEarly(now)
+	s.applyBuffered(now)
 }
 
-// giver is what a node gives to others.
-type giver struct {
+// snapshotServer caches the snapshot sent to other nodes and limits its rate.
+type snapshotServer struct {
 	snapshot []byte
 	version  bfconfig.Version
 	tokens   float64
@@ -266,14 +268,14 @@
 	}
 	deltas, found := s.log.after(pull.Held, head.Version)
 	if found && !pull.Snapshot {
-		s.send(pull.From, Deltas{Nonce: pull.Nonce, Deltas: s.firstBytes(deltas), Head: head})
+		s.send(pull.From, Deltas{Nonce: pull.Nonce, Deltas: s.limitBytes(deltas), Head: head})
 		return
 	}
-	s.give(now, pull)
+	s.sendSnapshot(now, pull)
 }
 
-// firstBytes bounds one answer; the puller asks again for the rest.
-func (s *Spreader) firstBytes(deltas [][]byte) [][]byte {
+// limitBytes returns the first deltas, up to MessageBytes; the receiver pulls the rest.
+func (s *Spreader) limitBytes(deltas [][]byte) [][]byte {
 	size := 0
 	for i, data := range deltas {
 		if size += len(data); size > s.options.MessageBytes && i > 0 {
@@ -283,28 +285,28 @@
 	return deltas
 }
 
-// give sends a snapshot unless too many were given of late.
+// sendSnapshot sends a snapshot, or Busy if the rate limit is used up.
 //
-// A herd that returns pulls a whole state each; without the cap the first few
-// nodes it meets would spend their control budget of hours on it.
-func (s *Spreader) give(now time.Time, pull Pull) {
+// Nodes that restart together pull a snapshot each; without the limit, the nodes
+// they ask first would use up their control bandwidth for hours.
+func (s *Spreader) sendSnapshot(now time.Time, pull Pull) {
 	rate := s.options.SnapshotRate
-	g := &s.giver
-	g.tokens = min(max(1, rate), g.tokens+rate*now.Sub(g.refilled).Seconds())
-	g.refilled = now
-	if g.tokens < 1 {
+	server := &s.snapshots
+	server.tokens = min(max(1, rate), server.tokens+rate*now.Sub(server.refilled).Seconds())
+	server.refilled = now
+	if server.tokens < 1 {
 		wait := s.jitter(0, 2*time.Duration(float64(time.Second)/rate))
 		s.send(pull.From, Busy{Nonce: pull.Nonce, RetryAfter: uint32(wait.Milliseconds())})
 		return
 	}
-	if g.version != s.state.Version() || g.snapshot == nil {
+	if server.version != s.state.Version() || server.snapshot == nil {
 		data, err := s.state.EncodeSnapshot()
 		if err != nil {
-			s.do(Report{Err: err})
+			s.emit(Report{Err: err})
 			return
 		}
-		g.snapshot, g.version = data, s.state.Version()
+		server.snapshot, server.version = data, s.state.Version()
 	}
-	g.tokens--
-	s.send(pull.From, Snapshot{Nonce: pull.Nonce, Version: g.version, Data: g.snapshot})
+	server.tokens--
+	s.send(pull.From, Snapshot{Nonce: pull.Nonce, Version: server.version, Data: server.snapshot})
 }
--- a/lib/bfspread/push.go
+++ b/lib/bfspread/push.go
@@ -12,50 +12,52 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// origin gathers versions that this node has first.
-type origin struct {
+// originQueue batches the versions that this node pushes first.
+type originQueue struct {
 	deltas [][]byte
 	due    time.Time
 	last   time.Time
 }
 
-// pushing is a push without an ack so far.
-type pushing struct {
+// pendingPush is a push to one part that has not been acknowledged yet.
+type pendingPush struct {
 	deltas [][]byte
 	last   bfconfig.Version
 	span   bfspan.Span
 	tried  []bfroster.Key
-	// resent is set once the last relay was sent the push twice.
+	// resent is set once the push was sent twice to the last relay.
 	resent   bool
 	deadline time.Time
 }
 
-// Committed takes a version that this node's commit made, and tells everybody.
+// Committed pushes a version that this node has committed to the fleet; data is its
+// encoded delta.
 func (s *Spreader) Committed(now time.Time, data []byte) []Action {
 	s.begin()
 	delta, err := bfconfig.DecodeDelta(data)
 	if err != nil {
-		s.do(Report{Err: err})
+		s.emit(Report{Err: err})
 		return s.out
 	}
-	s.offer(now, delta, data)
+	s.receiveDelta(now, delta, data)
 	if delta.Version() > s.state.Version() {
-		s.expect(now, Head{Version: delta.Version()}, 0)
+		s.schedulePull(now, Head{Version: delta.Version()}, 0)
 	}
 	s.originate(now, data)
 	return s.out
 }
 
-// originate sends at once when changes are rare, and gathers a window when they come thick.
+// originate pushes at once if the last push is longer ago than BatchWindow, and
+// batches until then otherwise.
 func (s *Spreader) originate(now time.Time, data []byte) {
 	s.origin.deltas = append(s.origin.deltas, data)
 	if s.origin.due.IsZero() {
-		s.origin.due = later(now, s.origin.last.Add(s.options.Window))
+		s.origin.due = laterOf(now, s.origin.last.Add(s.options.BatchWindow))
 	}
 	s.tickOrigin(now)
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -63,38 +65,39 @@
 }
 
 func (s *Spreader) tickOrigin(now time.Time) {
-	if !due(now, s.origin.due) {
+	if !isDue(now, s.origin.due) {
 		return
 	}
 	deltas := s.origin.deltas
-	s.origin = origin{last: now}
+	s.origin = originQueue{last: now}
 	for _, batch := range s.batches(deltas) {
 		s.spread(now, batch, bfspan.Span{})
 	}
 }
 
-// batch is consecutive deltas that travel as one.
+// batch is consecutive deltas that are sent in one message.
 type batch struct {
 	deltas      [][]byte
 	first, last bfconfig.Version
 }
 
-// BatchError reports a batch that is not of consecutive versions.
+// BatchError reports a batch whose versions are not consecutive.
 type BatchError struct{ Before, Version bfconfig.Version }
 
 // Error names the versions.
 func (e *BatchError) Error() string {
-	return fmt.Sprintf("version %d follows %d in a batch", e.Version, e.Before)
+	return fmt.Sprintf("batch is not consecutive: version %d follows version %d", e.Version, e.Before)
 }
 
-// batches cuts deltas where versions are not consecutive or a message gets too large.
+// batches splits deltas where versions are not consecutive or a message would
+// exceed MessageBytes.
 func (s *Spreader) batches(deltas [][]byte) []batch {
 	var list []batch
 	size := 0
 	for _, data := range deltas {
 		delta, err := bfconfig.DecodeDelta(data)
 		if err != nil {
-			s.do(Report{Err: err})
+			s.emit(Report{Err: err})
 			continue
 		}
 		n := len(list) - 1
@@ -109,37 +112,37 @@
 	return list
 }
 
-// spread covers the span by one push to each of its parts.
-func (s *Spreader) spread(now time.Time, b batch, over bfspan.Span) {
-	if s.hasCovered(b, over) {
+// spread pushes the batch to each part of the span, unless this was done before.
+func (s *Spreader) spread(now time.Time, b batch, span bfspan.Span) {
+	if s.hasCovered(b, span) {
 		return
 	}
-	s.markCovered(b, over)
-	for _, part := range s.split(over) {
-		s.push(now, &pushing{deltas: b.deltas, last: b.last, span: part})
+	s.markCovered(b, span)
+	for _, part := range s.split(span) {
+		s.push(now, &pendingPush{deltas: b.deltas, last: b.last, span: part})
 	}
 }
 
-func (s *Spreader) markCovered(b batch, over bfspan.Span) {
-	// Versions far beyond the held one are never trimmed by adoption; forgetting
-	// all only costs a few pushes sent twice.
+func (s *Spreader) markCovered(b batch, span bfspan.Span) {
+	// Adoption doesn't remove versions far beyond the held one, so the map is
+	// cleared when it is full; this only repeats a few pushes.
 	const limit = 1 << 12
 	if len(s.covered) > limit {
 		clear(s.covered)
 	}
 	for v := b.first; v <= b.last; v++ {
-		s.covered[v] = append(s.covered[v], over)
+		s.covered[v] = append(s.covered[v], span)
 	}
 }
 
-// hasCovered tells a duplicate from a new range of versions already held.
+// hasCovered reports whether the batch was already forwarded to the whole span.
 //
-// A relay whose ack was lost gets its range again from nobody, but the range
-// of another that died may come to a node that holds the version already; were
-// it judged by the version, everybody in that range would be left to repair.
-func (s *Spreader) hasCovered(b batch, over bfspan.Span) bool {
+// It compares spans, not versions: a node that holds a version may receive it
+// again for the span of a relay that failed. Dropped as a duplicate, the version
+// would reach the nodes of that span by pulls only.
+func (s *Spreader) hasCovered(b batch, span bfspan.Span) bool {
 	for v := b.first; v <= b.last; v++ {
-		covers := func(done bfspan.Span) bool { return done.Covers(over) }
+		covers := func(done bfspan.Span) bool { return done.Covers(span) }
 		if !slices.ContainsFunc(s.covered[v], covers) {
 			return false
 		}
@@ -147,39 +150,40 @@
 	return true
 }
 
-func (s *Spreader) split(over bfspan.Span) []bfspan.Span {
-	return bfspan.Splitter{Order: s.order, Self: s.key, Fanout: s.options.Fanout}.Split(over)
+func (s *Spreader) split(span bfspan.Span) []bfspan.Span {
+	return bfspan.Splitter{Order: s.order, Self: s.key, Fanout: s.options.Fanout}.Split(span)
 }
 
-// push sends to another relay of the part, unless enough were tried.
-func (s *Spreader) push(now time.Time, p *pushing) {
-	relay, found := s.pushRelay(p)
+// push sends to the next relay of the part, unless PushAttempts relays were tried.
+func (s *Spreader) push(now time.Time, p *pendingPush) {
+	relay, found := s.nextPushRelay(p)
 	if !found {
 		return
 	}
-	p.deadline = now.Add(s.ackWait(relay))
+	p.deadline = now.Add(s.ackTimeout(relay))
 	nonce := s.newNonce()
 	s.pushes[nonce] = p
 	message := Push{From: s.key.Hash, Nonce: nonce, Deltas: p.deltas, Range: p.span.Range(relay.Key())}
 	if head := s.Head(); head.Version > p.last {
 		message.Head = head
 	}
-	s.do(sendTo(relay, message))
+	s.emit(sendTo(relay, message))
 }
 
-// pushRelay is the last relay once more, then another.
+// nextPushRelay returns the last relay a second time, then another one.
 //
-// More acks get lost than relays die. Another relay that is asked at once hands
-// the whole part on again, and so do those below it; the same one only answers.
-func (s *Spreader) pushRelay(p *pushing) (*bfroster.Member, bool) {
+// Lost acks are more frequent than failed relays. A new relay, and every relay
+// below it, would forward the whole part again; the same relay only sends
+// another ack.
+func (s *Spreader) nextPushRelay(p *pendingPush) (*bfroster.Member, bool) {
 	if n := len(p.tried); n > 0 && !p.resent {
 		p.resent = true
 		if rank, found := s.order.RankOf(p.tried[n-1].Hash); found {
 			return s.order.At(rank), true
 		}
 	}
-	relay, found := s.relay(p.span, p.tried)
-	if !found || len(p.tried) >= s.options.PushTries {
+	relay, found := s.pickRelay(p.span, p.tried)
+	if !found || len(p.tried) >= s.options.PushAttempts {
 		return nil, false
 	}
 	p.resent = false
@@ -187,16 +191,16 @@
 	return relay, true
 }
 
-func (s *Spreader) ackWait(relay *bfroster.Member) time.Duration {
+func (s *Spreader) ackTimeout(relay *bfroster.Member) time.Duration {
 	if relay.Key().Region == s.key.Region {
-		return s.options.AckNear
+		return s.options.LocalAckTimeout
 	}
-	return s.options.AckFar
+	return s.options.RemoteAckTimeout
 }
 
-// relay draws a member of the span, by relayRank.
-func (s *Spreader) relay(over bfspan.Span, tried []bfroster.Key) (*bfroster.Member, bool) {
-	low, high := over.Ranks(s.order)
+// pickRelay picks the member with the lowest relayCost of a random sample of the span.
+func (s *Spreader) pickRelay(span bfspan.Span, tried []bfroster.Key) (*bfroster.Member, bool) {
+	low, high := span.Ranks(s.order)
 	if low >= high {
 		return nil, false
 	}
@@ -204,35 +208,35 @@
 	const draws = 8
 	for range min(draws, 4*(high-low)) {
 		member := s.order.At(low + s.rand.IntN(high-low))
-		if best == nil || relayRank(member, tried) < relayRank(best, tried) {
+		if best == nil || relayCost(member, tried) < relayCost(best, tried) {
 			best = member
 		}
 	}
 	return best, best.Key() != s.key
 }
 
-// relayRank puts an alive member before a suspect, one not tried before one
-// tried, and one of another domain before a neighbour of one tried: where a
-// whole domain is gone, its other members would not answer either.
-func relayRank(member *bfroster.Member, tried []bfroster.Key) int {
-	const suspect, same, neighbour = 4, 2, 1
-	rank := 0
+// relayCost prefers alive members to suspects, members not tried to those tried,
+// and members of other domains to those that share a domain with one tried: if a
+// whole domain is down, its other members would not answer either.
+func relayCost(member *bfroster.Member, tried []bfroster.Key) int {
+	const suspectCost, triedCost, triedDomainCost = 4, 2, 1
+	cost := 0
 	if !member.Alive() {
-		rank += suspect
+		cost += suspectCost
 	}
 	key := member.Key()
 	if slices.Contains(tried, key) {
-		rank += same
+		cost += triedCost
 	}
 	if slices.ContainsFunc(tried, func(t bfroster.Key) bool { return t.Domain == key.Domain && t.Region == key.Region }) {
-		rank += neighbour
+		cost += triedDomainCost
 	}
-	return rank
+	return cost
 }
 
 func (s *Spreader) tickPushes(now time.Time) {
 	for _, nonce := range slices.Sorted(maps.Keys(s.pushes)) {
-		if p := s.pushes[nonce]; due(now, p.deadline) {
+		if p := s.pushes[nonce]; isDue(now, p.deadline) {
 			delete(s.pushes, nonce)
 			s.push(now, p)
 		}
@@ -242,25 +246,25 @@
 func (s *Spreader) onPush(now time.Time, p Push) {
 	b, deltas, err := readBatch(p.Deltas)
 	if err != nil {
-		s.do(Report{Err: err})
+		s.emit(Report{Err: err})
 		return
 	}
 	for i, delta := range deltas {
-		s.offer(now, delta, b.deltas[i])
+		s.receiveDelta(now, delta, b.deltas[i])
 	}
 	ack := Ack{Nonce: p.Nonce}
 	if head := s.Head(); head.Version != b.last {
 		ack.Head = head
 	}
 	s.send(p.From, ack)
-	// What this node can't apply it hands on all the same: the fault may be its
-	// own, and the whole range behind it would pay for it.
+	// A version that can't be applied here is forwarded too: this node's own state
+	// may be wrong, and the nodes of its range must not depend on that.
 	s.spread(now, b, p.Range.Span(s.key))
-	told := Head{Version: b.last}
+	advertised := Head{Version: b.last}
 	if p.Head.Version > b.last {
-		told = p.Head
+		advertised = p.Head
 	}
-	s.hear(now, p.From, told)
+	s.onHead(now, p.From, advertised)
 }
 
 func readBatch(encoded [][]byte) (batch, []bfconfig.Delta, error) {
@@ -291,6 +295,6 @@
 	}
 	delete(s.pushes, ack.Nonce)
 	if ack.Head.Version > 0 {
-		s.hear(now, from, ack.Head)
+		s.onHead(now, from, ack.Head)
 	}
 }
--- a/lib/bfspread/refusal.go
+++ b/lib/bfspread/refusal.go
@@ -7,84 +7,85 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// refusal is a version that this node could not apply, or holds otherwise than others.
-type refusal struct {
+// rejection is a version that this node could not apply, or holds with another
+// digest than other nodes.
+type rejection struct {
 	version bfconfig.Version
-	// data is the delta that failed; another copy of the version may be sound.
+	// data is the delta that failed; another copy of the version may be valid.
 	data []byte
-	// due is when a whole state is asked for again; zero where nothing is refused.
-	due   time.Time
-	wait  time.Duration
-	tries int
-	nonce uint32
-	// verified is a held version that the store confirmed against another's digest.
+	// due is when a snapshot is requested again; zero if no version is rejected.
+	due      time.Time
+	backoff  time.Duration
+	attempts int
+	nonce    uint32
+	// verified is a held version whose digest the store has confirmed.
 	verified bfconfig.Version
 }
 
-// adopted ends the refusal of a version that the node now holds.
-func (r *refusal) adopted(version bfconfig.Version) {
+// adopted clears the rejection of a version that the node now holds.
+func (r *rejection) adopted(version bfconfig.Version) {
 	if version >= r.version {
-		*r = refusal{}
+		*r = rejection{}
 	}
 }
 
-// pending reports whether a refusal waits for its next attempt.
-func (r *refusal) pending(now time.Time) bool { return !r.due.IsZero() && now.Before(r.due) }
+// pending reports whether the next snapshot request is scheduled for later than now.
+func (r *rejection) pending(now time.Time) bool { return !r.due.IsZero() && now.Before(r.due) }
 
-// refuses reports whether exactly this delta failed before.
-func (s *Spreader) refuses(version bfconfig.Version, data []byte) bool {
-	return s.refusal.version == version && bytes.Equal(s.refusal.data, data)
+// isRejected reports whether this very delta has failed before.
+func (s *Spreader) isRejected(version bfconfig.Version, data []byte) bool {
+	return s.rejection.version == version && bytes.Equal(s.rejection.data, data)
 }
 
-// refuse keeps the older version in force and asks for a whole state instead.
+// reject reports a version that can't be applied and requests a snapshot instead.
 //
-// Either the delta is bad or this node's own state is. In both cases the result
-// was thrown away whole; the waits between attempts grow, or a node that can't
-// apply a version would pull it again as fast as the answers come.
-func (s *Spreader) refuse(now time.Time, version bfconfig.Version, data []byte, err error) {
-	s.do(RefuseVersion{Version: version, Err: err})
-	s.refusal.version, s.refusal.data = version, data
-	if !s.refusal.pending(now) {
-		s.askWhole(now)
+// Either the delta is wrong or this node's own state is; the result was discarded
+// as a whole in both cases. Attempts back off exponentially, so that the node
+// doesn't request the version again as fast as answers arrive.
+func (s *Spreader) reject(now time.Time, version bfconfig.Version, data []byte, err error) {
+	s.emit(RefuseVersion{Version: version, Err: err})
+	s.rejection.version, s.rejection.data = version, data
+	if !s.rejection.pending(now) {
+		s.requestSnapshot(now)
 	}
 }
 
-// disagree is when another node holds the same version with another digest.
-func (s *Spreader) disagree(now time.Time, version bfconfig.Version) {
-	if s.refusal.verified == version || !s.refusal.due.IsZero() {
+// onDigestMismatch handles another node's advert of the held version with another digest.
+func (s *Spreader) onDigestMismatch(now time.Time, version bfconfig.Version) {
+	if s.rejection.verified == version || !s.rejection.due.IsZero() {
 		return
 	}
-	s.refusal.version = version
-	s.askWhole(now)
+	s.rejection.version = version
+	s.requestSnapshot(now)
 }
 
-// askWhole asks the store first and a member next, in turn.
-func (s *Spreader) askWhole(now time.Time) {
-	r := &s.refusal
-	r.wait = min(max(2*r.wait, s.options.Backoff), s.options.MaxBackoff)
-	r.due = now.Add(s.jitter(r.wait, r.wait))
-	r.tries++
-	peer, found := s.anyPeer()
-	if r.tries%2 == 1 || !found {
-		s.do(FetchSnapshot{AtLeast: r.version})
+// requestSnapshot requests a snapshot from the store and from a random member, alternately.
+func (s *Spreader) requestSnapshot(now time.Time) {
+	r := &s.rejection
+	r.backoff = min(max(2*r.backoff, s.options.Backoff), s.options.MaxBackoff)
+	r.due = now.Add(s.jitter(r.backoff, r.backoff))
+	r.attempts++
+	peer, found := s.randomPeer()
+	if r.attempts%2 == 1 || !found {
+		s.emit(FetchSnapshot{AtLeast: r.version})
 		return
 	}
 	r.nonce = s.newNonce()
 	s.send(peer, Pull{From: s.key.Hash, Nonce: r.nonce, Held: s.state.Version(), Snapshot: true})
 }
 
-func (s *Spreader) tickRefusal(now time.Time) {
-	if !due(now, s.refusal.due) {
+func (s *Spreader) tickRejection(now time.Time) {
+	if !isDue(now, s.rejection.due) {
 		return
 	}
-	if s.refusal.verified == s.refusal.version {
-		s.refusal.due = time.Time{}
+	if s.rejection.verified == s.rejection.version {
+		s.rejection.due = time.Time{}
 		return
 	}
-	s.askWhole(now)
+	s.requestSnapshot(now)
 }
 
-// StoreSnapshot takes the answer to FetchSnapshot.
+// StoreSnapshot handles the result of FetchSnapshot.
 func (s *Spreader) StoreSnapshot(now time.Time, version bfconfig.Version, data []byte, err error) []Action {
 	s.begin()
 	if err == nil {
--- a/lib/bfspread/spreader.go
+++ b/lib/bfspread/spreader.go
@@ -14,7 +14,7 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// Spreader decides for one node how versions travel; it is for one goroutine at a time.
+// Spreader distributes versions on behalf of one node. It isn't safe for concurrent use.
 type Spreader struct {
 	options Options
 	rand    *rand.Rand
@@ -22,71 +22,71 @@
 	order   *bfroster.Order
 	state   *bfconfig.State
 	log     deltaLog
-	// early holds deltas that came before their turn.
-	early map[bfconfig.Version][]byte
-	// covered holds, for recent versions, the spans this node has handed on.
-	covered map[bfconfig.Version][]bfspan.Span
-	nonce   uint32
-	origin  origin
-	pushes  map[uint32]*pushing
-	pull    pulling
-	refusal refusal
-	giver   giver
-	poll    poll
-	counter *bfcount.Counter
-	out     []Action
-}
-
-// New makes the core of the node with the row self, which starts from state.
+	// buffered holds deltas that arrived out of order.
+	buffered map[bfconfig.Version][]byte
+	// covered holds, for recent versions, the spans to which this node has forwarded them.
+	covered   map[bfconfig.Version][]bfspan.Span
+	nonce     uint32
+	origin    originQueue
+	pushes    map[uint32]*pendingPush
+	pull      pullState
+	rejection rejection
+	snapshots snapshotServer
+	poll      poll
+	counter   *bfcount.Counter
+	out       []Action
+}
+
+// New returns the Spreader of the node with the row self, which starts from state.
 func New(options Options, self bfroster.Row, state *bfconfig.State, rng *rand.Rand) *Spreader {
 	s := &Spreader{
 		options: options, rand: rng, key: self.Key(), state: state,
 		order: bfroster.NewOrder([]bfroster.Row{self}), nonce: rng.Uint32(),
-		early: map[bfconfig.Version][]byte{}, covered: map[bfconfig.Version][]bfspan.Span{},
-		pushes: map[uint32]*pushing{}, poll: poll{slowdown: 1},
+		buffered: map[bfconfig.Version][]byte{}, covered: map[bfconfig.Version][]bfspan.Span{},
+		pushes: map[uint32]*pendingPush{}, poll: poll{slowdown: 1},
 	}
-	s.counter = bfcount.New(s.key, state.Version(), relays{s})
+	s.counter = bfcount.New(s.key, state.Version(), censusFleet{s})
 	return s
 }
 
-// State is the newest version held.
+// State returns the state of the newest version held.
 func (s *Spreader) State() *bfconfig.State { return s.state }
 
-// Held is the newest version held, which may not be in force yet.
+// Held returns the newest version held, which may not be in force yet.
 func (s *Spreader) Held() bfconfig.Version { return s.state.Version() }
 
-// Head is the newest version held and its digest.
+// Head returns the newest version held and its digest.
 func (s *Spreader) Head() Head { return HeadOf(s.state) }
 
-// HeadOf is a state's version and the first bytes of its digest.
+// HeadOf returns a state's version and the first 8 bytes of its digest.
 func HeadOf(state *bfconfig.State) Head {
 	digest := state.Digest()
 	return Head{Version: state.Version(), Digest: binary.BigEndian.Uint64(digest[:])}
 }
 
-// SetOrder takes the newest view of the members.
+// SetOrder sets the view of the members.
 func (s *Spreader) SetOrder(order *bfroster.Order) { s.order = order }
 
-// Start begins to poll the head; it is for a node that has joined and was given its Order.
+// Start starts polling the head; call it after the node has joined and SetOrder was called.
 func (s *Spreader) Start(now time.Time) []Action {
 	s.begin()
 	s.resetPoll(now)
 	return s.out
 }
 
-// Tick does what is due; the next call is due at Next.
+// Tick runs the timers that have expired; the next call is due at Next.
 func (s *Spreader) Tick(now time.Time) []Action {
 	s.begin()
 	s.tickOrigin(now)
 	s.tickPushes(now)
 	s.tickPull(now)
-	s.tickRefusal(now)
+	s.tickRejection(now)
 	s.tickPoll(now)
-	s.count(s.counter.Tick(now))
+	s.countActions(s.counter.Tick(now))
 	return s.out
 }
 
-// Next is when Tick has something to do.
+// Next returns the time at which the next call of Tick is due.
 func (s *Spreader) Next() time.Time {
 	next := s.poll.due
 	earlier := func(at time.Time) {
@@ -96,7 +96,7 @@
 	}
 	earlier(s.origin.due)
 	earlier(s.pull.due)
-	earlier(s.refusal.due)
+	earlier(s.rejection.due)
 	for _, p := range s.pushes {
 		earlier(p.deadline)
 	}
@@ -104,9 +104,9 @@
 	return next
 }
 
-func due(now, at time.Time) bool { return !at.IsZero() && !now.Before(at) }
+func isDue(now, at time.Time) bool { return !at.IsZero() && !now.Before(at) }
 
-// Receive takes a message of the member whose ID hashes to from.
+// Receive handles a message from the member whose ID has the hash from.
 func (s *Spreader) Receive(now time.Time, from uint64, message Message) []Action {
 	s.begin()
 	switch message := message.(type) {
@@ -123,25 +123,26 @@
 	case Busy:
 		s.onBusy(now, from, message)
 	case Census:
-		s.count(s.counter.Asked(now, bfcount.Question(message)))
+		s.countActions(s.counter.Asked(now, bfcount.Question(message)))
 	case CensusAnswer:
-		s.count(s.counter.Answered(bfcount.Answer(message)))
+		s.countActions(s.counter.Answered(bfcount.Answer(message)))
 	}
 	return s.out
 }
 
 func (s *Spreader) begin() { s.out = nil }
 
-func (s *Spreader) do(a Action) { s.out = append(s.out, a) }
+func (s *Spreader) emit(a Action) { s.out = append(s.out, a) }
 
-// send answers a member by its hash; one not in the view is answered where its message came from.
+// send sends to a member by its hash; if the member isn't in the view, the message
+// goes to the source address of the message it answers.
 func (s *Spreader) send(to uint64, message Message) {
 	rank, found := s.order.RankOf(to)
 	if !found {
-		s.do(Send{To: to, Message: message})
+		s.emit(Send{To: to, Message: message})
 		return
 	}
-	s.do(sendTo(s.order.At(rank), message))
+	s.emit(sendTo(s.order.At(rank), message))
 }
 
 func (s *Spreader) newNonce() uint32 {
@@ -151,49 +152,49 @@
 	return s.nonce
 }
 
-// jitter is a random time between base and base+width.
+// jitter returns a random duration between base and base+width.
 func (s *Spreader) jitter(base, width time.Duration) time.Duration {
 	return base + time.Duration(s.rand.Float64()*float64(width))
 }
 
-// offer takes one delta from anywhere and applies what is now in turn.
-func (s *Spreader) offer(now time.Time, delta bfconfig.Delta, data []byte) {
+// receiveDelta buffers one delta and applies all that are now in order.
+func (s *Spreader) receiveDelta(now time.Time, delta bfconfig.Delta, data []byte) {
 	version := delta.Version()
-	if version <= s.state.Version() || s.refuses(version, data) {
+	if version <= s.state.Version() || s.isRejected(version, data) {
 		return
 	}
-	s.keepEarly(version, data)
-	s.applyEarly(now)
+	s.buffer(version, data)
+	s.applyBuffered(now)
 }
 
-// keepEarly holds a delta until its turn; the farthest one gives way.
+// buffer keeps a delta until its predecessors have arrived, and evicts the newest
+// version if the buffer is full.
 //
-// Versions cross on the way and bodies get lost, so 43 may come before 42. It
-// waits here: applied at once it would be a version in part, thrown away it
-// would have to be pulled again.
-func (s *Spreader) keepEarly(version bfconfig.Version, data []byte) {
-	s.early[version] = data
-	if len(s.early) > s.options.BufferVersions {
-		delete(s.early, slices.Max(slices.Collect(maps.Keys(s.early))))
+// Messages are reordered and lost, so version 43 may arrive before 42. Applied at
+// once it would skip 42; dropped it would have to be pulled again.
+func (s *Spreader) buffer(version bfconfig.Version, data []byte) {
+	s.buffered[version] = data
+	if len(s.buffered) > s.options.BufferVersions {
+		delete(s.buffered, slices.Max(slices.Collect(maps.Keys(s.buffered))))
 	}
 }
 
-func (s *Spreader) applyEarly(now time.Time) {
+func (s *Spreader) applyBuffered(now time.Time) {
 	for {
 		version := s.state.Version() + 1
-		data, found := s.early[version]
+		data, found := s.buffered[version]
 		if !found {
 			return
 		}
-		delete(s.early, version)
+		delete(s.buffered, version)
 		delta, err := bfconfig.DecodeDelta(data)
 		if err != nil {
-			s.refuse(now, version, data, err)
+			s.reject(now, version, data, err)
 			return
 		}
 		next, err := s.state.Apply(delta)
 		if err != nil {
-			s.refuse(now, version, data, err)
+			s.reject(now, version, data, err)
 			return
 		}
 		s.log.add(version, data, s.options)
@@ -201,31 +202,31 @@
 	}
 }
 
-// BackwardError reports an attempt to go back to an older version.
+// BackwardError reports an attempt to replace the held version by an older one.
 type BackwardError struct{ Held, Offered bfconfig.Version }
 
 // Error names both versions.
 func (e *BackwardError) Error() string {
-	return fmt.Sprintf("version %d offered in place of %d", e.Offered, e.Held)
+	return fmt.Sprintf("version would go backwards: holding %d, offered %d", e.Held, e.Offered)
 }
 
-// adopt is the one place where the node's version changes; it never falls.
+// adopt is the only place where the node's version changes; the version never decreases.
 func (s *Spreader) adopt(now time.Time, next *bfconfig.State) {
 	if next.Version() < s.state.Version() {
-		s.do(Report{Err: &BackwardError{Held: s.state.Version(), Offered: next.Version()}})
+		s.emit(Report{Err: &BackwardError{Held: s.state.Version(), Offered: next.Version()}})
 		return
 	}
 	s.state = next
-	maps.DeleteFunc(s.early, func(v bfconfig.Version, _ []byte) bool { return v <= next.Version() })
+	maps.DeleteFunc(s.buffered, func(v bfconfig.Version, _ []byte) bool { return v <= next.Version() })
 	const keepCovered = 64
 	maps.DeleteFunc(s.covered, func(v bfconfig.Version, _ []bfspan.Span) bool { return v+keepCovered < next.Version() })
-	s.refusal.adopted(next.Version())
+	s.rejection.adopted(next.Version())
 	s.pull.adopted(next.Version())
 	s.resetPoll(now)
-	s.do(Adopt{State: next})
+	s.emit(Adopt{State: next})
 }
 
-// deltaLog keeps consecutive encoded deltas that end at the newest version.
+// deltaLog holds consecutive encoded deltas up to the newest version, to answer pulls.
 type deltaLog struct {
 	first  bfconfig.Version
 	deltas [][]byte
@@ -245,7 +246,7 @@
 	}
 }
 
-// after lists the deltas from the one after held to the newest; false where held is too far behind.
+// after returns the deltas after held up to head; false if the log doesn't reach back to held.
 func (l *deltaLog) after(held, head bfconfig.Version) ([][]byte, bool) {
 	end := l.first + bfconfig.Version(len(l.deltas))
 	if end != head+1 || held+1 < l.first || held > head {
--- a/lib/bfspread/wire_test.go
+++ b/lib/bfspread/wire_test.go
@@ -14,9 +14,8 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// A node of the last release and one of this release exchange every message. A
-// byte that moved would be refused or, worse, read as another field.
-func TestWireBytesAreThoseOfTheLastRelease(t *testing.T) {
+// Guards the wire format: nodes of the previous release must be able to decode every message.
+func TestWireFormatIsUnchanged(t *testing.T) {
 	is := is.New(t)
 	from, to := bfroster.Key{Region: "wien", Domain: "wien-nord", Hash: 5}, bfroster.Key{Region: "wien", Domain: "wien-sued"}
 	head := Head{Version: 42, Digest: 1 << 63}
@@ -37,9 +36,9 @@
 	for _, message := range messages {
 		data, err := Encode(message)
 		is.NoErr(err)
-		again, err := Decode(data)
+		decoded, err := Decode(data)
 		is.NoErr(err)
-		is.Equal(again, message)
+		is.Equal(decoded, message)
 		fmt.Fprintln(&page, hex.EncodeToString(data))
 	}
 	bfgolden.Check(t, "testdata/wire.golden", page.String())
--- a/lib/bfspread/world_test.go
+++ b/lib/bfspread/world_test.go
@@ -15,9 +15,9 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-var errAway = errors.New("table is away")
+var errUnavailable = errors.New("table unavailable")
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -28,13 +28,13 @@
 	os.Exit(m.Run())
 }
 
-// event is a call of one core at a time.
+// event is a scheduled call of one node's Spreader.
 type event struct {
-	at    time.Time
-	order int
-	node  *node
-	life  int
-	call  func(now time.Time) []Action
+	at          time.Time
+	order       int
+	node        *node
+	incarnation int
+	call        func(now time.Time) []Action
 }
 
 type events []event
@@ -52,45 +52,45 @@
 }
 
 type node struct {
-	core         *Spreader
-	row          bfroster.Row
-	life         int
-	down, frozen bool
-	inbox        []event
-	timer        time.Time
-	adopted      []*bfconfig.State
-	adoptedAt    time.Time
-	refused      int
-	wholes       int
-	pulls        int
-	pushes       int
-	fetches      int
-	given        int
-	sent, got    int
-	depth        int
-	tally        *bfcount.Tally
+	core            *Spreader
+	row             bfroster.Row
+	incarnation     int
+	down, paused    bool
+	inbox           []event
+	timer           time.Time
+	adopted         []*bfconfig.State
+	adoptedAt       time.Time
+	refused         int
+	snapshotFetches int
+	pulls           int
+	pushes          int
+	deltaFetches    int
+	snapshotsSent   int
+	sent, received  int
+	depth           int
+	tally           *bfcount.Tally
 }
 
-// world is a queue of messages between a few cores, the table among them.
+// world simulates nodes that exchange messages, and the table.
 type world struct {
-	now       time.Time
-	rng       *rand.Rand
-	options   Options
-	order     *bfroster.Order
-	nodes     []*node
-	byHash    map[uint64]*node
-	queue     events
-	next      int
-	lossRate  float64
-	twiceRate float64
-	cut       func(a, b *node) bool
-	lose      func(to *node, m Message) bool
-	away      bool
-	advert    time.Duration
-	reads     int
-	crossings int
-	messages  int
-	// states and deltas are the table's: the naive replay of every change.
+	now            time.Time
+	rng            *rand.Rand
+	options        Options
+	order          *bfroster.Order
+	nodes          []*node
+	byHash         map[uint64]*node
+	queue          events
+	nextOrder      int
+	lossRate       float64
+	duplicateRate  float64
+	partitioned    func(a, b *node) bool
+	drop           func(to *node, m Message) bool
+	tableDown      bool
+	advertInterval time.Duration
+	reads          int
+	crossings      int
+	messages       int
+	// states and deltas are the content of the table: the naive replay of all changes.
 	states []*bfconfig.State
 	deltas [][]byte
 	fail   func(format string, args ...any)
@@ -100,7 +100,7 @@
 	w := &world{
 		now: time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(seed, 3)), options: options,
 		byHash: map[uint64]*node{}, states: []*bfconfig.State{bfconfig.Empty()}, deltas: [][]byte{nil},
-		advert: time.Second, fail: func(format string, args ...any) { panic(fmt.Sprintf(format, args...)) },
+		advertInterval: time.Second, fail: func(format string, args ...any) { panic(fmt.Sprintf(format, args...)) },
 	}
 	var rows []bfroster.Row
 	for i := range size {
@@ -122,64 +122,64 @@
 }
 
 func (w *world) start(n *node, state *bfconfig.State) {
-	n.life++
-	n.down, n.frozen, n.inbox, n.adopted, n.timer = false, false, nil, nil, time.Time{}
+	n.incarnation++
+	n.down, n.paused, n.inbox, n.adopted, n.timer = false, false, nil, nil, time.Time{}
 	n.core = New(w.options, n.row, state, rand.New(rand.NewPCG(w.rng.Uint64(), 4)))
 	n.core.SetOrder(w.order)
-	w.do(n, n.core.Start(w.now))
-	w.adverts(n)
+	w.execute(n, n.core.Start(w.now))
+	w.scheduleAdvert(n)
 }
 
-// adverts stands in for the probes of membership, which carry the head.
-func (w *world) adverts(n *node) {
-	if w.advert == 0 {
+// scheduleAdvert sends the node's head to random nodes, in place of membership probes.
+func (w *world) scheduleAdvert(n *node) {
+	if w.advertInterval == 0 {
 		return
 	}
-	wait := w.advert/2 + time.Duration(w.rng.Int64N(int64(w.advert)))
+	wait := w.advertInterval/2 + time.Duration(w.rng.Int64N(int64(w.advertInterval)))
 	w.push(w.now.Add(wait), n, func(time.Time) []Action {
 		to := w.nodes[w.rng.IntN(len(w.nodes))]
-		if to != n && w.passes(n, to) {
+		if to != n && w.isDelivered(n, to) {
 			from, head := n.row.Key().Hash, n.core.Head()
 			w.push(w.now.Add(time.Millisecond), to, func(now time.Time) []Action { return to.core.Heard(now, from, head) })
 		}
-		w.adverts(n)
+		w.scheduleAdvert(n)
 		return nil
 	})
 }
 
 func (w *world) push(at time.Time, n *node, call func(time.Time) []Action) {
-	w.next++
-	heap.Push(&w.queue, event{at: at, order: w.next, node: n, life: n.life, call: call})
+	w.nextOrder++
+	heap.Push(&w.queue, event{at: at, order: w.nextOrder, node: n, incarnation: n.incarnation, call: call})
 }
 
-func (w *world) passes(a, b *node) bool {
-	return w.rng.Float64() >= w.lossRate && (w.cut == nil || !w.cut(a, b))
+func (w *world) isDelivered(a, b *node) bool {
+	return w.rng.Float64() >= w.lossRate && (w.partitioned == nil || !w.partitioned(a, b))
 }
 
-func (w *world) do(n *node, actions []Action) {
+func (w *world) execute(n *node, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			w.post(n, a)
+			w.transmit(n, a)
 		case Adopt:
 			w.adopt(n, a.State)
 		case ReadHead:
 			w.reads++
-			w.later(n, func(now time.Time) []Action { return n.core.HeadRead(now, w.head(), w.answer()) })
+			w.afterTableDelay(n, func(now time.Time) []Action { return n.core.HeadRead(now, w.head(), w.tableErr()) })
 		case FetchDeltas:
-			n.fetches++
-			w.later(n, func(now time.Time) []Action { return n.core.StoreDeltas(now, w.deltas[a.After+1:], w.answer()) })
+			n.deltaFetches++
+			w.afterTableDelay(n, func(now time.Time) []Action { return n.core.StoreDeltas(now, w.deltas[a.After+1:], w.tableErr()) })
 		case FetchSnapshot:
-			n.wholes++
-			w.later(n, func(now time.Time) []Action {
-				return n.core.StoreSnapshot(now, w.head(), encodeState(w.states[w.head()]), w.answer())
+			n.snapshotFetches++
+			w.afterTableDelay(n, func(now time.Time) []Action {
+				return n.core.StoreSnapshot(now, w.head(), encodeState(w.states[w.head()]), w.tableErr())
 			})
 		case RefuseVersion:
 			n.refused++
 		case CensusDone:
 			n.tally = &a.Tally
 		case Report:
-			w.fail("%s reports %v", n.row.ID, a.Err)
+			w.fail("%s reported an error: %v", n.row.ID, a.Err)
 		}
 	}
 	if next := n.core.Next(); !next.IsZero() && (n.timer.IsZero() || next.Before(n.timer)) {
@@ -202,32 +202,32 @@
 	return data
 }
 
-func (w *world) answer() error {
-	if w.away {
-		return errAway
+func (w *world) tableErr() error {
+	if w.tableDown {
+		return errUnavailable
 	}
 	return nil
 }
 
 func (w *world) head() bfconfig.Version { return bfconfig.Version(len(w.states) - 1) }
 
-func (w *world) later(n *node, call func(time.Time) []Action) {
+func (w *world) afterTableDelay(n *node, call func(time.Time) []Action) {
 	w.push(w.now.Add(2*time.Millisecond), n, call)
 }
 
-// adopt checks each version a node comes to hold: newer than all before, and what the naive replay gives.
+// adopt checks that an adopted version is newer than those before and equals the naive replay.
 func (w *world) adopt(n *node, state *bfconfig.State) {
 	if len(n.adopted) > 0 && state.Version() <= n.adopted[len(n.adopted)-1].Version() {
 		w.fail("%s went from version %d back to %d", n.row.ID, n.adopted[len(n.adopted)-1].Version(), state.Version())
 	}
 	if want := w.states[state.Version()]; string(encodeState(state)) != string(encodeState(want)) {
-		w.fail("%s holds another version %d than the naive replay", n.row.ID, state.Version())
+		w.fail("%s holds version %d with a state that differs from the naive replay", n.row.ID, state.Version())
 	}
 	n.adopted = append(n.adopted, state)
 	n.adoptedAt = w.now
 }
 
-func (w *world) post(n *node, a Send) {
+func (w *world) transmit(n *node, a Send) {
 	data, err := Encode(a.Message)
 	if err != nil {
 		panic(err)
@@ -235,12 +235,12 @@
 	to := w.byHash[a.To]
 	n.sent += len(data)
 	w.messages++
-	w.count(n, to, a.Message)
-	if w.lose != nil && w.lose(to, a.Message) || !w.passes(n, to) {
+	w.countMessage(n, to, a.Message)
+	if w.drop != nil && w.drop(to, a.Message) || !w.isDelivered(n, to) {
 		return
 	}
 	copies := 1
-	if w.rng.Float64() < w.twiceRate {
+	if w.rng.Float64() < w.duplicateRate {
 		copies = 2
 	}
 	for range copies {
@@ -248,13 +248,13 @@
 		if err != nil {
 			panic(err)
 		}
-		to.got += len(data)
+		to.received += len(data)
 		from := n.row.Key().Hash
 		w.push(w.now.Add(w.delay(n, to)), to, func(now time.Time) []Action { return to.core.Receive(now, from, message) })
 	}
 }
 
-func (w *world) count(n, to *node, message Message) {
+func (w *world) countMessage(n, to *node, message Message) {
 	switch message.(type) {
 	case Push:
 		to.pushes++
@@ -267,11 +267,12 @@
 	case Pull:
 		n.pulls++
 	case Snapshot:
-		n.given++
+		n.snapshotsSent++
 	}
 }
 
-// delay is one way: 20 ms between regions, 1.5 ms between domains, 0.5 ms within one, and half as much again by chance.
+// delay is the one-way latency: 20 ms between regions, 1.5 ms between domains and
+// 0.5 ms within one, plus up to half of that at random.
 func (w *world) delay(a, b *node) time.Duration {
 	d := 500 * time.Microsecond
 	switch {
@@ -290,29 +291,29 @@
 		w.now = e.at
 		n := e.node
 		switch {
-		case n.down || e.life != n.life:
-		case n.frozen:
+		case n.down || e.incarnation != n.incarnation:
+		case n.paused:
 			n.inbox = append(n.inbox, e)
 		default:
-			w.do(n, e.call(w.now))
+			w.execute(n, e.call(w.now))
 		}
 	}
 	w.now = end
 }
 
-// thaw runs what a frozen node's sockets and timers hold, all of it old.
-func (w *world) thaw(n *node) {
-	n.frozen = false
+// resume ends the pause of a node: it handles the messages and timers of the pause.
+func (w *world) resume(n *node) {
+	n.paused = false
 	n.timer = time.Time{}
 	for _, e := range n.inbox {
-		w.do(n, e.call(w.now))
+		w.execute(n, e.call(w.now))
 	}
 	n.inbox = nil
-	w.do(n, n.core.Tick(w.now))
+	w.execute(n, n.core.Tick(w.now))
 }
 
-// write commits the next change to the table, and returns its delta.
-func (w *world) write() []byte {
+// commitToTable commits the next change to the table and returns its encoded delta.
+func (w *world) commitToTable() []byte {
 	i := len(w.states)
 	service := bfconfig.ServiceSpec{Name: fmt.Sprintf("asset-vault-%d", i%4), Slots: i}
 	policy := bfconfig.PolicySpec{Name: "look-up", Class: "look-up", Deadline: time.Second, Idempotent: true}
@@ -332,13 +333,13 @@
 	return data
 }
 
-// commit writes a change at a node, which tells the others.
+// commit commits the next change through a node, which pushes it.
 func (w *world) commit(n *node) {
-	data := w.write()
-	w.do(n, n.core.Committed(w.now, data))
+	data := w.commitToTable()
+	w.execute(n, n.core.Committed(w.now, data))
 }
 
-// behind counts the nodes that are up and lack the head.
+// behind counts the running nodes that don't hold the head.
 func (w *world) behind() int {
 	count := 0
 	for _, n := range w.nodes {
