--- a/lib/bfrecover/doc.go
+++ b/lib/bfrecover/doc.go
@@ -1,19 +1,20 @@
-// Package bfrecover keeps an instance that keeps nothing from ever serving an
-// older version than one it has served, with the table away too.
+// Package bfrecover prevents an instance without persistent storage from serving
+// an older version after a restart than it served before, even while the table is
+// unavailable.
 //
-// Before a node puts a version in force, a majority of its witnesses, a few
-// peers in other failure domains, have noted it in memory (Gate, Notes). After
-// a restart it starts from the table's head, which is never older than anything
-// held, or from the highest version that a majority of its last witnesses noted
-// (Start). The two majorities share a witness, so the version is never older.
+// Before a node puts a version in force, a majority of its witnesses, a few peers
+// in other failure domains, record it in memory (Gate, Notes). After a restart
+// the node starts from the table's head, which is never older than any version in
+// force, or from the highest version recorded by a majority of its last witnesses
+// (Start). The two majorities intersect, so the version is never older.
 //
-// Three things break a shared witness, and each has its safeguard. A witness
-// that restarted has forgotten: it has a new memory number, and counts again
-// only once the node has registered with it anew. Witnesses change with the
-// membership: an old set binds until a majority of it has been told of the next
-// one, or until its notes have lapsed. A frozen witness may wake with old notes
-// in its sockets: it treats a pause as a restart.
+// Three events can break the intersection. A witness that restarts loses its
+// notes: it has a new memory number, and counts again only after the node has
+// registered with it again. Witnesses change with the membership: an old set
+// stays binding until a majority of it has registered a newer one, or until its
+// notes have expired. A paused witness may resume with stale notes in its socket
+// buffers: it treats a pause as a restart.
 //
-// What is assumed: monotonic clocks of two nodes differ by less than Margin in
-// Lapse, and a message to a node that runs arrives within Margin or never.
+// Assumptions: the monotonic clocks of two nodes drift apart by less than Margin
+// during NoteTTL, and a message to a running node arrives within Margin or never.
 package bfrecover
--- a/lib/bfrecover/gate.go
+++ b/lib/bfrecover/gate.go
@@ -7,41 +7,42 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Action is the sealed set of what a Gate asks for.
+// Action is the sealed set of effects that the caller of Gate carries out.
 type Action interface{ isAction() }
 
-// NoteNow asks for the note to be sent at once.
+// NoteNow requests that the note is sent at once.
 type NoteNow struct {
 	Witness string
 	Note    Note
 }
 
-// NoteWithHeartbeat asks for the note to go with the next heartbeat, in place of one that waits there.
+// NoteWithHeartbeat requests that the note is sent with the next heartbeat to the
+// witness; it replaces a note that is already queued there.
 type NoteWithHeartbeat struct {
 	Witness string
 	Note    Note
 }
 
-// PutInForce asks for the version, and all up to it, to be put in force.
+// PutInForce requests that all versions up to Version are put in force.
 type PutInForce struct{ Version bfconfig.Version }
 
 func (NoteNow) isAction()           {}
 func (NoteWithHeartbeat) isAction() {}
 func (PutInForce) isAction()        {}
 
-// Gate holds each version back until it can't be forgotten.
+// Gate delays each version until a restart of the node can't lose it.
 //
-// A version passes once a majority of every binding set has noted it: the
-// newest set, and each older one that a restarted node might still believe to
-// be the newest. An older set stops binding once a majority of it has been told
-// of a newer one, since whoever asks a majority of it then hears of that one,
-// or once its notes have lapsed.
+// A version passes once a majority of every binding set of witnesses has noted
+// it. The newest set is binding, and so is each older one that the node, after a
+// restart, might take for the newest. An older set stops binding once a majority
+// of it has registered a newer one, since any majority of it then reports the
+// newer one, or once its notes have expired.
 type Gate struct {
 	self        Member
 	incarnation uint64
 	settings    Settings
 	epoch       uint64
-	groups      []group // oldest first; the last is the newest set
+	binding     []bindingSet // the binding sets, oldest first
 	witnesses   map[string]*witness
 	members     []Member
 	ready       bfconfig.Version
@@ -49,121 +50,121 @@
 	refreshed   time.Time
 }
 
-// maxGroups bounds the sets that bind at once: with a membership that flaps, or
-// witnesses that can't be reached, notes would otherwise grow with every change.
-const maxGroups = 8
+// maxBindingSets bounds the binding sets: with a flapping membership or unreachable
+// witnesses, notes would otherwise grow with every change.
+const maxBindingSets = 8
 
-// group is a set that binds.
-type group struct {
+// bindingSet is a set of witnesses whose majority has to note each version.
+type bindingSet struct {
 	set Set
-	// unknown stands for sets that this incarnation could not find out.
+	// unknown stands for sets of earlier incarnations that this one could not determine.
 	unknown bool
-	lapses  time.Time
+	expires time.Time
 }
 
-// witness is what one witness has acknowledged in its present memory.
+// witness holds what one witness has acknowledged in its current memory.
 type witness struct {
 	memory  uint64
 	set     Set // only its order matters
 	version bfconfig.Version
 	sent    time.Time
-	due     bool // it has not been sent the newest there is
+	due     bool // the newest note has not been sent yet
 }
 
-// NewGate makes the gate of a node that starts as decided; nothing passes before OnMembers.
+// NewGate returns the gate of a node that starts at start; no version passes before OnMembers.
 func NewGate(now time.Time, self Member, incarnation uint64, start StartAt, settings Settings) *Gate {
 	g := &Gate{
 		self: self, incarnation: incarnation, settings: settings,
 		witnesses: map[string]*witness{}, ready: start.Version, refreshed: now,
 	}
-	lapses := now.Add(settings.Lapse + settings.Margin)
-	if start.Unknown {
-		g.groups = append(g.groups, group{unknown: true, lapses: lapses})
+	expires := now.Add(settings.NoteTTL + settings.Margin)
+	if start.UnknownSets {
+		g.binding = append(g.binding, bindingSet{unknown: true, expires: expires})
 	}
-	for _, set := range start.Old {
-		g.groups = append(g.groups, group{set: set, lapses: lapses})
+	for _, set := range start.OldSets {
+		g.binding = append(g.binding, bindingSet{set: set, expires: expires})
 	}
 	return g
 }
 
-// InForce is the highest version that has passed.
+// InForce returns the highest version that has passed.
 func (g *Gate) InForce() bfconfig.Version { return g.inForce }
 
-// Waiting is how many older sets still bind.
-func (g *Gate) Waiting() int { return max(0, len(g.groups)-1) }
+// OldSets returns the number of older sets that are still binding.
+func (g *Gate) OldSets() int { return max(0, len(g.binding)-1) }
 
-// OnMembers takes the members that are alive and chooses the witnesses anew.
+// OnMembers handles a change of the alive members and chooses new witnesses if needed.
 func (g *Gate) OnMembers(now time.Time, members []Member) []Action {
 	g.members = members
 	chosen := Witnesses(g.self, members, g.settings.Witnesses)
-	last := len(g.groups) - 1
-	if g.epoch > 0 && (slices.Equal(chosen, g.groups[last].set.Members) || len(g.groups) >= maxGroups) {
-		return nil // Tick asks again while older sets bind
+	last := len(g.binding) - 1
+	if g.epoch > 0 && (slices.Equal(chosen, g.binding[last].set.Members) || len(g.binding) >= maxBindingSets) {
+		return nil // Tick retries while older sets are binding
 	}
 	if g.epoch > 0 {
-		// From here on no note refreshes the old set, so its notes lapse in time.
-		g.groups[last].lapses = now.Add(g.settings.Lapse + g.settings.Margin)
+		// From here on no note refreshes the old set, so its notes expire.
+		g.binding[last].expires = now.Add(g.settings.NoteTTL + g.settings.Margin)
 	}
 	g.epoch++
 	set := Set{Incarnation: g.incarnation, Epoch: g.epoch, Members: chosen}
-	g.groups = append(g.groups, group{set: set})
-	g.allDue()
-	return append(g.pass(now), g.send(now, g.settings.Mode)...)
+	g.binding = append(g.binding, bindingSet{set: set})
+	g.markAllDue()
+	return append(g.advance(now), g.send(now, g.settings.Mode)...)
 }
 
-// OnVersion takes a version that the node has whole and validated.
+// OnVersion handles a version that the node holds completely and has validated.
 func (g *Gate) OnVersion(now time.Time, version bfconfig.Version) []Action {
 	if version <= g.ready {
 		return nil
 	}
 	g.ready = version
-	g.allDue()
-	return append(g.pass(now), g.send(now, g.settings.Mode)...)
+	g.markAllDue()
+	return append(g.advance(now), g.send(now, g.settings.Mode)...)
 }
 
-// OnAck takes a witness's answer to a note.
+// OnAck handles a witness's answer to a note.
 func (g *Gate) OnAck(now time.Time, ack Ack) []Action {
 	w, known := g.witnesses[ack.Witness]
 	if !known || ack.Memory < w.memory {
-		return nil // not asked, or from a memory that is gone
+		return nil // not a witness, or from before its restart
 	}
 	restarted := ack.Memory > w.memory
 	if restarted {
 		*w = witness{memory: ack.Memory}
 	}
 	if ack.Refused {
-		w.set = Set{} // the sets go with the next note
+		w.set = Set{} // the next note carries the sets
 	}
 	if restarted && ack.Refused {
 		return g.sendTo(now, ack.Witness, ConvergenceFirst)
 	}
 	if ack.Refused {
-		return nil // repeated by Tick; at once, a full witness would be asked without end
+		return nil // Tick repeats the note; an immediate retry to a full witness would loop
 	}
 	w.version = max(w.version, ack.Version)
 	if set := (Set{Incarnation: ack.Incarnation, Epoch: ack.Epoch}); set.compare(w.set) > 0 {
 		w.set = set
 	}
-	return g.pass(now)
+	return g.advance(now)
 }
 
-// Tick lets old sets lapse and repeats notes; it must come at least once per Resend.
+// Tick expires old sets and repeats notes; call it at least once per ResendInterval.
 func (g *Gate) Tick(now time.Time) []Action {
-	actions := g.pass(now)
-	if g.epoch > 0 && len(g.groups) > 1 {
+	actions := g.advance(now)
+	if g.epoch > 0 && len(g.binding) > 1 {
 		actions = append(actions, g.OnMembers(now, g.members)...)
 	}
 	actions = append(actions, g.send(now, g.settings.Mode)...)
-	if now.Sub(g.refreshed) >= g.settings.Refresh {
+	if now.Sub(g.refreshed) >= g.settings.RefreshInterval {
 		g.refreshed = now
-		g.allDue()
+		g.markAllDue()
 		actions = append(actions, g.send(now, BytesFirst)...)
 	}
 	return actions
 }
 
-func (g *Gate) allDue() {
-	for _, id := range g.bound() {
+func (g *Gate) markAllDue() {
+	for _, id := range g.boundWitnesses() {
 		if _, known := g.witnesses[id]; !known {
 			g.witnesses[id] = &witness{}
 		}
@@ -171,13 +172,14 @@
 	}
 }
 
-// send notes to each witness that is due, or behind and not asked just now.
+// send sends a note to each witness that is due, or whose last note was not
+// acknowledged within ResendInterval.
 func (g *Gate) send(now time.Time, mode Mode) []Action {
 	var actions []Action
-	for _, id := range g.bound() {
+	for _, id := range g.boundWitnesses() {
 		w := g.witnesses[id]
 		behind := w.version < g.ready || w.set.compare(g.newest()) < 0
-		if w.due || behind && now.Sub(w.sent) >= g.settings.Resend {
+		if w.due || behind && now.Sub(w.sent) >= g.settings.ResendInterval {
 			actions = append(actions, g.sendTo(now, id, mode)...)
 		}
 	}
@@ -202,20 +204,20 @@
 	return []Action{NoteNow{Witness: id, Note: note}}
 }
 
-func (g *Gate) newest() Set { return g.groups[len(g.groups)-1].set }
+func (g *Gate) newest() Set { return g.binding[len(g.binding)-1].set }
 
 func (g *Gate) sets() []Set {
 	var sets []Set
-	for _, group := range g.groups {
-		if !group.unknown {
-			sets = append(sets, group.set)
+	for _, b := range g.binding {
+		if !b.unknown {
+			sets = append(sets, b.set)
 		}
 	}
 	return sets
 }
 
-// bound lists the members of all binding sets.
-func (g *Gate) bound() []string {
+// boundWitnesses lists the members of all binding sets.
+func (g *Gate) boundWitnesses() []string {
 	var ids []string
 	for _, set := range g.sets() {
 		ids = append(ids, set.Members...)
@@ -224,18 +226,19 @@
 	return slices.Compact(ids)
 }
 
-// pass drops the sets that stopped binding and puts in force what the others allow.
-func (g *Gate) pass(now time.Time) []Action {
+// advance drops the sets that are no longer binding and puts in force the highest
+// version that a majority of each other set has noted.
+func (g *Gate) advance(now time.Time) []Action {
 	if g.epoch == 0 {
 		return nil
 	}
-	last := len(g.groups) - 1
-	g.groups = append(slices.DeleteFunc(g.groups[:last:last], func(old group) bool {
-		return !now.Before(old.lapses) || g.superseded(old)
-	}), g.groups[last])
+	last := len(g.binding) - 1
+	g.binding = append(slices.DeleteFunc(g.binding[:last:last], func(old bindingSet) bool {
+		return !now.Before(old.expires) || g.superseded(old)
+	}), g.binding[last])
 	version := g.ready
-	for _, group := range g.groups {
-		version = min(version, g.noted(group))
+	for _, b := range g.binding {
+		version = min(version, g.quorumVersion(b))
 	}
 	if version <= g.inForce {
 		return nil
@@ -244,37 +247,37 @@
 	return []Action{PutInForce{Version: version}}
 }
 
-// superseded reports whether a majority of the set has registered under a newer one.
-func (g *Gate) superseded(old group) bool {
+// superseded reports whether a majority of the set has registered a newer one.
+func (g *Gate) superseded(old bindingSet) bool {
 	if old.unknown {
 		return false
 	}
-	told := 0
+	registered := 0
 	for _, id := range old.set.Members {
 		if w, known := g.witnesses[id]; known && w.set.compare(old.set) > 0 {
-			told++
+			registered++
 		}
 	}
-	return told >= majority(len(old.set.Members))
+	return registered >= majority(len(old.set.Members))
 }
 
-// noted is the highest version that a majority of the set has noted.
-func (g *Gate) noted(group group) bfconfig.Version {
-	if group.unknown {
+// quorumVersion returns the highest version that a majority of the set has noted.
+func (g *Gate) quorumVersion(b bindingSet) bfconfig.Version {
+	if b.unknown {
 		return 0
 	}
-	if len(group.set.Members) == 0 {
-		return g.ready // no other node: only the table counts
+	if len(b.set.Members) == 0 {
+		return g.ready // no other node: only the table can hold a version
 	}
 	var versions []bfconfig.Version
-	for _, id := range group.set.Members {
+	for _, id := range b.set.Members {
 		if w, known := g.witnesses[id]; known {
 			versions = append(versions, w.version)
 		}
 	}
 	slices.Sort(versions)
 	slices.Reverse(versions)
-	need := majority(len(group.set.Members))
+	need := majority(len(b.set.Members))
 	if len(versions) < need {
 		return 0
 	}
--- a/lib/bfrecover/message.go
+++ b/lib/bfrecover/message.go
@@ -6,7 +6,7 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Set is one choice of witnesses; a node's sets are ordered by its incarnation, then by epoch.
+// Set is a set of witnesses of a node; its sets are ordered by incarnation, then by epoch.
 type Set struct {
 	Incarnation uint64   `cbor:"1,keyasint"`
 	Epoch       uint64   `cbor:"2,keyasint"`
@@ -17,7 +17,7 @@
 	return cmp.Or(cmp.Compare(s.Incarnation, o.Incarnation), cmp.Compare(s.Epoch, o.Epoch))
 }
 
-// newest is the last of sets, which are in order; without any it is the zero Set.
+// newest returns the last of the ordered sets, or the zero Set if there is none.
 func newest(sets []Set) Set {
 	if len(sets) == 0 {
 		return Set{}
@@ -25,38 +25,39 @@
 	return sets[len(sets)-1]
 }
 
-// Note tells a witness the highest version that the instance may put in force.
+// Note requests that a witness records the highest version that the instance may
+// put in force.
 type Note struct {
 	Instance    string           `cbor:"1,keyasint"`
 	Incarnation uint64           `cbor:"2,keyasint"`
 	Epoch       uint64           `cbor:"3,keyasint"`
 	Version     bfconfig.Version `cbor:"4,keyasint"`
-	// Memory is the witness's memory that the note is for; a late note must not register with a newer one.
+	// Memory is the witness's memory number; a delayed note must not register with a later memory.
 	Memory uint64 `cbor:"5,keyasint"`
-	// Sets are those that still bind, oldest first; left out once the witness has acknowledged the epoch.
+	// Sets lists the binding sets, oldest first; omitted once the witness has acknowledged the epoch.
 	Sets []Set `cbor:"6,keyasint,omitempty"`
 }
 
-// Ack is a witness's answer to a note: what it holds afterwards, or its refusal.
+// Ack answers a note with what the witness holds afterwards.
 type Ack struct {
 	Witness     string           `cbor:"1,keyasint"`
 	Memory      uint64           `cbor:"2,keyasint"`
 	Incarnation uint64           `cbor:"3,keyasint,omitempty"`
 	Epoch       uint64           `cbor:"4,keyasint,omitempty"`
 	Version     bfconfig.Version `cbor:"5,keyasint,omitempty"`
-	// Refused is set if the witness took nothing of the note over.
+	// Refused is set if the witness recorded nothing of the note.
 	Refused bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Question asks a witness what it has noted of an instance.
+// Question requests what a witness has noted for an instance.
 type Question struct {
 	Instance string `cbor:"1,keyasint"`
 }
 
-// Answer is what a witness has noted of an instance, by any of its incarnations.
+// Answer holds what a witness has noted for any incarnation of an instance.
 type Answer struct {
 	Witness string `cbor:"1,keyasint"`
-	// Counts is set if the witness has registered the instance in its present memory and the note has not lapsed.
+	// Counts is set if the instance is registered in the witness's current memory and the note has not expired.
 	Counts  bool             `cbor:"2,keyasint,omitempty"`
 	Version bfconfig.Version `cbor:"3,keyasint,omitempty"`
 	Sets    []Set            `cbor:"4,keyasint,omitempty"`
--- a/lib/bfrecover/model_test.go
+++ b/lib/bfrecover/model_test.go
@@ -14,19 +14,19 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// node is one instance: a process that keeps nothing between incarnations.
+// node is one instance, which loses all state in a restart.
 type node struct {
-	member Member
-	up     bool
-	frozen bool
-	notes  *Notes
-	start  *Start
-	gate   *Gate
-	held   bfconfig.Version // newest version it has whole
-	began  uint64
-	// heartbeat holds the notes that wait for the next heartbeat to a witness.
+	member      Member
+	up          bool
+	paused      bool
+	notes       *Notes
+	start       *Start
+	gate        *Gate
+	held        bfconfig.Version // newest version it holds completely
+	incarnation uint64
+	// heartbeat holds the notes to send with the next heartbeat to each witness.
 	heartbeat map[string]Note
-	// subject nodes start and put versions in force; the others only witness.
+	// subject nodes start and put versions in force; the others are only witnesses.
 	subject bool
 }
 
@@ -36,17 +36,17 @@
 	body     any
 }
 
-// fleet is a few nodes, a table, and a network that delays, reorders and loses.
+// fleet simulates a few nodes, a table, and a network that delays, reorders and loses messages.
 type fleet struct {
-	t        *rapid.T
-	rand     *rand.Rand // uniform, where rapid's own draws lean to the small
-	now      time.Time
-	settings Settings
-	nodes    []*node
-	network  []message
-	head     bfconfig.Version
-	away     bool // the table
-	// highest is the naive recorder: it sees every instance and forgets nothing.
+	t         *rapid.T
+	rand      *rand.Rand // uniform; rapid's own draws favor small values
+	now       time.Time
+	settings  Settings
+	nodes     []*node
+	network   []message
+	head      bfconfig.Version
+	tableDown bool
+	// highest is the reference: the highest version each instance ever put in force.
 	highest map[string]bfconfig.Version
 	seen    map[string]int
 }
@@ -75,9 +75,9 @@
 }
 
 func (f *fleet) boot(n *node) {
-	n.began++
-	n.up, n.frozen, n.gate, n.held, n.heartbeat = true, false, nil, 0, map[string]Note{}
-	n.notes = NewNotes(f.now, n.member.ID, n.began*1_000, f.settings)
+	n.incarnation++
+	n.up, n.paused, n.gate, n.held, n.heartbeat = true, false, nil, 0, map[string]Note{}
+	n.notes = NewNotes(f.now, n.member.ID, n.incarnation*1_000, f.settings)
 	n.start = NewStart(f.now, n.member, f.settings)
 	n.start.OnMembers(f.members())
 }
@@ -92,8 +92,8 @@
 func (f *fleet) deliver(i int) bool {
 	m := f.network[i]
 	to := f.nodes[slices.IndexFunc(f.nodes, func(n *node) bool { return n.member.ID == m.to })]
-	if to.frozen {
-		return false // it waits in the socket
+	if to.paused {
+		return false // it stays in the socket buffer
 	}
 	f.network = slices.Delete(f.network, i, i+1)
 	if !to.up {
@@ -116,7 +116,7 @@
 	return true
 }
 
-// carryOut holds every version put in force against the recorder.
+// carryOut carries out the actions and checks every version put in force against highest.
 func (f *fleet) carryOut(n *node, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -127,7 +127,7 @@
 		case PutInForce:
 			f.seen["in force"]++
 			if action.Version < f.highest[n.member.ID] {
-				f.t.Fatalf("%s went back from version %d to %d", n.member.ID, f.highest[n.member.ID], action.Version)
+				f.t.Fatalf("%s went backwards from version %d to %d", n.member.ID, f.highest[n.member.ID], action.Version)
 			}
 			f.highest[n.member.ID] = action.Version
 		}
@@ -136,7 +136,7 @@
 
 // tick runs each node's timers.
 func (f *fleet) tick(n *node) {
-	if !n.up || n.frozen {
+	if !n.up || n.paused {
 		return
 	}
 	n.notes.Tick(f.now)
@@ -154,7 +154,7 @@
 	for _, id := range n.start.Ask() {
 		f.send(n.member.ID, id, Question{Instance: n.member.ID})
 	}
-	if f.away {
+	if f.tableDown {
 		n.start.OnTableAway(errors.New("outage"))
 	} else {
 		n.start.OnHead(f.head)
@@ -169,15 +169,15 @@
 	case Contradiction:
 		f.t.Fatalf("%s: %+v", n.member.ID, decision)
 	case StartAt:
-		f.seen[fmt.Sprintf("start, table %v, unknown %v, old %v", decision.FromTable, decision.Unknown, len(decision.Old) > 0)]++
-		n.gate = NewGate(f.now, n.member, n.began, decision, f.settings)
+		f.seen[fmt.Sprintf("start, table %v, unknown %v, old %v", decision.FromTable, decision.UnknownSets, len(decision.OldSets) > 0)]++
+		n.gate = NewGate(f.now, n.member, n.incarnation, decision, f.settings)
 		n.start, n.held = nil, decision.Version
 		f.carryOut(n, n.gate.OnMembers(f.now, f.members()))
 	}
 }
 
-// pass lets time go by; what a running node was sent longer ago than Margin is lost.
-func (f *fleet) pass(seconds int) {
+// advance advances the time; messages to running nodes are lost once they are older than Margin.
+func (f *fleet) advance(seconds int) {
 	for range seconds {
 		f.now = f.now.Add(time.Second)
 		for _, n := range f.nodes {
@@ -185,7 +185,7 @@
 		}
 		f.network = slices.DeleteFunc(f.network, func(m message) bool {
 			to := f.nodes[slices.IndexFunc(f.nodes, func(n *node) bool { return n.member.ID == m.to })]
-			return !to.frozen && f.now.Sub(m.sent) > f.settings.Margin
+			return !to.paused && f.now.Sub(m.sent) > f.settings.Margin
 		})
 		if over := len(f.network) - 60; over > 0 {
 			f.network = slices.Delete(f.network, 0, over)
@@ -193,41 +193,41 @@
 	}
 }
 
-// learn gives a node a newer version, from the table or from a peer.
-func (f *fleet) learn(n *node) {
-	if !n.up || n.frozen || n.gate == nil || n.held == f.head {
+// deliverVersion gives a node its next version, as from the table or a peer.
+func (f *fleet) deliverVersion(n *node) {
+	if !n.up || n.paused || n.gate == nil || n.held == f.head {
 		return
 	}
 	n.held++
 	f.carryOut(n, n.gate.OnVersion(f.now, n.held))
 }
 
-// believe gives a node any view of who is alive, right or wrong.
-func (f *fleet) believe(n *node) {
-	if n.up && !n.frozen && n.gate != nil {
-		believed := slices.DeleteFunc(f.members(), func(Member) bool { return f.rand.IntN(3) == 0 })
-		f.carryOut(n, n.gate.OnMembers(f.now, believed))
+// changeView gives a node an arbitrary view of the alive members.
+func (f *fleet) changeView(n *node) {
+	if n.up && !n.paused && n.gate != nil {
+		alive := slices.DeleteFunc(f.members(), func(Member) bool { return f.rand.IntN(3) == 0 })
+		f.carryOut(n, n.gate.OnMembers(f.now, alive))
 	}
 }
 
-// step lets one thing happen. Subjects, the first two nodes, restart often while
-// their witnesses mostly stay: that is where an old version could come back.
+// step injects one random event. Subjects, the first two nodes, restart often and
+// their witnesses rarely, since this is the case in which an old version could return.
 func (f *fleet) step() {
 	n := f.nodes[f.rand.IntN(2)]
 	witness := f.nodes[f.rand.IntN(len(f.nodes))]
 	switch f.rand.IntN(60) {
 	case 0:
-		f.away = !f.away
+		f.tableDown = !f.tableDown
 	case 1:
-		f.pass(f.rand.IntN(4))
+		f.advance(f.rand.IntN(4))
 	case 2, 3, 4:
-		if !f.away {
+		if !f.tableDown {
 			f.head += 3
 		}
 	case 5, 6, 7, 8, 9, 10, 11, 12:
-		f.learn(n)
+		f.deliverVersion(n)
 	case 13, 14:
-		f.believe(n)
+		f.changeView(n)
 	case 15, 16, 17:
 		f.crash(n)
 		f.boot(n)
@@ -240,18 +240,18 @@
 			f.boot(witness)
 		}
 	case 20:
-		witness.frozen = witness.up
+		witness.paused = witness.up
 	case 21:
-		witness.frozen = false
+		witness.paused = false
 	case 22:
-		f.herd(witness.member.Domain)
+		f.restartDomain(witness.member.Domain)
 	case 23:
-		f.pass([]int{3, 7, 30, 135}[f.rand.IntN(4)])
+		f.advance([]int{3, 7, 30, 135}[f.rand.IntN(4)])
 	case 24, 25, 26:
-		f.pass(1)
+		f.advance(1)
 		f.deliverAll()
 	case 27, 28, 29:
-		f.pass(1)
+		f.advance(1)
 	case 30, 31, 32:
 		if len(f.network) > 0 {
 			i := f.rand.IntN(len(f.network))
@@ -266,19 +266,19 @@
 	}
 }
 
-// prelude brings the subjects into service, then mostly takes the table away
-// while versions are still spreading: from here on only witnesses remember.
+// prelude starts the subjects, then mostly makes the table unavailable while newer
+// versions are still spreading, so that only witnesses hold them.
 func (f *fleet) prelude() {
 	for range 3 {
-		f.pass(1)
+		f.advance(1)
 		f.deliverAll()
 	}
 	f.head += 30
-	f.away = f.rand.IntN(4) > 0
+	f.tableDown = f.rand.IntN(4) > 0
 }
 
-// herd restarts half of a failure domain at once.
-func (f *fleet) herd(domain string) {
+// restartDomain restarts a random half of a failure domain at once.
+func (f *fleet) restartDomain(domain string) {
 	for _, n := range f.nodes {
 		if n.member.Domain == domain && f.rand.IntN(2) == 0 {
 			f.crash(n)
@@ -287,7 +287,7 @@
 	}
 }
 
-// deliverAll delivers until only frozen nodes have messages left.
+// deliverAll delivers messages until only paused nodes have any left.
 func (f *fleet) deliverAll() {
 	for i := 0; i < len(f.network); {
 		if !f.deliver(i) {
@@ -296,17 +296,17 @@
 	}
 }
 
-// settle heals everything: each node must come to the newest version.
+// settle ends all faults and checks that the subjects reach the newest version.
 func (f *fleet) settle() {
-	f.away = false
+	f.tableDown = false
 	for _, n := range f.nodes {
-		n.frozen = false
+		n.paused = false
 		if !n.up {
 			f.boot(n)
 		}
 	}
 	for range 300 {
-		f.pass(1)
+		f.advance(1)
 		f.deliverAll()
 		for _, n := range f.nodes {
 			if n.gate != nil && n.held < f.head {
@@ -319,16 +319,15 @@
 		}
 	}
 	for _, n := range f.nodes[:2] {
-		if n.gate == nil || n.gate.InForce() != f.head || n.gate.Waiting() > 0 {
-			f.t.Fatalf("%s does not come to version %d: %+v", n.member.ID, f.head, n.gate)
+		if n.gate == nil || n.gate.InForce() != f.head || n.gate.OldSets() > 0 {
+			f.t.Fatalf("%s does not reach version %d: %+v", n.member.ID, f.head, n.gate)
 		}
 	}
 }
 
-// Instances keep nothing and restart at any moment, in herds too; the table goes
-// away, messages are lost, late and out of order, nodes freeze and wake, and each
-// believes what it likes about who is alive. The caller of an instance must never
-// be served by an older version than that instance has served, in any of its lives.
+// Guards against an instance that goes back to an older version, under any sequence
+// of restarts, table outages, lost, late and reordered messages, pauses and wrong
+// views of the membership.
 func TestNoInstanceGoesBack(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -342,6 +341,6 @@
 	})
 	t.Logf("seen %v", seen)
 	if len(seen) < 8 {
-		t.Fatal("the cases drawn reach too little")
+		t.Fatal("the drawn cases cover too few events")
 	}
 }
--- a/lib/bfrecover/notes.go
+++ b/lib/bfrecover/notes.go
@@ -7,12 +7,12 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Notes is the witness's side: what other instances have told it, in memory only.
+// Notes is the witness's side: it records, in memory only, the notes of other instances.
 type Notes struct {
 	self     string
 	settings Settings
 	memory   uint64
-	seen     time.Time
+	lastSeen time.Time
 	entries  map[string]entry
 }
 
@@ -22,38 +22,40 @@
 	refreshed time.Time
 }
 
-// NewNotes makes an empty memory; its number must be higher than those of all earlier incarnations of this node, with room between.
+// NewNotes returns empty notes. The memory number must be higher than that of all
+// earlier incarnations of this node, with a gap, since each pause increments it.
 func NewNotes(now time.Time, self string, memory uint64, settings Settings) *Notes {
-	return &Notes{self: self, settings: settings, memory: memory, seen: now, entries: map[string]entry{}}
+	return &Notes{self: self, settings: settings, memory: memory, lastSeen: now, entries: map[string]entry{}}
 }
 
-// Memory is the number of the present memory; notes for another one are refused.
+// Memory returns the current memory number; notes for another one are refused.
 func (n *Notes) Memory() uint64 { return n.memory }
 
-// Len is how many instances are noted.
+// Len returns the number of instances noted.
 func (n *Notes) Len() int { return len(n.entries) }
 
-// Tick must come more often than MaxPause while the node runs.
+// Tick detects pauses and drops expired notes; call it more often than once per MaxPause.
 func (n *Notes) Tick(now time.Time) {
 	n.forgetAfterPause(now)
 	maps.DeleteFunc(n.entries, func(_ string, e entry) bool {
-		return now.Sub(e.refreshed) > n.settings.Lapse+n.settings.Margin
+		return now.Sub(e.refreshed) > n.settings.NoteTTL+n.settings.Margin
 	})
 }
 
-// forgetAfterPause treats a pause as a restart. A frozen node wakes with notes
-// in its sockets that are long superseded; taken as fresh they would make an
-// old version count, and a restarted instance would go back to it. Under a new
+// forgetAfterPause treats a pause as a restart. After a pause, the socket buffers
+// hold notes that may be superseded. Recorded as fresh they would make an old
+// version count, and an instance that restarts would go back to it. With a new
 // memory number those notes are refused.
 func (n *Notes) forgetAfterPause(now time.Time) {
-	if now.Sub(n.seen) > n.settings.MaxPause {
+	if now.Sub(n.lastSeen) > n.settings.MaxPause {
 		clear(n.entries)
 		n.memory++
 	}
-	n.seen = now
+	n.lastSeen = now
 }
 
-// OnNote takes a note over, or refuses it.
+// OnNote records a note. It refuses a note for another memory, of a new instance
+// while the notes are full, or of a new epoch without its set.
 func (n *Notes) OnNote(now time.Time, note Note) Ack {
 	n.forgetAfterPause(now)
 	refusal := Ack{Witness: n.self, Memory: n.memory, Refused: true}
@@ -61,8 +63,8 @@
 		return refusal
 	}
 	e, known := n.entries[note.Instance]
-	// An entry is never dropped to make room: a late note could then register the
-	// instance again with an older version, as if nothing had been forgotten.
+	// An entry is never evicted: a delayed note could then register the instance
+	// again with an older version under the same memory number.
 	if !known && len(n.entries) >= n.settings.MaxNotes {
 		return refusal
 	}
@@ -85,11 +87,11 @@
 	}
 }
 
-// OnQuestion answers an instance that restarted.
+// OnQuestion answers an instance that has restarted.
 func (n *Notes) OnQuestion(now time.Time, question Question) Answer {
 	n.forgetAfterPause(now)
 	e, known := n.entries[question.Instance]
-	if !known || now.Sub(e.refreshed) > n.settings.Lapse {
+	if !known || now.Sub(e.refreshed) > n.settings.NoteTTL {
 		return Answer{Witness: n.self}
 	}
 	return Answer{Witness: n.self, Counts: true, Version: e.version, Sets: e.sets}
--- a/lib/bfrecover/rules_test.go
+++ b/lib/bfrecover/rules_test.go
@@ -12,8 +12,8 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// script is one instance and its candidates a to f, moved by hand.
-type script struct {
+// scenario drives one instance x and its candidate witnesses a to f step by step.
+type scenario struct {
 	is       *is.I
 	now      time.Time
 	settings Settings
@@ -21,8 +21,8 @@
 	gate     *Gate
 }
 
-func newScript(t *testing.T) *script {
-	s := &script{is: is.New(t), now: time.Unix(1_000_000, 0), settings: DefaultSettings(), notes: map[string]*Notes{}}
+func newScenario(t *testing.T) *scenario {
+	s := &scenario{is: is.New(t), now: time.Unix(1_000_000, 0), settings: DefaultSettings(), notes: map[string]*Notes{}}
 	s.settings.MaxPause = time.Hour
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		s.notes[id] = NewNotes(s.now, id, 1, s.settings)
@@ -30,7 +30,7 @@
 	return s
 }
 
-func list(ids string) []Member {
+func membersOf(ids string) []Member {
 	var all []Member
 	for _, id := range ids {
 		all = append(all, Member{ID: string(id)})
@@ -39,13 +39,13 @@
 }
 
 // begin starts an incarnation with these members as its witnesses.
-func (s *script) begin(incarnation uint64, start StartAt, members string) {
+func (s *scenario) begin(incarnation uint64, start StartAt, members string) {
 	s.gate = NewGate(s.now, Member{ID: "x"}, incarnation, start, s.settings)
-	s.reach("", s.gate.OnMembers(s.now, list(members)))
+	s.deliver("", s.gate.OnMembers(s.now, membersOf(members)))
 }
 
-// reach carries out the notes to some witnesses, answers and all; the others' are lost.
-func (s *script) reach(witnesses string, actions []Action) {
+// deliver delivers the notes to the given witnesses, and their acks; other notes are lost.
+func (s *scenario) deliver(witnesses string, actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
 		actions = actions[1:]
@@ -58,20 +58,21 @@
 	}
 }
 
-// repeat sends what is missing again.
-func (s *script) repeat(witnesses string) {
-	s.now = s.now.Add(s.settings.Resend)
-	s.reach(witnesses, s.gate.Tick(s.now))
+// resend delivers the notes that Tick sends again after ResendInterval.
+func (s *scenario) resend(witnesses string) {
+	s.now = s.now.Add(s.settings.ResendInterval)
+	s.deliver(witnesses, s.gate.Tick(s.now))
 }
 
-func (s *script) restart(witness string) {
+func (s *scenario) restart(witness string) {
 	s.notes[witness] = NewNotes(s.now, witness, s.notes[witness].Memory()+1_000, s.settings)
 }
 
-// decide asks these candidates for the next incarnation; head 0 stands for the table away.
-func (s *script) decide(witnesses, members string, head bfconfig.Version) Decision {
+// decide returns the decision of the next incarnation after the given witnesses
+// have answered; head 0 means that the table is unavailable.
+func (s *scenario) decide(witnesses, members string, head bfconfig.Version) Decision {
 	start := NewStart(s.now, Member{ID: "x"}, s.settings)
-	start.OnMembers(list(members))
+	start.OnMembers(membersOf(members))
 	start.OnTableAway(errors.New("outage"))
 	if head > 0 {
 		start.OnHead(head)
@@ -82,15 +83,15 @@
 	return start.Decide(s.now)
 }
 
-// CASE 5. The table is away; the instance served version 5, which two of its
-// three witnesses noted, and restarts. One of the two restarted as well and has
-// forgotten. Two remember, one of them only version 4: the instance must start
-// at 5. If the other one forgot too, it must wait, and say for what.
+// CASE 5. The table is unavailable, and an instance that served version 5 restarts
+// after one of the two witnesses that noted it. It must start at 5, from the other
+// one and a witness that noted version 4. If the other one has restarted too, it
+// must wait and report for what.
 func TestCase5RestartsWhileTheTableIsAway(t *testing.T) {
-	s := newScript(t)
+	s := newScenario(t)
 	s.begin(1, StartAt{Version: 4}, "abc")
-	s.repeat("abc")
-	s.reach("ab", s.gate.OnVersion(s.now, 5))
+	s.resend("abc")
+	s.deliver("ab", s.gate.OnVersion(s.now, 5))
 	s.is.Equal(s.gate.InForce(), bfconfig.Version(5))
 	s.restart("a")
 	start, starts := s.decide("abc", "abc", 0).(StartAt)
@@ -102,92 +103,92 @@
 	s.is.Equal(waiting.String(), "table: outage; 3 of 3 candidates answered, 1 of the 2 witnesses needed")
 }
 
-// A version is held back until a majority has noted it, and what a witness
-// acknowledged before it restarted is no longer held against that.
-func TestGateCountsOnlyPresentMemories(t *testing.T) {
-	s := newScript(t)
+// Guards against counting acks from before a witness restarted: a version passes
+// only once a majority holds it in its current memory.
+func TestGateCountsOnlyCurrentMemories(t *testing.T) {
+	s := newScenario(t)
 	s.begin(1, StartAt{Version: 4}, "abc")
-	s.repeat("a")
+	s.resend("a")
 	s.is.Equal(s.gate.InForce(), bfconfig.Version(0)) // one of three
 	s.restart("a")
 	stale := Ack{Witness: "a", Memory: 1, Incarnation: 1, Epoch: 1, Version: 4}
-	s.reach("", s.gate.OnAck(s.now, Ack{Witness: "a", Memory: 1_001, Refused: true}))
-	s.reach("", s.gate.OnAck(s.now, stale))
-	s.repeat("b")
-	s.is.Equal(s.gate.InForce(), bfconfig.Version(0)) // only b holds it now
-	s.repeat("a")
+	s.deliver("", s.gate.OnAck(s.now, Ack{Witness: "a", Memory: 1_001, Refused: true}))
+	s.deliver("", s.gate.OnAck(s.now, stale))
+	s.resend("b")
+	s.is.Equal(s.gate.InForce(), bfconfig.Version(0)) // only b holds the note now
+	s.resend("a")
 	s.is.Equal(s.gate.InForce(), bfconfig.Version(4))
 }
 
-// The witnesses change from a, b, c to d, e, f and the node restarts before the
-// old ones were told. Whoever asks only a, b and c next time would believe them,
-// so their set binds on, in the next incarnation too, until two of them have been
-// told, or until what they noted has lapsed.
-func TestOldSetBindsUntilToldOrLapsed(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		s := newScript(t)
+// Guards against a start from a superseded set: if a node restarts after its
+// witnesses have changed from a, b, c to d, e, f, but before the old ones have
+// registered the new set, the old set stays binding until two of them have
+// registered a newer one, or until their notes have expired.
+func TestOldSetBindsUntilRegisteredOrExpired(t *testing.T) {
+	for _, registered := range []bool{true, false} {
+		s := newScenario(t)
 		s.begin(1, StartAt{Version: 4}, "abc")
-		s.repeat("abc")
-		s.reach("def", s.gate.OnMembers(s.now, list("def")))
-		s.repeat("def")
-		s.reach("def", s.gate.OnVersion(s.now, 5))
+		s.resend("abc")
+		s.deliver("def", s.gate.OnMembers(s.now, membersOf("def")))
+		s.resend("def")
+		s.deliver("def", s.gate.OnVersion(s.now, 5))
 		s.is.Equal(s.gate.InForce(), bfconfig.Version(4))
 		start, starts := s.decide("def", "abcdef", 0).(StartAt)
 		s.is.True(starts)
 		s.is.Equal(start.Version, bfconfig.Version(5)) // noted, so perhaps in force
-		s.is.Equal(len(start.Old), 2)
+		s.is.Equal(len(start.OldSets), 2)
 		s.begin(2, start, "def")
-		s.repeat("adef")
+		s.resend("adef")
 		s.is.Equal(s.gate.InForce(), bfconfig.Version(0)) // one of a, b, c is not enough
-		if told {
-			s.repeat("ab")
+		if registered {
+			s.resend("ab")
 		} else {
-			s.now = s.now.Add(s.settings.Lapse)
-			s.repeat("")
+			s.now = s.now.Add(s.settings.NoteTTL)
+			s.resend("")
 			s.is.Equal(s.gate.InForce(), bfconfig.Version(0))
 			s.now = s.now.Add(s.settings.Margin)
-			s.repeat("")
+			s.resend("")
 		}
 		s.is.Equal(s.gate.InForce(), bfconfig.Version(5))
 	}
 }
 
-// The table answers but most candidates are silent: there may be a set that
-// remembers this instance and is not told. Nothing is put in force before such
-// a set's notes have lapsed; the same if an answer names witnesses that are silent.
-func TestUnknownSetsBindUntilLapsed(t *testing.T) {
-	s := newScript(t)
+// Guards against ignoring a set that could not be asked: if most candidates, or most
+// members of a set named in an answer, don't answer, no version may be put in force
+// until the notes of such a set have expired.
+func TestUnknownSetsBindUntilExpired(t *testing.T) {
+	s := newScenario(t)
 	s.begin(1, StartAt{Version: 4}, "abc")
-	s.repeat("abc")
+	s.resend("abc")
 	old := []Set{{Incarnation: 1, Epoch: 1, Members: []string{"c", "a", "b"}}}
-	s.is.Equal(s.decide("ab", "abcdef", 9), StartAt{Version: 9, FromTable: true, Old: old})
+	s.is.Equal(s.decide("ab", "abcdef", 9), StartAt{Version: 9, FromTable: true, OldSets: old})
 	s.restart("b")
 	_, waits := s.decide("def", "defg", 9).(Waiting)
-	s.is.True(!waits) // no majority of three among d, e, f, g has stayed silent
+	s.is.True(!waits) // fewer than a majority of three among d, e, f, g have not answered
 	for _, candidates := range []string{"ad", "d"} {
 		_, waits = s.decide(candidates, "adefg", 9).(Waiting)
-		s.is.True(waits) // b and c are named by a, or too many are silent
+		s.is.True(waits) // a named b and c, or too many have not answered
 	}
 	_, waits = s.decide("adef", "adef", 9).(Waiting)
-	s.is.True(waits) // b and c are named by a, and silent
-	s.begin(2, StartAt{Version: 9, FromTable: true, Unknown: true}, "def")
-	s.repeat("def")
-	s.repeat("def")
+	s.is.True(waits) // a named b and c, which have not answered
+	s.begin(2, StartAt{Version: 9, FromTable: true, UnknownSets: true}, "def")
+	s.resend("def")
+	s.resend("def")
 	s.is.Equal(s.gate.InForce(), bfconfig.Version(0))
-	s.now = s.now.Add(s.settings.Lapse + s.settings.Margin)
-	s.repeat("def")
+	s.now = s.now.Add(s.settings.NoteTTL + s.settings.Margin)
+	s.resend("def")
 	s.is.Equal(s.gate.InForce(), bfconfig.Version(9))
 	for _, flapping := range []string{"ab", "bc", "cd", "de", "ef", "fa", "ac", "bd", "ce", "df"} {
-		s.reach("", s.gate.OnMembers(s.now, list(flapping)))
+		s.deliver("", s.gate.OnMembers(s.now, membersOf(flapping)))
 	}
-	s.is.True(s.gate.Waiting() < 8) // a membership that flaps
+	s.is.True(s.gate.OldSets() < 8) // bounded although the membership flaps
 }
 
-// A witness must not count on the strength of old notes: one that arrives late
-// neither refreshes a registration nor takes a newer set's place, one for an
-// earlier memory is refused, and a full memory refuses rather than forgets.
-func TestWitnessTakesNoOldNoteForFresh(t *testing.T) {
-	s := newScript(t)
+// Guards against stale notes that count: a delayed note must neither refresh a
+// registration nor replace a newer set, a note for an earlier memory is refused,
+// and full notes refuse new instances instead of evicting others.
+func TestWitnessIgnoresStaleNotes(t *testing.T) {
+	s := newScenario(t)
 	witness := s.notes["a"]
 	note := func(epoch uint64, version bfconfig.Version) Note {
 		set := Set{Incarnation: 1, Epoch: epoch, Members: []string{"a"}}
@@ -196,15 +197,15 @@
 	counts := func() bool { return witness.OnQuestion(s.now, Question{Instance: "x"}).Counts }
 	s.is.True(!counts())
 	s.is.Equal(witness.OnNote(s.now, note(2, 7)).Version, bfconfig.Version(7))
-	s.now = s.now.Add(s.settings.Lapse)
+	s.now = s.now.Add(s.settings.NoteTTL)
 	s.is.Equal(witness.OnNote(s.now, note(1, 6)).Epoch, uint64(2))
 	s.is.True(counts())
 	s.now = s.now.Add(time.Second)
-	s.is.True(!counts()) // lapsed, the old note did not refresh it
+	s.is.True(!counts()) // expired; the delayed note did not refresh it
 	witness.Tick(s.now)
-	s.is.Equal(witness.Len(), 1) // kept for as long as an older note may be under way
+	s.is.Equal(witness.Len(), 1) // kept while an older note may be in transit
 	s.is.True(!witness.OnNote(s.now, note(2, 7)).Refused)
-	s.now = s.now.Add(2 * time.Hour) // frozen
+	s.now = s.now.Add(2 * time.Hour) // paused
 	s.is.True(witness.OnNote(s.now, note(2, 7)).Refused)
 	s.is.True(!counts())
 	small := s.settings
@@ -217,10 +218,11 @@
 	s.is.Equal(witness.Len(), 1)
 }
 
-// The witnesses of a node lie in as many failure domains as there are, in its
-// own region; alone, a node has none and only the table counts.
+// Guards against witnesses that can be lost together: they must be spread over the
+// failure domains of the node's own region. A node without peers has no witnesses
+// and depends on the table.
 func TestWitnessesSpreadOverFailureDomains(t *testing.T) {
-	s := newScript(t)
+	s := newScenario(t)
 	self := Member{ID: "x", Region: "vienna", Domain: "wien-nord"}
 	members := []Member{self, {ID: "far", Region: "hobart", Domain: "princes"}}
 	for i, domain := range []string{"wien-nord", "wien-sued", "wien-west", "wien-nord", "wien-sued", "wien-west"} {
@@ -231,26 +233,26 @@
 		domains[m.ID] = m.Domain
 	}
 	chosen := Witnesses(self, members, 3)
-	s.is.Equal(domains[chosen[2]], "wien-nord") // its own comes last
+	s.is.Equal(domains[chosen[2]], "wien-nord") // its own domain comes last
 	s.is.True(domains[chosen[0]] != domains[chosen[1]])
 	s.is.Equal(Witnesses(self, members, 7)[:3], chosen)
 	s.is.Equal(Witnesses(self, members, 7)[6], "far")
 	s.gate = NewGate(s.now, self, 1, StartAt{Version: 3, FromTable: true}, s.settings)
 	s.is.Equal(s.gate.OnMembers(s.now, []Member{self}), []Action{PutInForce{Version: 3}})
-	s.is.Equal(s.decide("", "", 3).(StartAt).Unknown, false)
+	s.is.Equal(s.decide("", "", 3).(StartAt).UnknownSets, false)
 	_, waits := s.decide("", "", 0).(Waiting)
 	s.is.True(waits)
 }
 
-// A version costs three notes and three answers of a few dozen bytes, once the
-// witnesses have the set; the sums in docs/design/recover.md are these.
+// Guards the traffic per version: three notes and three acks without the sets, once
+// the witnesses have registered them. docs/design/recover.md quotes the sums.
 func TestCostOfAVersion(t *testing.T) {
 	for _, mode := range []Mode{ConvergenceFirst, BytesFirst} {
-		s := newScript(t)
+		s := newScenario(t)
 		s.settings.Mode = mode
 		incarnation := uint64(time.Date(2026, 10, 1, 8, 0, 0, 0, time.UTC).UnixMicro())
 		s.gate = NewGate(s.now, Member{ID: "asset-vault-wien-nord-0123"}, incarnation, StartAt{Version: 95_999}, s.settings)
-		s.gate.OnMembers(s.now, list("abc"))
+		s.gate.OnMembers(s.now, membersOf("abc"))
 		messages, bytes := 0, 0
 		count := func(message any) {
 			data, err := cbor.Marshal(message)
@@ -295,7 +297,7 @@
 func BenchmarkGateVersion(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	gate := NewGate(now, Member{ID: "x"}, 1, StartAt{}, DefaultSettings())
-	gate.OnMembers(now, list("abc"))
+	gate.OnMembers(now, membersOf("abc"))
 	version := bfconfig.Version(0)
 	for b.Loop() {
 		version++
--- a/lib/bfrecover/settings.go
+++ b/lib/bfrecover/settings.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// Mode says what a node weighs more when it has a new version to note.
+// Mode selects when a node sends the note of a new version.
 type Mode int
 
 const (
-	// ConvergenceFirst notes each version at once.
+	// ConvergenceFirst sends a note for each version at once.
 	ConvergenceFirst Mode = iota
-	// BytesFirst has notes wait for the next heartbeat to the witness, many versions in one.
+	// BytesFirst sends one note, for all versions since the last one, with the next
+	// heartbeat to the witness.
 	BytesFirst
 )
 
-// Settings are the numbers of this package; every node of a fleet has the same ones.
+// Settings configures this package; all nodes of a fleet must use the same settings.
 type Settings struct {
 	Mode Mode
-	// Witnesses is how many a node has, Asked how many candidates it asks after a restart.
+	// Witnesses is the number of witnesses of a node, Asked the number of candidates
+	// it asks after a restart.
 	Witnesses, Asked int
-	// Lapse is how long a note counts after it was last refreshed.
-	Lapse time.Duration
-	// Margin bounds the delay of messages and the drift of clocks within Lapse.
+	// NoteTTL is the time after its last refresh at which a note expires.
+	NoteTTL time.Duration
+	// Margin bounds the message delay and the clock drift during NoteTTL.
 	Margin time.Duration
-	// Refresh is how often a node repeats its note, Resend how often one that is not acknowledged.
-	Refresh, Resend time.Duration
-	// MaxPause is how long a witness may go without a tick before it counts as restarted.
+	// RefreshInterval is the interval at which a node repeats an acknowledged note,
+	// ResendInterval that for a note without an ack.
+	RefreshInterval, ResendInterval time.Duration
+	// MaxPause is the time without a tick after which a witness drops its notes.
 	MaxPause time.Duration
-	// Patience is how long a start waits for witnesses once it has the table's head.
+	// Patience is how long a start waits for witnesses after it has the table's head.
 	Patience time.Duration
-	// MaxNotes bounds how many instances one witness notes.
+	// MaxNotes bounds the number of instances that one witness notes.
 	MaxNotes int
 }
 
-// DefaultSettings are those of a fleet.
+// DefaultSettings returns the settings that the profiles of a fleet start from.
 func DefaultSettings() Settings {
 	return Settings{
 		Witnesses: 3, Asked: 7,
-		Lapse: 2 * time.Minute, Margin: 10 * time.Second,
-		Refresh: 20 * time.Second, Resend: time.Second,
+		NoteTTL: 2 * time.Minute, Margin: 10 * time.Second,
+		RefreshInterval: 20 * time.Second, ResendInterval: time.Second,
 		MaxPause: 5 * time.Second, Patience: 2 * time.Second,
 		MaxNotes: 4_096,
 	}
--- a/lib/bfrecover/start.go
+++ b/lib/bfrecover/start.go
@@ -9,78 +9,83 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Decision is the sealed set of what a restarted node may do.
+// Decision is the sealed set of decisions about the start of a node.
 type Decision interface{ isDecision() }
 
-// StartAt lets the node fetch the version and make a Gate; nothing older may be put in force.
+// StartAt permits the node to fetch the version and create a Gate; it must not put
+// an older version in force.
 type StartAt struct {
 	Version bfconfig.Version
-	// FromTable is set if the version is the table's head, not what witnesses noted.
+	// FromTable is set if the version is the table's head and not noted by witnesses.
 	FromTable bool
-	// Old are earlier incarnations' sets that may still bind.
-	Old []Set
-	// Unknown is set if there may be such sets besides Old.
-	Unknown bool
+	// OldSets lists sets of earlier incarnations that may still be binding.
+	OldSets []Set
+	// UnknownSets is set if sets other than OldSets may still be binding.
+	UnknownSets bool
 }
 
-// Waiting keeps the node from serving; its callers are told "not run, come back".
+// Waiting means that the node can't serve yet and must reject requests as retryable.
 type Waiting struct {
-	// TableAway is the table's error, nil while it has not answered at all.
-	TableAway error
-	// Counting of the Needed witnesses have answered what they noted; Needed is 0 while none has.
-	Counting, Needed int
-	// Answered of the Asked candidates have answered anything.
+	// TableErr is the error of the last read of the head, nil if none has failed.
+	TableErr error
+	// Valid is the number of witnesses of the newest set whose notes are valid;
+	// Needed is the majority of that set, 0 while no set is known.
+	Valid, Needed int
+	// Answered is the number of the Asked candidates that have answered.
 	Answered, Asked int
 }
 
-// Contradiction reports a witness that noted a version newer than the table's head, which can't be.
+// Contradiction reports a witness that noted a version newer than the table's
+// head, which violates an invariant.
 type Contradiction struct{ Head, Noted bfconfig.Version }
 
 func (StartAt) isDecision()       {}
 func (Waiting) isDecision()       {}
 func (Contradiction) isDecision() {}
 
-// String says what the node waits for.
+// String describes what the node is waiting for.
 func (w Waiting) String() string {
 	return fmt.Sprintf("table: %v; %d of %d candidates answered, %d of the %d witnesses needed",
-		w.TableAway, w.Answered, w.Asked, w.Counting, w.Needed)
+		w.TableErr, w.Answered, w.Asked, w.Valid, w.Needed)
 }
 
-// Start decides from which version a restarted node may start.
+// Start decides at which version a restarted node may start.
 type Start struct {
 	self     Member
 	settings Settings
-	// asking is since when witnesses could have been asked with the head known.
-	asking    time.Time
-	joined    bool
-	asked     []string
-	answers   map[string]Answer
-	hasHead   bool
-	head      bfconfig.Version
-	tableAway error
+	// askingSince is the time since which the node has both joined and read the head.
+	askingSince time.Time
+	joined      bool
+	candidates  []string
+	answers     map[string]Answer
+	hasHead     bool
+	head        bfconfig.Version
+	tableErr    error
 }
 
-// NewStart makes the decision of a node that has just started.
+// NewStart returns the Start of a node that has just been started.
 func NewStart(now time.Time, self Member, settings Settings) *Start {
-	return &Start{self: self, settings: settings, asking: now, answers: map[string]Answer{}}
+	return &Start{self: self, settings: settings, askingSince: now, answers: map[string]Answer{}}
 }
 
-// OnMembers takes the membership once the node has it whole from a peer, or knows that it is alone.
+// OnMembers sets the members, once the node has received all of them from a peer
+// or has found that it is the only one.
 func (s *Start) OnMembers(members []Member) {
 	s.joined = true
-	s.asked = Witnesses(s.self, members, s.settings.Asked)
+	s.candidates = Witnesses(s.self, members, s.settings.Asked)
 }
 
-// OnHead takes the table's head, read after the start.
+// OnHead handles the table's head, which must have been read after the start.
 func (s *Start) OnHead(version bfconfig.Version) {
 	s.hasHead = true
 	s.head = version
 }
 
-// OnTableAway takes the error of a read of head.
-func (s *Start) OnTableAway(reason error) { s.tableAway = reason }
+// OnTableAway handles an error of reading the head.
+func (s *Start) OnTableAway(reason error) { s.tableErr = reason }
 
-// OnAnswer takes what a witness noted; knowledge stays true when its witness forgets it later.
+// OnAnswer handles a witness's answer. An answer that counts isn't replaced by one
+// that doesn't, since it stays valid if the witness loses its notes later.
 func (s *Start) OnAnswer(answer Answer) {
 	if earlier, known := s.answers[answer.Witness]; known && earlier.Counts && !answer.Counts {
 		return
@@ -88,9 +93,10 @@
 	s.answers[answer.Witness] = answer
 }
 
-// Ask lists whom to ask, again if need be: the candidates and every witness that answers have named.
+// Ask lists the members to send a Question to: the candidates and all witnesses
+// named in answers, except those whose answer counts already.
 func (s *Start) Ask() []string {
-	ids := slices.Clone(s.asked)
+	ids := slices.Clone(s.candidates)
 	for _, answer := range s.answers {
 		for _, set := range answer.Sets {
 			ids = append(ids, set.Members...)
@@ -102,39 +108,39 @@
 	})
 }
 
-// Decide says what the node may do with what it knows by now.
+// Decide returns the decision for what has been received by now.
 func (s *Start) Decide(now time.Time) Decision {
 	if !s.joined || !s.hasHead {
-		// A join that takes longer than the patience must not use it up: a start
-		// that has asked nobody would have to take every older set for possible
-		// and hold its versions back until those lapse.
-		s.asking = now
+		// The time of the join must not count: a node that has not asked any
+		// witness yet would have to assume unknown sets, and delay its versions
+		// until those have expired.
+		s.askingSince = now
 	}
 	sets, noted := s.newest()
-	counting, needed := s.quorum(newest(sets))
-	whole := needed > 0 && counting >= needed
+	valid, needed := s.quorum(newest(sets))
+	hasQuorum := needed > 0 && valid >= needed
 	waiting := Waiting{
-		TableAway: s.tableAway, Counting: counting, Needed: needed,
-		Answered: len(s.asked) - s.silent(s.asked), Asked: len(s.asked),
+		TableErr: s.tableErr, Valid: valid, Needed: needed,
+		Answered: len(s.candidates) - s.countUnanswered(s.candidates), Asked: len(s.candidates),
 	}
 	switch {
 	case s.hasHead && noted > s.head:
 		return Contradiction{Head: s.head, Noted: noted}
 	case !s.joined:
 		return waiting
-	case s.hasHead && whole:
-		return StartAt{Version: s.head, FromTable: true, Old: sets}
-	case s.hasHead && s.heardOut():
-		return StartAt{Version: s.head, FromTable: true, Old: s.allSets()}
-	case s.hasHead && now.Sub(s.asking) >= s.settings.Patience:
-		return StartAt{Version: s.head, FromTable: true, Old: s.allSets(), Unknown: true}
-	case !s.hasHead && whole:
-		return StartAt{Version: noted, Old: sets}
+	case s.hasHead && hasQuorum:
+		return StartAt{Version: s.head, FromTable: true, OldSets: sets}
+	case s.hasHead && s.enoughAnswered():
+		return StartAt{Version: s.head, FromTable: true, OldSets: s.allSets()}
+	case s.hasHead && now.Sub(s.askingSince) >= s.settings.Patience:
+		return StartAt{Version: s.head, FromTable: true, OldSets: s.allSets(), UnknownSets: true}
+	case !s.hasHead && hasQuorum:
+		return StartAt{Version: noted, OldSets: sets}
 	}
 	return waiting
 }
 
-// newest finds the binding sets by the newest registration, and the highest version noted.
+// newest returns the binding sets of the newest registration, and the highest version noted.
 func (s *Start) newest() (sets []Set, noted bfconfig.Version) {
 	for _, id := range slices.Sorted(maps.Keys(s.answers)) {
 		answer := s.answers[id]
@@ -149,47 +155,47 @@
 	return sets, noted
 }
 
-// quorum tells how many members of the set count, and how many must.
+// quorum returns how many members of the set count, and how many are needed.
 //
-// Only members of the newest set are counted: a majority of an older one may
-// have missed every version since, unless it was told of the newer set.
-func (s *Start) quorum(set Set) (counting, needed int) {
+// Only members of the newest set are counted: a majority of an older one may have
+// missed all versions since, unless it has registered the newer set.
+func (s *Start) quorum(set Set) (valid, needed int) {
 	for _, id := range set.Members {
 		if s.answers[id].Counts {
-			counting++
+			valid++
 		}
 	}
-	return counting, majority(len(set.Members))
+	return valid, majority(len(set.Members))
 }
 
-// heardOut reports whether so many candidates have answered that no majority of
-// a set among them has stayed silent, nor of a set that an answer has named.
-// What forgot can't count again before this node registers with it, so such a
-// set is either known by now or harmless.
-func (s *Start) heardOut() bool {
-	size := min(s.settings.Witnesses, len(s.asked))
-	if size > 0 && s.silent(s.asked) >= majority(size) {
+// enoughAnswered reports whether no set can have a majority of members that have
+// not answered, be it an unknown set among the candidates or a set named in an
+// answer. A witness that has lost its notes can't count again before this node
+// registers with it, so every set is either known by now or can't reach a majority.
+func (s *Start) enoughAnswered() bool {
+	size := min(s.settings.Witnesses, len(s.candidates))
+	if size > 0 && s.countUnanswered(s.candidates) >= majority(size) {
 		return false
 	}
 	for _, set := range s.allSets() {
-		if s.silent(set.Members) >= majority(len(set.Members)) {
+		if s.countUnanswered(set.Members) >= majority(len(set.Members)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Start) silent(ids []string) int {
-	silent := 0
+func (s *Start) countUnanswered(ids []string) int {
+	unanswered := 0
 	for _, id := range ids {
 		if _, known := s.answers[id]; !known {
-			silent++
+			unanswered++
 		}
 	}
-	return silent
+	return unanswered
 }
 
-// allSets lists every set that an answer has named, oldest first.
+// allSets lists the sets named in answers, oldest first.
 func (s *Start) allSets() []Set {
 	var all []Set
 	for _, answer := range s.answers {
--- a/lib/bfrecover/witness.go
+++ b/lib/bfrecover/witness.go
@@ -7,18 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a node as far as the choice of witnesses needs it.
+// Member holds the properties of a node that the choice of witnesses depends on.
 type Member struct {
 	ID     string
 	Region string
 	Domain string
 }
 
-// Witnesses chooses up to n of the members for self, by rendezvous hashing over as many failure domains as possible.
+// Witnesses returns the IDs of up to n witnesses for self, chosen by rendezvous
+// hashing and spread over as many failure domains as possible.
 //
-// Members of self's region go first, so that regions that lose each other don't
-// hold versions back, and self's own failure domain goes last among equals. A
-// choice of fewer is a prefix of a choice of more.
+// Members of self's region come first, so that a partition between regions doesn't
+// delay versions, and self's own failure domain comes last among equals. The
+// choice for a smaller n is a prefix of that for a larger one.
 func Witnesses(self Member, members []Member, n int) []string {
 	chosen := choose(candidates(self, members, true), n)
 	if len(chosen) == n {
@@ -27,7 +28,7 @@
 	return append(chosen, choose(candidates(self, members, false), n-len(chosen))...)
 }
 
-// candidates are the members in self's region, or those in the others.
+// candidates lists the members in self's region if near, else those in other regions.
 func candidates(self Member, members []Member, near bool) []candidate {
 	var list []candidate
 	for _, m := range members {
@@ -39,20 +40,20 @@
 }
 
 type candidate struct {
-	member Member
-	score  uint64
-	own    int // 1 in self's failure domain
+	member    Member
+	score     uint64
+	ownDomain int // 1 in self's failure domain
 }
 
 func newCandidate(self, m Member) candidate {
 	c := candidate{member: m, score: xxhash.Sum64String(self.ID + "\x00" + m.ID)}
 	if m.Domain == self.Domain {
-		c.own = 1
+		c.ownDomain = 1
 	}
 	return c
 }
 
-// choose takes the best of the failure domain that has the fewest so far, n times.
+// choose picks n candidates, each the best one of the failure domain with the fewest picked so far.
 func choose(candidates []candidate, n int) []string {
 	used := map[string]int{}
 	var chosen []string
@@ -60,7 +61,7 @@
 		best := slices.MinFunc(candidates, func(a, b candidate) int {
 			return cmp.Or(
 				cmp.Compare(used[a.member.Domain], used[b.member.Domain]),
-				cmp.Compare(a.own, b.own),
+				cmp.Compare(a.ownDomain, b.ownDomain),
 				cmp.Compare(b.score, a.score),
 				cmp.Compare(a.member.ID, b.member.ID),
 			)
@@ -72,7 +73,7 @@
 	return chosen
 }
 
-// majority is the smallest number of n that any other majority of n shares a member with.
+// majority returns the size of the smallest majority of n members, 0 for n = 0.
 func majority(n int) int {
 	if n == 0 {
 		return 0
