--- a/lib/bfcommit/attempt.go
+++ b/lib/bfcommit/attempt.go
@@ -8,97 +8,100 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Limits bound one attempt.
+// Limits bounds one attempt.
 type Limits struct {
-	// Total is how long the operator waits for an outcome.
-	Total time.Duration
-	// Tries is how often another change may come first.
-	Tries int
-	// FirstWait and MaxWait bound the doubling pauses while a lost answer can't be resolved.
-	FirstWait, MaxWait time.Duration
-	// Page is how many versions are read at once.
-	Page int
+	// Timeout is the time after which the attempt ends without a decision.
+	Timeout time.Duration
+	// MaxConflicts is the number of times that another change may be committed first.
+	MaxConflicts int
+	// InitialBackoff and MaxBackoff bound the exponential backoff while a lost answer can't be resolved.
+	InitialBackoff, MaxBackoff time.Duration
+	// PageRows is the number of versions read at once.
+	PageRows int
 }
 
-// DefaultLimits are those of a node.
+// DefaultLimits returns the limits used by a node.
 func DefaultLimits() Limits {
 	return Limits{
-		Total: 10 * time.Second, Tries: 32,
-		FirstWait: 20 * time.Millisecond, MaxWait: time.Second, Page: 100,
+		Timeout: 10 * time.Second, MaxConflicts: 32,
+		InitialBackoff: 20 * time.Millisecond, MaxBackoff: time.Second, PageRows: 100,
 	}
 }
 
 type phase string
 
 const (
-	phaseNew        phase = "new"
-	phaseReading    phase = "reading"
-	phaseCatchingUp phase = "catching up"
-	phaseNaming     phase = "naming the other change"
-	phaseCommitting phase = "committing"
-	phaseWaiting    phase = "waiting"
-	phaseDone       phase = "done"
+	phaseNew         phase = "new"
+	phaseReading     phase = "reading"
+	phaseCatchingUp  phase = "catching up"
+	phaseIdentifying phase = "identifying the conflicting change"
+	phaseCommitting  phase = "committing"
+	phaseWaiting     phase = "waiting"
+	phaseDone        phase = "done"
 )
 
-// proposal is one transaction, and what would be told if it is found applied.
+// proposal is one transaction, and the outcome if it is applied.
 type proposal struct {
 	tx      bfstore.Transaction
-	head    uint64 // the head row's revision that tx is conditioned on
+	head    uint64 // revision of the head row that tx is conditional on
 	version bfstore.Write
 	outcome Outcome
 }
 
-// Attempt is one confirm or withdrawal of one change.
+// Attempt is one attempt to confirm or withdraw one change.
 //
 // A write whose answer is lost may still take effect long after a read that
-// does not show it, so "no change row" alone never means "not accepted". Each
-// transaction is conditioned on the revision of head and on the absence of the
-// change row, and revisions are never used twice. So a write in doubt is dead
-// once a read shows another head and no change row; while head still has that
-// revision, the attempt runs the very same transaction again: whichever of the
-// two lands first makes the other impossible, and both mean the same version.
+// doesn't show it, so the absence of the change row alone never means "not
+// accepted". Each transaction is conditional on the revision of head and on the
+// absence of the change row, and revisions are never reused. A write in doubt
+// therefore can't take effect any more once a read shows another revision of head
+// and no change row. While head still has the same revision, the attempt repeats
+// the identical transaction: the one that is applied first makes the other fail,
+// and both result in the same version.
 type Attempt struct {
-	id       string
-	withdraw bool
-	limits   Limits
-	deadline time.Time
-	phase    phase
-	wait     time.Duration
-	tries    int
+	id        string
+	withdraw  bool
+	limits    Limits
+	deadline  time.Time
+	phase     phase
+	backoff   time.Duration
+	conflicts int
 
-	// state is the newest version this attempt has caught up with, target the head it has read.
+	// state is the newest version this attempt has applied, target the head it has read.
 	state  *bfconfig.State
 	target Head
 	staged Staged
 	rows   commitRows
 
 	proposal *proposal
-	// doubt is set while proposal may have been, or may yet be, applied unseen.
-	doubt    bool
+	// inDoubt is set while it is unknown whether proposal has been, or will be, applied.
+	inDoubt  bool
 	conflict *ConflictError
 }
 
-// NewConfirm makes the attempt to commit the change staged as id; held is the newest version the node has.
+// NewConfirm returns an attempt to commit the change staged as id; held is the
+// newest version that the node holds.
 func NewConfirm(id string, held *bfconfig.State, limits Limits) *Attempt {
 	return &Attempt{id: id, state: held, limits: limits, phase: phaseNew}
 }
 
-// NewWithdrawal makes the attempt to bar the change id for good, confirmed or not, staged or not.
+// NewWithdrawal returns an attempt to withdraw the change id for good, whether or
+// not it is staged or being confirmed.
 func NewWithdrawal(id string, limits Limits) *Attempt {
 	return &Attempt{id: id, withdraw: true, limits: limits, phase: phaseNew}
 }
 
-// Next takes what happened and returns what to do.
+// Next handles an event and returns the next action.
 func (a *Attempt) Next(now time.Time, event Event) Action {
 	switch event := event.(type) {
 	case Begin:
 		if a.phase == phaseNew {
-			a.deadline = now.Add(a.limits.Total)
-			a.wait = a.limits.FirstWait
+			a.deadline = now.Add(a.limits.Timeout)
+			a.backoff = a.limits.InitialBackoff
 			return a.readRows()
 		}
 	case Canceled:
-		return a.giveUp(event.Reason, 0)
+		return a.abort(event.Reason, 0)
 	case Waited:
 		if a.phase == phaseWaiting {
 			return a.readRows()
@@ -110,7 +113,7 @@
 			return a.onCommit(now, event)
 		}
 	}
-	return a.giveUp(&StepError{Event: event, Phase: string(a.phase)}, 0)
+	return a.abort(&StepError{Event: event, Phase: string(a.phase)}, 0)
 }
 
 func (a *Attempt) onRead(now time.Time, event Event) Action {
@@ -124,16 +127,16 @@
 		if ok {
 			return a.onDeltas(now, read.Rows)
 		}
-	case phaseNaming:
-		return a.onNaming(read.Rows)
+	case phaseIdentifying:
+		return a.onConflictRead(read.Rows)
 	default:
-		return a.giveUp(&StepError{Event: event, Phase: string(a.phase)}, 0)
+		return a.abort(&StepError{Event: event, Phase: string(a.phase)}, 0)
 	}
 	failed, _ := event.(ReadFailed)
-	if a.doubt {
+	if a.inDoubt {
 		return a.pause(now, failed.Reason)
 	}
-	return a.giveUp(failed.Reason, failed.RetryAfter)
+	return a.abort(failed.Reason, failed.RetryAfter)
 }
 
 func (a *Attempt) onCommit(now time.Time, event Event) Action {
@@ -141,25 +144,25 @@
 	case CommitApplied:
 		return a.done(a.proposal.outcome)
 	case CommitConflicted:
-		a.tries++
+		a.conflicts++
 		return a.readRows()
 	case CommitUnavailable:
-		a.phase = phaseReading // this transaction is settled: it wrote nothing
-		if a.doubt {
+		a.phase = phaseReading // this transaction is decided: it wrote nothing
+		if a.inDoubt {
 			return a.pause(now, event.Reason)
 		}
-		return a.giveUp(event.Reason, event.RetryAfter)
+		return a.abort(event.Reason, event.RetryAfter)
 	case CommitUnknown:
-		if a.doubt {
+		if a.inDoubt {
 			return a.pause(now, event.Reason)
 		}
-		a.doubt = true
+		a.inDoubt = true
 		return a.readRows()
 	}
-	return a.giveUp(&StepError{Event: event, Phase: string(a.phase)}, 0)
+	return a.abort(&StepError{Event: event, Phase: string(a.phase)}, 0)
 }
 
-// commitRows are the rows that decide a commit, as of one moment.
+// commitRows holds the rows that decide a commit, from one atomic read.
 type commitRows struct {
 	head, change, staged bfstore.Row
 }
@@ -167,7 +170,7 @@
 func (a *Attempt) readRows() Action {
 	a.phase = phaseReading
 	keys := []string{HeadKey, ChangeKey(a.id), StagedKey(a.id)}
-	if a.doubt && !a.withdraw {
+	if a.inDoubt && !a.withdraw {
 		keys = append(keys, a.proposal.version.Key)
 	}
 	return Read{Keys: keys}
@@ -176,47 +179,47 @@
 func (a *Attempt) onRows(now time.Time, rows []bfstore.Row) Action {
 	const fixedRows = 3
 	if len(rows) < fixedRows {
-		return a.giveUp(&StepError{Event: RowsRead{Rows: rows}, Phase: string(a.phase)}, 0)
+		return a.abort(&StepError{Event: RowsRead{Rows: rows}, Phase: string(a.phase)}, 0)
 	}
 	a.rows = commitRows{head: rows[0], change: rows[1], staged: rows[2]}
-	fate, decided, err := DecodeFate(a.rows.change)
+	decision, decided, err := DecodeDecision(a.rows.change)
 	switch {
 	case err != nil:
-		return a.giveUp(err, 0)
+		return a.abort(err, 0)
 	case decided:
-		return a.settle(fate, rows[fixedRows:])
+		return a.resolve(decision, rows[fixedRows:])
 	case a.withdraw:
-		return a.bar(now)
-	case a.doubt && a.rows.head.Revision == a.proposal.head: // it may still land
+		return a.commitWithdrawal(now)
+	case a.inDoubt && a.rows.head.Revision == a.proposal.head: // it may still be applied
 		if now.After(a.deadline) {
-			return a.giveUp(&TimeoutError{Limit: a.limits.Total}, 0)
+			return a.abort(&TimeoutError{Limit: a.limits.Timeout}, 0)
 		}
 		return a.commit(a.proposal)
 	}
-	a.doubt = false
+	a.inDoubt = false
 	return a.advance(now)
 }
 
-// settle answers from the change row, which is never changed once written.
-func (a *Attempt) settle(fate Fate, version []bfstore.Row) Action {
-	if fate.Withdrawn {
+// resolve derives the outcome from the change row, which is immutable.
+func (a *Attempt) resolve(decision Decision, version []bfstore.Row) Action {
+	if decision.Withdrawn {
 		return a.done(Withdrawn{})
 	}
-	// Another node may have confirmed the same ID at the same version, with
-	// another time in its delta: only the row itself tells whose it is.
+	// Another node may have confirmed the same ID as the same version, with
+	// another time in its delta; only the row itself tells the two apart.
 	if len(version) == 1 && string(version[0].Value) == string(a.proposal.version.Value) {
 		return a.done(a.proposal.outcome)
 	}
-	return a.done(AlreadyCommitted{Version: fate.Version})
+	return a.done(AlreadyCommitted{Version: decision.Version})
 }
 
-// advance goes on with the commit; nothing of this attempt is in doubt.
+// advance continues the commit when no transaction of this attempt is in doubt.
 func (a *Attempt) advance(now time.Time) Action {
 	if now.After(a.deadline) {
-		return a.giveUp(&TimeoutError{Limit: a.limits.Total}, 0)
+		return a.abort(&TimeoutError{Limit: a.limits.Timeout}, 0)
 	}
-	if a.tries > a.limits.Tries {
-		return a.giveUp(&BusyError{Tries: a.tries}, a.limits.MaxWait)
+	if a.conflicts > a.limits.MaxConflicts {
+		return a.abort(&BusyError{Tries: a.conflicts}, a.limits.MaxBackoff)
 	}
 	staged, err := DecodeStaged(a.rows.staged)
 	if err != nil {
@@ -224,10 +227,10 @@
 	}
 	a.staged = staged
 	if a.target, err = DecodeHead(a.rows.head); err != nil {
-		return a.giveUp(err, 0)
+		return a.abort(err, 0)
 	}
 	if a.staged.Base() > a.target.Version {
-		return a.giveUp(&HeadError{Held: Head{Version: a.staged.Base()}, Table: a.target}, 0)
+		return a.abort(&HeadError{Held: Head{Version: a.staged.Base()}, Table: a.target}, 0)
 	}
 	return a.catchUp(now)
 }
@@ -236,11 +239,11 @@
 	if a.state.Version() < a.target.Version {
 		a.phase = phaseCatchingUp
 		from, to := VersionRange(a.state.Version()+1, a.target.Version)
-		return ReadRange{From: from, To: to, Limit: a.limits.Page}
+		return ReadRange{From: from, To: to, Limit: a.limits.PageRows}
 	}
 	held := Head{Version: a.state.Version(), Digest: a.state.Digest()}
 	if held != a.target {
-		return a.giveUp(&HeadError{Held: held, Table: a.target}, 0)
+		return a.abort(&HeadError{Held: held, Table: a.target}, 0)
 	}
 	return a.propose(now)
 }
@@ -248,13 +251,14 @@
 func (a *Attempt) onDeltas(now time.Time, rows []bfstore.Row) Action {
 	next, err := applyRows(a.state, rows)
 	if err != nil {
-		return a.giveUp(err, a.limits.MaxWait)
+		return a.abort(err, a.limits.MaxBackoff)
 	}
 	a.state = next
 	return a.catchUp(now)
 }
 
-// applyRows builds the version that the rows lead to, at least one further than state.
+// applyRows applies the deltas of the rows, at least one, to state. It returns a
+// GapError if there are none, and a RowError for a row that can't be decoded.
 func applyRows(state *bfconfig.State, rows []bfstore.Row) (*bfconfig.State, error) {
 	if len(rows) == 0 {
 		return nil, &GapError{Version: state.Version() + 1}
@@ -298,25 +302,25 @@
 			Writes: []bfstore.Write{
 				{Key: HeadKey, Value: head.Encode()},
 				version,
-				{Key: ChangeKey(a.id), Value: Fate{Version: next.Version()}.Encode()},
+				{Key: ChangeKey(a.id), Value: Decision{Version: next.Version()}.Encode()},
 				{Key: StagedKey(a.id), Remove: true},
 			},
 		},
 	})
 }
 
-// bar writes the change row as withdrawn. Every commit of the change is
-// conditioned on that row's absence, so none can land afterwards, however late.
-func (a *Attempt) bar(now time.Time) Action {
+// commitWithdrawal writes the change row as withdrawn. Every commit of the change is
+// conditional on the absence of that row, so none can take effect afterwards.
+func (a *Attempt) commitWithdrawal(now time.Time) Action {
 	if now.After(a.deadline) {
-		return a.giveUp(&TimeoutError{Limit: a.limits.Total}, 0)
+		return a.abort(&TimeoutError{Limit: a.limits.Timeout}, 0)
 	}
 	return a.commit(&proposal{
 		outcome: Withdrawn{},
 		tx: bfstore.Transaction{
 			Conditions: []bfstore.Condition{{Key: ChangeKey(a.id)}},
 			Writes: []bfstore.Write{
-				{Key: ChangeKey(a.id), Value: Fate{Withdrawn: true}.Encode()},
+				{Key: ChangeKey(a.id), Value: Decision{Withdrawn: true}.Encode()},
 				{Key: StagedKey(a.id), Remove: true},
 			},
 		},
@@ -329,20 +333,21 @@
 	return Commit{Transaction: p.tx}
 }
 
-// readConflict looks for the change that the conflict is with: by its version,
-// or, for an object that is gone, among the first versions after the base.
+// readConflict reads the delta of the conflicting change: by its version, or, for an
+// object that was removed, among the first versions after the base.
 func (a *Attempt) readConflict() Action {
-	const mostRows = 1_000
-	a.phase = phaseNaming
+	const maxRows = 1_000
+	a.phase = phaseIdentifying
 	from, to := VersionRange(a.staged.Base()+1, a.target.Version)
 	if revision := a.state.Revision(a.conflict.Object); revision > 0 {
 		from, to = VersionRange(revision, revision)
 	}
-	return ReadRange{From: from, To: to, Limit: mostRows}
+	return ReadRange{From: from, To: to, Limit: maxRows}
 }
 
-// onNaming answers the conflict, which is certain; without rows only its author is missing.
-func (a *Attempt) onNaming(rows []bfstore.Row) Action {
+// onConflictRead returns the conflict; if the rows could not be read, it lacks the
+// version, ID and author of the other change.
+func (a *Attempt) onConflictRead(rows []bfstore.Row) Action {
 	var deltas []bfconfig.Delta
 	for _, row := range rows {
 		if delta, err := bfconfig.DecodeDelta(row.Value); err == nil {
@@ -350,25 +355,26 @@
 		}
 	}
 	if delta, found := LookupIn(deltas)(a.conflict.Object, a.staged.Base()); found {
-		a.conflict.name(delta)
+		a.conflict.identify(delta)
 	}
 	return a.done(Conflict{Err: a.conflict})
 }
 
-// pause waits before the next try to resolve a lost answer.
+// pause backs off before the next try to resolve a lost answer.
 func (a *Attempt) pause(now time.Time, reason error) Action {
 	if now.After(a.deadline) {
-		return a.giveUp(reason, 0)
+		return a.abort(reason, 0)
 	}
 	a.phase = phaseWaiting
-	until := now.Add(a.wait)
-	a.wait = min(2*a.wait, a.limits.MaxWait)
+	until := now.Add(a.backoff)
+	a.backoff = min(2*a.backoff, a.limits.MaxBackoff)
 	return Wait{Until: until}
 }
 
-// giveUp says "not accepted" only if no write of this attempt can ever take effect.
-func (a *Attempt) giveUp(reason error, retryAfter time.Duration) Action {
-	if a.doubt || a.phase == phaseCommitting {
+// abort ends the attempt with NotAccepted only if no write of it can ever take
+// effect, and with Unknown otherwise.
+func (a *Attempt) abort(reason error, retryAfter time.Duration) Action {
+	if a.inDoubt || a.phase == phaseCommitting {
 		return a.done(Unknown{ID: a.id, Reason: reason})
 	}
 	return a.done(NotAccepted{Reason: reason, RetryAfter: retryAfter})
--- a/lib/bfcommit/doc.go
+++ b/lib/bfcommit/doc.go
@@ -1,14 +1,15 @@
-// Package bfcommit decides how a change becomes a version: staging, rebasing,
-// conflicts, the one transaction that commits, and lost answers to it.
+// Package bfcommit commits changes of the configuration as versions: it stages and
+// rebases changes, detects conflicts, runs the commit transaction and resolves
+// lost answers to it.
 //
-// Versions are one total order kept in the platform's table. An Attempt is one
-// confirm as a pure step machine: it takes what happened and says what to do.
-// Run is the only part that talks to a table.
+// Versions are totally ordered and stored in the platform's table. An Attempt is
+// one confirm as a deterministic state machine: it takes an event and returns the
+// next action. Run carries the actions out on a table.
 //
 // The rows:
 //
 //	head              version and digest of the newest version
 //	version/<number>  the delta to that version
-//	change/<id>       what became of a change, for good
-//	staged/<id>       a change that waits for its confirm
+//	change/<id>       the final decision on a change
+//	staged/<id>       a change that has not been confirmed yet
 package bfcommit
--- a/lib/bfcommit/main_test.go
+++ b/lib/bfcommit/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that every run draws the same cases.
+// TestMain fixes rapid's seed, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	settings := map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "1000"}
--- a/lib/bfcommit/model_test.go
+++ b/lib/bfcommit/model_test.go
@@ -12,20 +12,21 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// history is the naive version: changes one after another, each checked whole.
+// history is the reference model: a sequence of changes, each fully validated.
 type history struct {
 	states []*bfconfig.State
 	deltas []bfconfig.Delta
 	staged map[string]Staged
 }
 
-// append fails unless the change is the next version, valid, and nothing it read has changed since.
-func (h *history) append(t *rapid.T, id string, fate Fate, delta bfconfig.Delta) {
-	h.refuseCommitted(t, id)
+// append fails the test unless the change is the next version, is valid, and no
+// object it read has changed since its base.
+func (h *history) append(t *rapid.T, id string, decision Decision, delta bfconfig.Delta) {
+	h.requireUncommitted(t, id)
 	newest := h.states[len(h.states)-1]
 	next, err := newest.Apply(delta)
-	if err != nil || next.Version() != fate.Version || delta.Change().ID() != id {
-		t.Fatalf("change %s as version %d after %d: %v", id, fate.Version, newest.Version(), err)
+	if err != nil || next.Version() != decision.Version || delta.Change().ID() != id {
+		t.Fatalf("change %s as version %d after %d: %v", id, decision.Version, newest.Version(), err)
 	}
 	for ref, revision := range h.staged[id].revisions {
 		if newest.Revision(ref) != revision {
@@ -36,11 +37,11 @@
 	h.deltas = append(h.deltas, delta)
 }
 
-// refuseCommitted fails if the change is a version already.
-func (h *history) refuseCommitted(t *rapid.T, id string) {
+// requireUncommitted fails the test if the change is committed already.
+func (h *history) requireUncommitted(t *rapid.T, id string) {
 	for _, earlier := range h.deltas {
 		if earlier.Change().ID() == id {
-			t.Fatalf("change %s is version %d and is written again", id, earlier.Version())
+			t.Fatalf("change %s is committed as version %d already", id, earlier.Version())
 		}
 	}
 }
@@ -51,17 +52,17 @@
 	attempt *Attempt
 	next    Action
 	outcome Outcome
-	applied bool // a transaction of it took effect
-	lost    bool // an answer to it was lost
+	applied bool // one of its transactions took effect
+	lost    bool // the answer to one of its commits was lost
 }
 
-// lateWrite is a transaction whose answer was lost and that may still land.
+// lateWrite is a transaction whose answer was lost and that may still be applied.
 type lateWrite struct {
 	tx   bfstore.Transaction
 	from *confirm
 }
 
-type world struct {
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	table    *bfstore.Memory
@@ -71,8 +72,8 @@
 	faults   bool
 }
 
-// apply runs the transaction and holds what it did against the naive history.
-func (w *world) apply(tx bfstore.Transaction, from *confirm) error {
+// apply runs the transaction and checks its effect against the history.
+func (w *simulation) apply(tx bfstore.Transaction, from *confirm) error {
 	err := w.table.Commit(context.Background(), tx)
 	if err != nil {
 		return err
@@ -82,23 +83,23 @@
 	for _, write := range tx.Writes {
 		rows[write.Key] = write
 	}
-	fate, decided, err := DecodeFate(bfstore.Row{Value: rows[ChangeKey(from.id)].Value, Revision: 1})
+	decision, decided, err := DecodeDecision(bfstore.Row{Value: rows[ChangeKey(from.id)].Value, Revision: 1})
 	if !decided || err != nil {
-		w.t.Fatalf("no fate of %s: %v", from.id, err)
+		w.t.Fatalf("no decision on %s: %v", from.id, err)
 	}
-	if fate.Withdrawn {
-		w.history.refuseCommitted(w.t, from.id)
+	if decision.Withdrawn {
+		w.history.requireUncommitted(w.t, from.id)
 		return nil
 	}
-	delta, err := bfconfig.DecodeDelta(rows[VersionKey(fate.Version)].Value)
+	delta, err := bfconfig.DecodeDelta(rows[VersionKey(decision.Version)].Value)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.history.append(w.t, from.id, fate, delta)
+	w.history.append(w.t, from.id, decision, delta)
 	return nil
 }
 
-func (w *world) start(id string, withdraw bool) *confirm {
+func (w *simulation) start(id string, withdraw bool) *confirm {
 	c := &confirm{id: id, attempt: NewConfirm(id, w.history.states[len(w.history.states)-1], limits)}
 	if withdraw {
 		c.attempt = NewWithdrawal(id, limits)
@@ -108,11 +109,11 @@
 	return c
 }
 
-var limits = Limits{Total: 4 * time.Second, Tries: 3, FirstWait: time.Second, MaxWait: 2 * time.Second, Page: 2}
+var limits = Limits{Timeout: 4 * time.Second, MaxConflicts: 3, InitialBackoff: time.Second, MaxBackoff: 2 * time.Second, PageRows: 2}
 
-// step carries out what the attempt asked for, with a fault if the world has any.
-func (w *world) step(c *confirm) {
-	away := &bfstore.UnavailableError{Reason: "drawn"}
+// step carries out the next action of the attempt, with random faults if they are enabled.
+func (w *simulation) step(c *confirm) {
+	unavailable := &bfstore.UnavailableError{Reason: "drawn"}
 	canceled := w.faults && rapid.IntRange(0, 30).Draw(w.t, "canceled") == 17
 	fails := w.faults && rapid.IntRange(0, 9).Draw(w.t, "fails") == 7
 	var event Event
@@ -123,13 +124,13 @@
 		rows, _ := w.table.Get(context.Background(), action.Keys...)
 		event = RowsRead{Rows: rows}
 		if fails {
-			event = ReadFailed{Reason: away}
+			event = ReadFailed{Reason: unavailable}
 		}
 	case ReadRange:
 		rows, _ := w.table.Range(context.Background(), action.From, action.To, action.Limit)
 		event = RowsRead{Rows: rows}
 		if fails {
-			event = ReadFailed{Reason: away}
+			event = ReadFailed{Reason: unavailable}
 		}
 	case Wait:
 		w.now = action.Until
@@ -144,11 +145,11 @@
 	c.next = c.attempt.Next(w.now, event)
 	if done, isDone := c.next.(Done); isDone {
 		c.outcome = done.Outcome
-		w.checkTold(c)
+		w.checkOutcome(c)
 	}
 }
 
-func (w *world) commit(c *confirm, tx bfstore.Transaction) Event {
+func (w *simulation) commit(c *confirm, tx bfstore.Transaction) Event {
 	fault := "none"
 	if w.faults {
 		fault = rapid.SampledFrom([]string{"none", "none", "away", "answer lost", "late", "late", "write lost"}).Draw(w.t, "fault")
@@ -168,57 +169,58 @@
 	return commitEvent(lost)
 }
 
-// checkTold fails if what the operator is told is not so at this moment.
-func (w *world) checkTold(c *confirm) {
+// checkOutcome fails the test if the outcome is not true at this moment.
+func (w *simulation) checkOutcome(c *confirm) {
 	version := bfconfig.Version(0)
-	switch told := c.outcome.(type) {
+	switch outcome := c.outcome.(type) {
 	case Committed:
-		version = told.Version
+		version = outcome.Version
 	case AlreadyCommitted:
-		version = told.Version
+		version = outcome.Version
 	case Withdrawn:
 		rows, _ := w.table.Get(context.Background(), ChangeKey(c.id))
-		if fate, _, _ := DecodeFate(rows[0]); !fate.Withdrawn {
-			w.t.Fatalf("%s told as withdrawn is %+v", c.id, fate)
+		if decision, _, _ := DecodeDecision(rows[0]); !decision.Withdrawn {
+			w.t.Fatalf("%s has outcome Withdrawn but decision %+v", c.id, decision)
 		}
 	case Conflict:
-		w.checkConflict(c.id, told.Err)
+		w.checkConflict(c.id, outcome.Err)
 	case Unknown:
 		if !c.lost {
-			w.t.Fatalf("%s unknown without a lost answer: %v", c.id, told.Reason)
+			w.t.Fatalf("%s has outcome Unknown without a lost answer: %v", c.id, outcome.Reason)
 		}
-	case Invalid, NotAccepted: // held against every later write by checkFinal
+	case Invalid, NotAccepted: // checkFinal checks these against all later writes
 	}
 	if version > 0 && w.history.deltas[version-1].Change().ID() != c.id {
-		w.t.Fatalf("%s told as version %d, which is %s", c.id, version, w.history.deltas[version-1].Change().ID())
+		w.t.Fatalf("%s has outcome version %d, which is change %s", c.id, version, w.history.deltas[version-1].Change().ID())
 	}
 }
 
-func (w *world) checkConflict(id string, conflict *ConflictError) {
+func (w *simulation) checkConflict(id string, conflict *ConflictError) {
 	if conflict.Version == 0 {
-		return // the row that would name it could not be read
+		return // the row of the conflicting change could not be read
 	}
 	other := w.history.deltas[conflict.Version-1]
 	known := other.Change().ID() == conflict.ChangeID && other.Change().Author() == conflict.Author
-	if !known || !writes(other, conflict.Object) || other.Version() <= w.history.staged[id].Base() {
-		w.t.Fatalf("%s told a conflict that is not so: %v", id, conflict)
+	if !known || !modifies(other, conflict.Object) || other.Version() <= w.history.staged[id].Base() {
+		w.t.Fatalf("%s has a wrong conflict: %v", id, conflict)
 	}
 }
 
-// checkFinal fails if a write took effect, however late, of an attempt that told there was none.
-func (w *world) checkFinal() {
+// checkFinal fails the test if a write took effect, however late, of an attempt whose
+// outcome excludes it.
+func (w *simulation) checkFinal() {
 	for _, c := range w.confirms {
 		switch c.outcome.(type) {
 		case NotAccepted, Conflict, Invalid:
 			if c.applied {
-				w.t.Fatalf("%s was told %#v, and its write took effect", c.id, c.outcome)
+				w.t.Fatalf("%s has outcome %#v, but its write took effect", c.id, c.outcome)
 			}
 		}
 	}
 }
 
-// run stages a few changes and confirms them through several nodes, all steps interleaved.
-func (w *world) run() {
+// run stages a few changes and confirms them through several nodes, with interleaved steps.
+func (w *simulation) run() {
 	w.stage("setup", []bfconfig.Op{service("a"), service("b"), policy("p"), route("r", "/r", "a")})
 	w.finish(w.start("setup", false))
 	w.faults = true
@@ -230,7 +232,7 @@
 			id := fmt.Sprint("c", rapid.IntRange(1, len(w.history.staged)).Draw(w.t, "which"))
 			w.start(id, rapid.IntRange(0, 9).Draw(w.t, "withdraw") == 7)
 		case kind == 3 && len(w.late) > 0:
-			w.land(rapid.IntRange(0, len(w.late)-1).Draw(w.t, "landing"))
+			w.applyLate(rapid.IntRange(0, len(w.late)-1).Draw(w.t, "landing"))
 		default:
 			w.step(w.confirms[rapid.IntRange(0, len(w.confirms)-1).Draw(w.t, "who")])
 		}
@@ -240,14 +242,14 @@
 		w.finish(c)
 	}
 	for len(w.late) > 0 {
-		w.land(0)
+		w.applyLate(0)
 	}
 	w.checkFinal()
 	w.checkUnknownResolve()
 }
 
-func (w *world) stage(id string, ops []bfconfig.Op) {
-	// Nodes stage on what they hold, which may be older than head.
+func (w *simulation) stage(id string, ops []bfconfig.Op) {
+	// Nodes stage on the version they hold, which may be older than the head.
 	states := w.history.states
 	base := states[max(0, len(states)-1-rapid.IntRange(0, 1).Draw(w.t, "behind"))]
 	staged, err := Stage(base, id, "author of "+id, w.now, ops)
@@ -261,27 +263,28 @@
 	w.history.staged[id] = staged
 }
 
-func (w *world) land(i int) {
+func (w *simulation) applyLate(i int) {
 	late := w.late[i]
 	w.late = append(w.late[:i:i], w.late[i+1:]...)
 	_ = w.apply(late.tx, late.from)
 }
 
-func (w *world) finish(c *confirm) {
+func (w *simulation) finish(c *confirm) {
 	for c.outcome == nil {
 		w.step(c)
 	}
 }
 
-// checkUnknownResolve asks again about everything in doubt; a working table must always give an answer.
-func (w *world) checkUnknownResolve() {
+// checkUnknownResolve confirms each change with an unknown outcome again, which must
+// determine the outcome while the table works.
+func (w *simulation) checkUnknownResolve() {
 	for _, c := range w.confirms {
 		if _, unknown := c.outcome.(Unknown); unknown {
 			again := w.start(c.id, false)
 			w.finish(again)
 			switch again.outcome.(type) {
 			case Unknown, NotAccepted:
-				w.t.Fatalf("%s asked again: %#v", c.id, again.outcome)
+				w.t.Fatalf("%s confirmed again has outcome %#v", c.id, again.outcome)
 			}
 		}
 	}
@@ -310,16 +313,15 @@
 	}
 }
 
-// Operators confirm changes through several nodes at once, the same change too.
-// Answers get lost, writes land long after, the table goes away, attempts are
-// given up. Whatever anyone is told must be so for good, and the versions must
-// be one history in which no change came twice or over another unseen.
+// Guards against wrong outcomes and lost updates: with concurrent confirms through
+// several nodes, lost answers, late writes, table outages and cancellations, every
+// outcome must stay true, and no change may be committed twice or overwrite another.
 func TestAttemptsMatchSequentialHistory(t *testing.T) {
 	outcomes := map[string]int{}
 	late := 0
 	rapid.Check(t, func(t *rapid.T) {
 		empty := bfconfig.Empty()
-		w := &world{t: t, now: time.UnixMilli(0), table: bfstore.NewMemory()}
+		w := &simulation{t: t, now: time.UnixMilli(0), table: bfstore.NewMemory()}
 		w.history = history{states: []*bfconfig.State{empty}, staged: map[string]Staged{}}
 		w.run()
 		for _, c := range w.confirms {
@@ -331,6 +333,6 @@
 	})
 	t.Logf("outcomes %v; %d took effect with a lost answer", outcomes, late)
 	if len(outcomes) < 7 {
-		t.Fatal("the cases drawn reach too little")
+		t.Fatal("the drawn cases don't cover all outcomes")
 	}
 }
--- a/lib/bfcommit/rebase.go
+++ b/lib/bfcommit/rebase.go
@@ -8,15 +8,15 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// ConflictError reports that another change came between a change and its base.
+// ConflictError reports that a conflicting change was committed after a change's base.
 type ConflictError struct {
-	// Object is what the other change put or removed.
+	// Object is the object that the other change put or removed.
 	Object bfconfig.Ref
-	// Version, ChangeID and Author are the other change's; empty if its row could not be read.
+	// Version, ChangeID and Author identify the other change; empty if its row could not be read.
 	Version  bfconfig.Version
 	ChangeID string
 	Author   string
-	// Reason is the rule that both changes together break; nil if they touch the same object.
+	// Reason is the validation error of both changes together; nil if they touch the same object.
 	Reason error
 }
 
@@ -29,17 +29,17 @@
 	return text
 }
 
-// Unwrap is the rule that is broken.
+// Unwrap returns the reason.
 func (e *ConflictError) Unwrap() error { return e.Reason }
 
 // Lookup finds the last delta after a version that put or removed an object.
 type Lookup func(ref bfconfig.Ref, after bfconfig.Version) (bfconfig.Delta, bool)
 
-// LookupIn searches deltas that are in order.
+// LookupIn returns a Lookup that searches the ordered deltas.
 func LookupIn(deltas []bfconfig.Delta) Lookup {
 	return func(ref bfconfig.Ref, after bfconfig.Version) (bfconfig.Delta, bool) {
 		for i := len(deltas) - 1; i >= 0; i-- {
-			if deltas[i].Version() > after && writes(deltas[i], ref) {
+			if deltas[i].Version() > after && modifies(deltas[i], ref) {
 				return deltas[i], true
 			}
 		}
@@ -47,7 +47,7 @@
 	}
 }
 
-func writes(delta bfconfig.Delta, ref bfconfig.Ref) bool {
+func modifies(delta bfconfig.Delta, ref bfconfig.Ref) bool {
 	for _, op := range delta.Change().Ops() {
 		if op.Target() == ref {
 			return true
@@ -59,12 +59,12 @@
 func newConflict(ref bfconfig.Ref, after bfconfig.Version, reason error, lookup Lookup) *ConflictError {
 	conflict := &ConflictError{Object: ref, Reason: reason}
 	if delta, found := lookup(ref, after); found {
-		conflict.name(delta)
+		conflict.identify(delta)
 	}
 	return conflict
 }
 
-func (e *ConflictError) name(delta bfconfig.Delta) {
+func (e *ConflictError) identify(delta bfconfig.Delta) {
 	e.Version = delta.Version()
 	e.ChangeID = delta.Change().ID()
 	e.Author = delta.Change().Author()
@@ -72,8 +72,9 @@
 
 // Rebase proposes the staged change on state, its base or a later version.
 //
-// It succeeds if nothing that the change read or wrote has another revision
-// and the result is valid; ConflictError tells what came between.
+// It succeeds if every object that the change reads or writes still has the
+// revision of the base and the result is valid. It returns a ConflictError if a
+// later change is the cause, and the validation error otherwise.
 func (s Staged) Rebase(state *bfconfig.State, at time.Time, lookup Lookup) (*bfconfig.State, bfconfig.Delta, error) {
 	for _, ref := range s.Reads() {
 		if state.Revision(ref) != s.revisions[ref] {
@@ -84,19 +85,19 @@
 	if err == nil {
 		return next, delta, nil
 	}
-	// Two changes of different objects can be valid each and invalid together:
-	// one removes a service while the other adds a route to it. The operator is
-	// told which change it was, as for one object.
-	for _, rival := range rivalsIn(err) {
-		if state.Revision(rival) > s.base {
-			return nil, bfconfig.Delta{}, newConflict(rival, s.base, err, lookup)
+	// Two changes of different objects can each be valid but invalid together: one
+	// removes a service while the other adds a route to it. This is reported as a
+	// conflict too, with the other change.
+	for _, ref := range conflictingRefs(err) {
+		if state.Revision(ref) > s.base {
+			return nil, bfconfig.Delta{}, newConflict(ref, s.base, err, lookup)
 		}
 	}
 	return nil, bfconfig.Delta{}, err
 }
 
-// rivalsIn lists the objects whose presence may have made a change invalid.
-func rivalsIn(err error) []bfconfig.Ref {
+// conflictingRefs lists the objects in a validation error that may belong to another change.
+func conflictingRefs(err error) []bfconfig.Ref {
 	var dangling *bfconfig.DanglingError
 	var ambiguous *bfconfig.AmbiguousError
 	var overlap *bfconfig.OverlapError
@@ -111,19 +112,19 @@
 	return nil
 }
 
-// PriorError reports that an undo was given the wrong state to go back to.
+// PriorError reports that Undo was called with states that don't fit the version to undo.
 type PriorError struct{ Prior, Undone bfconfig.Version }
 
 // Error names both versions.
 func (e *PriorError) Error() string {
-	return fmt.Sprintf("version %d is not the one before version %d", e.Prior, e.Undone)
+	return fmt.Sprintf("cannot undo version %d with the state of version %d as its predecessor", e.Undone, e.Prior)
 }
 
 // Undo builds the operations that reverse undone as a new change on state.
 //
-// prior is the version before undone. If a later change touched one of its
-// objects, reversing would silently take that change back too, so it is
-// refused with a ConflictError.
+// prior is the version before undone; Undo returns a PriorError otherwise. If a
+// later change touched one of the objects, the undo would silently revert that
+// change too, so Undo returns a ConflictError.
 func Undo(state *bfconfig.State, undone bfconfig.Delta, prior *bfconfig.State, lookup Lookup) ([]bfconfig.Op, error) {
 	if prior.Version()+1 != undone.Version() || state.Version() < undone.Version() {
 		return nil, &PriorError{Prior: prior.Version(), Undone: undone.Version()}
--- a/lib/bfcommit/rows.go
+++ b/lib/bfcommit/rows.go
@@ -17,12 +17,12 @@
 	changePrefix   = "change/"
 	stagedPrefix   = "staged/"
 	snapshotPrefix = "snapshot/"
-	numberForm     = "%s%020d" // keys sort as their numbers
+	numberFormat   = "%s%020d" // keys sort as their numbers
 )
 
 // VersionKey is the key of the row that holds the delta to a version.
 func VersionKey(version bfconfig.Version) string {
-	return fmt.Sprintf(numberForm, versionPrefix, version)
+	return fmt.Sprintf(numberFormat, versionPrefix, version)
 }
 
 // VersionRange bounds the rows of the versions from first to last.
@@ -30,7 +30,7 @@
 	return VersionKey(first), VersionKey(last + 1)
 }
 
-// ChangeKey is the key of the row that holds a change's Fate.
+// ChangeKey is the key of the row that holds the Decision on a change.
 func ChangeKey(id string) string { return changePrefix + id }
 
 // StagedKey is the key of the row that holds a staged change.
@@ -39,9 +39,9 @@
 // StagedRange bounds the rows of all staged changes.
 func StagedRange() (from, to string) { return stagedPrefix, stagedPrefix + "\xff" }
 
-// SnapshotKey is the object store's name for the snapshot of a version.
+// SnapshotKey is the name of the object that holds the snapshot of a version.
 func SnapshotKey(version bfconfig.Version) string {
-	return fmt.Sprintf(numberForm, snapshotPrefix, version)
+	return fmt.Sprintf(numberFormat, snapshotPrefix, version)
 }
 
 var (
@@ -51,7 +51,7 @@
 	}.DecMode())
 )
 
-// must is for values made from constants: their failure is a fault of the source.
+// must panics on an error; it is for calls that can only fail by a programming error.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -59,28 +59,28 @@
 	return value
 }
 
-// RowError reports a row that does not hold what its key says.
+// RowError reports a row whose value is malformed or doesn't match its key.
 type RowError struct {
 	Key    string
 	Reason error
 }
 
 // Error names the row.
-func (e *RowError) Error() string { return fmt.Sprintf("unreadable row %q: %v", e.Key, e.Reason) }
+func (e *RowError) Error() string { return fmt.Sprintf("invalid row %q: %v", e.Key, e.Reason) }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *RowError) Unwrap() error { return e.Reason }
 
-// Head is the newest version; the row that does not exist yet is version 0.
+// Head is the newest version and its digest; it is version 0 while the row doesn't exist.
 type Head struct {
 	Version bfconfig.Version `cbor:"1,keyasint"`
 	Digest  bfconfig.Digest  `cbor:"2,keyasint"`
 }
 
-// Encode writes the value of the head row.
+// Encode encodes the value of the head row.
 func (h Head) Encode() []byte { return must(encMode.Marshal(h)) }
 
-// DecodeHead reads the head row.
+// DecodeHead decodes the head row; it returns a RowError if the value is malformed.
 func DecodeHead(row bfstore.Row) (Head, error) {
 	if row.Revision == 0 {
 		return Head{Digest: bfconfig.Empty().Digest()}, nil
@@ -92,25 +92,26 @@
 	return head, nil
 }
 
-// Fate is what became of a change for good: it reached a version, or it was withdrawn.
-type Fate struct {
+// Decision is the final decision on a change: it was committed as a version, or it was withdrawn.
+type Decision struct {
 	Version   bfconfig.Version `cbor:"1,keyasint,omitempty"`
 	Withdrawn bool             `cbor:"2,keyasint,omitempty"`
 }
 
-// Encode writes the value of a change row.
-func (f Fate) Encode() []byte { return must(encMode.Marshal(f)) }
+// Encode encodes the value of a change row.
+func (d Decision) Encode() []byte { return must(encMode.Marshal(d)) }
 
-// DecodeFate reads a change row; decided is false where there is none.
-func DecodeFate(row bfstore.Row) (fate Fate, decided bool, err error) {
+// DecodeDecision decodes a change row; decided is false if the row doesn't exist.
+// It returns a RowError if the value is malformed or inconsistent.
+func DecodeDecision(row bfstore.Row) (decision Decision, decided bool, err error) {
 	if row.Revision == 0 {
-		return Fate{}, false, nil
+		return Decision{}, false, nil
 	}
-	if err := decMode.Unmarshal(row.Value, &fate); err != nil {
-		return Fate{}, false, &RowError{Key: row.Key, Reason: err}
+	if err := decMode.Unmarshal(row.Value, &decision); err != nil {
+		return Decision{}, false, &RowError{Key: row.Key, Reason: err}
 	}
-	if (fate.Version == 0) != fate.Withdrawn {
-		return Fate{}, false, &RowError{Key: row.Key, Reason: fmt.Errorf("contradicts itself: %+v", fate)}
+	if (decision.Version == 0) != decision.Withdrawn {
+		return Decision{}, false, &RowError{Key: row.Key, Reason: fmt.Errorf("inconsistent decision: %+v", decision)}
 	}
-	return fate, true, nil
+	return decision, true, nil
 }
--- a/lib/bfcommit/run.go
+++ b/lib/bfcommit/run.go
@@ -10,20 +10,20 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Clock tells the time and waits.
+// Clock provides the time and waits.
 type Clock interface {
 	Now() time.Time
-	// WaitUntil returns at the time, or with an error once ctx ends.
+	// WaitUntil returns nil at the given time, or an error when ctx is done.
 	WaitUntil(ctx context.Context, until time.Time) error
 }
 
-// TimerClock is a Clock that subscribes to the timer service.
+// TimerClock is a Clock that uses the timer service.
 type TimerClock struct{ Service *bftimer.Service }
 
-// Now is the service's time.
+// Now returns the service's time.
 func (c TimerClock) Now() time.Time { return c.Service.Now() }
 
-// WaitUntil waits for one subscription.
+// WaitUntil waits for one timer of the service; it returns ctx.Err() when ctx is done.
 func (c TimerClock) WaitUntil(ctx context.Context, until time.Time) error {
 	due := make(chan struct{})
 	sub := c.Service.After(until.Sub(c.Service.Now()), func(time.Time) { close(due) })
@@ -36,7 +36,7 @@
 	}
 }
 
-// Run carries the attempt out on table until its outcome is known.
+// Run runs the attempt on table until it ends, and returns the outcome.
 func Run(ctx context.Context, table bfstore.Table, attempt *Attempt, clock Clock) Outcome {
 	var event Event = Begin{}
 	for {
@@ -69,14 +69,14 @@
 		return Canceled{Reason: err}
 	}
 	failed := ReadFailed{Reason: err}
-	var away *bfstore.UnavailableError
-	if errors.As(err, &away) {
-		failed.RetryAfter = away.RetryAfter
+	var unavailable *bfstore.UnavailableError
+	if errors.As(err, &unavailable) {
+		failed.RetryAfter = unavailable.RetryAfter
 	}
 	return failed
 }
 
-// commitEvent takes every error that does not say otherwise as an unknown outcome.
+// commitEvent treats every error that doesn't exclude an effect as an unknown outcome.
 func commitEvent(err error) Event {
 	var conflict *bfstore.ConflictError
 	var away *bfstore.UnavailableError
@@ -91,40 +91,41 @@
 	return CommitUnknown{Reason: err}
 }
 
-// Unusable is a snapshot that was passed over, and why.
-type Unusable struct {
+// SkippedSnapshot is a snapshot that Load could not use, with the error.
+type SkippedSnapshot struct {
 	Version bfconfig.Version
 	Err     error
 }
 
-// Load builds the newest version from the platform: the newest usable snapshot and the deltas after it.
+// Load builds the newest version from the newest usable snapshot and the deltas after it.
 //
-// A snapshot may be missing, cut short, or hold another version than its name
-// says; the one before it, and in the end the empty version 0, leads to the
-// same state, only by more deltas.
-func Load(ctx context.Context, table bfstore.Table, objects bfstore.Objects, page int) (*bfconfig.State, []Unusable, error) {
+// A snapshot may be missing, truncated, or of another version than its name says.
+// Load then falls back to the one before it, and finally to the empty version 0;
+// this results in the same state from more deltas. It returns the snapshots it
+// skipped.
+func Load(ctx context.Context, table bfstore.Table, objects bfstore.Objects, page int) (*bfconfig.State, []SkippedSnapshot, error) {
 	names, err := objects.ListObjects(ctx, snapshotPrefix)
 	if err != nil {
-		names = nil // with the object store away the deltas alone still lead there
+		names = nil // without the object store, the deltas alone are enough
 	}
-	var unusable []Unusable
+	var skipped []SkippedSnapshot
 	for _, version := range append(PickSnapshot(names), 0) {
 		snapshot, err := loadSnapshot(ctx, objects, version)
 		if err != nil {
-			unusable = append(unusable, Unusable{Version: version, Err: err})
+			skipped = append(skipped, SkippedSnapshot{Version: version, Err: err})
 			continue
 		}
-		state, err := follow(ctx, table, snapshot, page)
-		var away *bfstore.UnavailableError
+		state, err := catchUpToHead(ctx, table, snapshot, page)
+		var unavailable *bfstore.UnavailableError
 		switch {
 		case err == nil:
-			return state, unusable, nil
-		case errors.As(err, &away):
-			return nil, unusable, err // an older snapshot would need the table too
+			return state, skipped, nil
+		case errors.As(err, &unavailable):
+			return nil, skipped, err // an older snapshot would need the table too
 		}
-		unusable = append(unusable, Unusable{Version: version, Err: err})
+		skipped = append(skipped, SkippedSnapshot{Version: version, Err: err})
 	}
-	return nil, unusable, unusable[len(unusable)-1].Err
+	return nil, skipped, skipped[len(skipped)-1].Err
 }
 
 func loadSnapshot(ctx context.Context, objects bfstore.Objects, version bfconfig.Version) (*bfconfig.State, error) {
@@ -138,8 +139,9 @@
 	return bfconfig.Restore(data, version)
 }
 
-// follow applies deltas until the head that was read first is reached.
-func follow(ctx context.Context, table bfstore.Table, state *bfconfig.State, page int) (*bfconfig.State, error) {
+// catchUpToHead reads the head once and applies deltas up to it. It returns a
+// HeadError if the result has another digest than the head.
+func catchUpToHead(ctx context.Context, table bfstore.Table, state *bfconfig.State, page int) (*bfconfig.State, error) {
 	rows, err := table.Get(ctx, HeadKey)
 	if err != nil {
 		return nil, err
--- a/lib/bfcommit/snapshot.go
+++ b/lib/bfcommit/snapshot.go
@@ -8,15 +8,17 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// WritesSnapshot reports whether the node that committed version writes its snapshot, every so many versions.
+// WritesSnapshot reports whether the node that committed version writes its
+// snapshot; that is so for every multiple of every.
 //
-// The committer holds the state anyway, and no other node has to agree on it.
-// If it dies first the snapshot is missing, and a reader takes the one before.
+// The committing node holds the state anyway, and no coordination is needed. If it
+// crashes first the snapshot is missing, and readers use the one before.
 func WritesSnapshot(version, every bfconfig.Version) bool {
 	return version > 0 && every > 0 && version%every == 0
 }
 
-// PickSnapshot lists the versions among the names in the order to try them, newest first.
+// PickSnapshot returns the versions of the snapshots among the object names, newest
+// first, which is the order to try them in.
 func PickSnapshot(names []string) []bfconfig.Version {
 	var versions []bfconfig.Version
 	for _, name := range names {
--- a/lib/bfcommit/step.go
+++ b/lib/bfcommit/step.go
@@ -11,7 +11,7 @@
 // Event is the sealed set of what can happen to an Attempt.
 type Event interface{ isEvent() }
 
-// Begin starts the attempt; it is the first event, and the only one that comes unasked.
+// Begin starts the attempt; it is the first event.
 type Begin struct{}
 
 // RowsRead answers Read and ReadRange.
@@ -35,13 +35,13 @@
 	RetryAfter time.Duration
 }
 
-// CommitUnknown answers Commit: it took effect, or it will later, or it never will.
+// CommitUnknown answers Commit: the transaction has taken effect, or still may.
 type CommitUnknown struct{ Reason error }
 
 // Waited answers Wait.
 type Waited struct{}
 
-// Canceled ends the attempt in place of any answer.
+// Canceled ends the attempt; it may replace any answer.
 type Canceled struct{ Reason error }
 
 func (Begin) isEvent()             {}
@@ -54,22 +54,22 @@
 func (Waited) isEvent()            {}
 func (Canceled) isEvent()          {}
 
-// Action is the sealed set of what an Attempt asks for next.
+// Action is the sealed set of actions that an Attempt requests.
 type Action interface{ isAction() }
 
-// Read asks for rows as of one moment, in this order.
+// Read requests an atomic read of rows, returned in the order of Keys.
 type Read struct{ Keys []string }
 
-// ReadRange asks for up to Limit rows with From <= key < To.
+// ReadRange requests up to Limit rows with From <= key < To.
 type ReadRange struct {
 	From, To string
 	Limit    int
 }
 
-// Commit asks for the transaction to be run once.
+// Commit requests that the transaction is run once.
 type Commit struct{ Transaction bfstore.Transaction }
 
-// Wait asks for Waited at a time.
+// Wait requests the event Waited at a time.
 type Wait struct{ Until time.Time }
 
 // Done ends the attempt.
@@ -81,35 +81,37 @@
 func (Wait) isAction()      {}
 func (Done) isAction()      {}
 
-// Outcome is the sealed set of what an operator can be told; each is true whatever happens later.
+// Outcome is the sealed set of outcomes of an attempt; each stays true whatever happens later.
 type Outcome interface{ isOutcome() }
 
-// Committed tells that this attempt made the change a version.
+// Committed means that this attempt committed the change as a version.
 type Committed struct {
 	Version bfconfig.Version
 	Delta   bfconfig.Delta
 	State   *bfconfig.State
 }
 
-// AlreadyCommitted tells that the change became a version before, perhaps through another node.
+// AlreadyCommitted means that the change was committed before, perhaps through another node.
 type AlreadyCommitted struct{ Version bfconfig.Version }
 
-// Withdrawn tells that the change was withdrawn and can never become a version.
+// Withdrawn means that the change was withdrawn and can never be committed.
 type Withdrawn struct{}
 
-// Conflict tells that another change came first; this attempt wrote nothing.
+// Conflict means that a conflicting change was committed first; this attempt wrote nothing.
 type Conflict struct{ Err *ConflictError }
 
-// Invalid tells that the change breaks a rule; this attempt wrote nothing.
+// Invalid means that the change is invalid; this attempt wrote nothing.
 type Invalid struct{ Err error }
 
-// NotAccepted tells that nothing was written by this attempt, nor will be; another may succeed.
+// NotAccepted means that no write of this attempt has taken or will take effect;
+// another attempt may succeed.
 type NotAccepted struct {
 	Reason     error
 	RetryAfter time.Duration
 }
 
-// Unknown tells that the change may have become a version, or may yet; confirming or withdrawing it again is safe and finds out.
+// Unknown means that the change may have been committed or may still be. Another
+// confirm or withdrawal is safe and determines the outcome.
 type Unknown struct {
 	ID     string
 	Reason error
@@ -123,26 +125,28 @@
 func (NotAccepted) isOutcome()      {}
 func (Unknown) isOutcome()          {}
 
-// BusyError reports that other changes came first too many times.
+// BusyError reports that other changes were committed first too many times.
 type BusyError struct{ Tries int }
 
-// Error gives the number of tries.
+// Error names the number of tries.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("other changes came first %d times", e.Tries)
+	return fmt.Sprintf("other changes were committed first %d times", e.Tries)
 }
 
-// TimeoutError reports that an attempt used up its time.
+// TimeoutError reports that an attempt exceeded its time limit.
 type TimeoutError struct{ Limit time.Duration }
 
-// Error gives the time.
-func (e *TimeoutError) Error() string { return fmt.Sprintf("not done within %v", e.Limit) }
+// Error names the limit.
+func (e *TimeoutError) Error() string {
+	return fmt.Sprintf("attempt exceeded its time limit of %v", e.Limit)
+}
 
-// HeadError reports that the table's newest version contradicts what this node holds.
+// HeadError reports that the table's head is inconsistent with the version this node holds.
 type HeadError struct{ Held, Table Head }
 
-// Error gives both versions and digests.
+// Error names both versions and digests.
 func (e *HeadError) Error() string {
-	return fmt.Sprintf("table is at version %d (%s), this node at version %d (%s)",
+	return fmt.Sprintf("inconsistent head: table has version %d (digest %s), this node version %d (digest %s)",
 		e.Table.Version, e.Table.Digest, e.Held.Version, e.Held.Digest)
 }
 
@@ -150,13 +154,15 @@
 type GapError struct{ Version bfconfig.Version }
 
 // Error names the version.
-func (e *GapError) Error() string { return fmt.Sprintf("no row of version %d", e.Version) }
+func (e *GapError) Error() string { return fmt.Sprintf("row of version %d is missing", e.Version) }
 
-// StepError reports an event that does not answer what the attempt asked for: a fault of the driver.
+// StepError reports an event that doesn't answer the requested action: a bug in the driver.
 type StepError struct {
 	Event Event
 	Phase string
 }
 
-// Error names the event and what was asked for.
-func (e *StepError) Error() string { return fmt.Sprintf("%T in phase %s", e.Event, e.Phase) }
+// Error names the event and the phase.
+func (e *StepError) Error() string {
+	return fmt.Sprintf("unexpected event %T in phase %q", e.Event, e.Phase)
+}
