--- a/lib/bfspread/census.go
+++ b/lib/bfspread/census.go
@@ -17,12 +17,12 @@
 func (s *Spreader) Census(now time.Time, wait time.Duration) (uint32, []Action) {
 	s.begin()
 	id, actions := s.counter.Start(now, wait)
-	s.countActions(actions)
+	s.doCounterActions(actions)
 	return id, s.out
 }
 
-// countActions carries out the actions of the counter.
-func (s *Spreader) countActions(actions []bfcount.Action) {
+// doCounterActions carries out the actions of the counter.
+func (s *Spreader) doCounterActions(actions []bfcount.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case bfcount.Ask:
--- a/lib/bfspread/pull_test.go
+++ b/lib/bfspread/pull_test.go
@@ -31,9 +31,9 @@
 	w.run(time.Minute)
 	is.Equal(w.behind(), 1)
 	is.Equal(faulty.core.State(), wrong)
-	is.True(faulty.refused >= 1)
+	is.True(faulty.rejections >= 1)
 	is.True(faulty.snapshotFetches+faulty.pulls < 15)
-	t.Logf("in a minute: %d refusals, %d asked of the store, %d pulls", faulty.refused, faulty.snapshotFetches, faulty.pulls)
+	t.Logf("in a minute: %d rejections, %d snapshot fetches, %d pulls", faulty.rejections, faulty.snapshotFetches, faulty.pulls)
 	w.drop, w.tableDown = nil, false
 	w.run(time.Minute)
 	is.Equal(w.behind(), 0)
@@ -62,7 +62,7 @@
 	for _, n := range w.nodes {
 		fetches, most, pushes = fetches+n.deltaFetches, max(most, n.snapshotsSent), pushes+n.pushes
 	}
-	t.Logf("%d fetches from the store, %d snapshots from the busiest giver", fetches, most)
+	t.Logf("%d fetches from the store, %d snapshots from the busiest node", fetches, most)
 	is.True(fetches <= 10)
 	is.True(most <= 7)
 	is.Equal(pushes, 0) // no node pushes the whole history as orphaned versions
--- a/lib/bfspread/spreader.go
+++ b/lib/bfspread/spreader.go
@@ -82,7 +82,7 @@
 	s.tickPull(now)
 	s.tickRejection(now)
 	s.tickPoll(now)
-	s.countActions(s.counter.Tick(now))
+	s.doCounterActions(s.counter.Tick(now))
 	return s.out
 }
 
@@ -123,9 +123,9 @@
 	case Busy:
 		s.onBusy(now, from, message)
 	case Census:
-		s.countActions(s.counter.Asked(now, bfcount.Question(message)))
+		s.doCounterActions(s.counter.Asked(now, bfcount.Question(message)))
 	case CensusAnswer:
-		s.countActions(s.counter.Answered(bfcount.Answer(message)))
+		s.doCounterActions(s.counter.Answered(bfcount.Answer(message)))
 	}
 	return s.out
 }
@@ -207,7 +207,7 @@
 
 // Error names both versions.
 func (e *BackwardError) Error() string {
-	return fmt.Sprintf("version would go backwards: holding %d, offered %d", e.Held, e.Offered)
+	return fmt.Sprintf("offered version %d is older than the held version %d", e.Offered, e.Held)
 }
 
 // adopt is the only place where the node's version changes; the version never decreases.
--- a/lib/bfspread/world_test.go
+++ b/lib/bfspread/world_test.go
@@ -60,7 +60,7 @@
 	timer           time.Time
 	adopted         []*bfconfig.State
 	adoptedAt       time.Time
-	refused         int
+	rejections      int
 	snapshotFetches int
 	pulls           int
 	pushes          int
@@ -175,7 +175,7 @@
 				return n.core.StoreSnapshot(now, w.head(), encodeState(w.states[w.head()]), w.tableErr())
 			})
 		case RefuseVersion:
-			n.refused++
+			n.rejections++
 		case CensusDone:
 			n.tally = &a.Tally
 		case Report:
