--- a/lib/bfrecover/notes.go
+++ b/lib/bfrecover/notes.go
@@ -12,7 +12,7 @@
 	self     string
 	settings Settings
 	memory   uint64
-	lastSeen time.Time
+	lastCall time.Time
 	entries  map[string]entry
 }
 
@@ -25,7 +25,7 @@
 // NewNotes returns empty notes. The memory number must be higher than that of all
 // earlier incarnations of this node, with a gap, since each pause increments it.
 func NewNotes(now time.Time, self string, memory uint64, settings Settings) *Notes {
-	return &Notes{self: self, settings: settings, memory: memory, lastSeen: now, entries: map[string]entry{}}
+	return &Notes{self: self, settings: settings, memory: memory, lastCall: now, entries: map[string]entry{}}
 }
 
 // Memory returns the current memory number; notes for another one are refused.
@@ -36,28 +36,28 @@
 
 // Tick detects pauses and drops expired notes; call it more often than once per MaxPause.
 func (n *Notes) Tick(now time.Time) {
-	n.forgetAfterPause(now)
+	n.resetAfterPause(now)
 	maps.DeleteFunc(n.entries, func(_ string, e entry) bool {
 		return now.Sub(e.refreshed) > n.settings.NoteTTL+n.settings.Margin
 	})
 }
 
-// forgetAfterPause treats a pause as a restart. After a pause, the socket buffers
+// resetAfterPause treats a pause as a restart. After a pause, the socket buffers
 // hold notes that may be superseded. Recorded as fresh they would make an old
 // version count, and an instance that restarts would go back to it. With a new
 // memory number those notes are refused.
-func (n *Notes) forgetAfterPause(now time.Time) {
-	if now.Sub(n.lastSeen) > n.settings.MaxPause {
+func (n *Notes) resetAfterPause(now time.Time) {
+	if now.Sub(n.lastCall) > n.settings.MaxPause {
 		clear(n.entries)
 		n.memory++
 	}
-	n.lastSeen = now
+	n.lastCall = now
 }
 
 // OnNote records a note. It refuses a note for another memory, of a new instance
 // while the notes are full, or of a new epoch without its set.
 func (n *Notes) OnNote(now time.Time, note Note) Ack {
-	n.forgetAfterPause(now)
+	n.resetAfterPause(now)
 	refusal := Ack{Witness: n.self, Memory: n.memory, Refused: true}
 	if note.Memory != n.memory {
 		return refusal
@@ -89,7 +89,7 @@
 
 // OnQuestion answers an instance that has restarted.
 func (n *Notes) OnQuestion(now time.Time, question Question) Answer {
-	n.forgetAfterPause(now)
+	n.resetAfterPause(now)
 	e, known := n.entries[question.Instance]
 	if !known || now.Sub(e.refreshed) > n.settings.NoteTTL {
 		return Answer{Witness: n.self}
--- a/lib/bfrecover/start.go
+++ b/lib/bfrecover/start.go
@@ -26,13 +26,13 @@
 
 // Waiting means that the node can't serve yet and must reject requests as retryable.
 type Waiting struct {
-	// TableErr is the error of the last read of the head, nil if none has failed.
+	// TableErr is the error of the last failed read of the head, nil if none has failed.
 	TableErr error
 	// Valid is the number of witnesses of the newest set whose notes are valid;
 	// Needed is the majority of that set, 0 while no set is known.
 	Valid, Needed int
-	// Answered is the number of the Asked candidates that have answered.
-	Answered, Asked int
+	// Candidates is the number of candidates asked, Answered that of those that have answered.
+	Answered, Candidates int
 }
 
 // Contradiction reports a witness that noted a version newer than the table's
@@ -46,7 +46,7 @@
 // String describes what the node is waiting for.
 func (w Waiting) String() string {
 	return fmt.Sprintf("table: %v; %d of %d candidates answered, %d of the %d witnesses needed",
-		w.TableErr, w.Answered, w.Asked, w.Valid, w.Needed)
+		w.TableErr, w.Answered, w.Candidates, w.Valid, w.Needed)
 }
 
 // Start decides at which version a restarted node may start.
@@ -121,7 +121,7 @@
 	hasQuorum := needed > 0 && valid >= needed
 	waiting := Waiting{
 		TableErr: s.tableErr, Valid: valid, Needed: needed,
-		Answered: len(s.candidates) - s.countUnanswered(s.candidates), Asked: len(s.candidates),
+		Answered: len(s.candidates) - s.countUnanswered(s.candidates), Candidates: len(s.candidates),
 	}
 	switch {
 	case s.hasHead && noted > s.head:
