--- a/lib/bfcommit/rebase.go
+++ b/lib/bfcommit/rebase.go
@@ -117,7 +117,7 @@
 
 // Error names both versions.
 func (e *PriorError) Error() string {
-	return fmt.Sprintf("cannot undo version %d with the state of version %d as its predecessor", e.Undone, e.Prior)
+	return fmt.Sprintf("version %d is not the predecessor of version %d, which is to be undone", e.Prior, e.Undone)
 }
 
 // Undo builds the operations that reverse undone as a new change on state.
--- a/lib/bfcommit/run.go
+++ b/lib/bfcommit/run.go
@@ -109,7 +109,7 @@
 		names = nil // without the object store, the deltas alone are enough
 	}
 	var skipped []SkippedSnapshot
-	for _, version := range append(PickSnapshot(names), 0) {
+	for _, version := range append(SnapshotVersions(names), 0) {
 		snapshot, err := loadSnapshot(ctx, objects, version)
 		if err != nil {
 			skipped = append(skipped, SkippedSnapshot{Version: version, Err: err})
--- a/lib/bfcommit/snapshot.go
+++ b/lib/bfcommit/snapshot.go
@@ -17,9 +17,9 @@
 	return version > 0 && every > 0 && version%every == 0
 }
 
-// PickSnapshot returns the versions of the snapshots among the object names, newest
+// SnapshotVersions returns the versions of the snapshots among the object names, newest
 // first, which is the order to try them in.
-func PickSnapshot(names []string) []bfconfig.Version {
+func SnapshotVersions(names []string) []bfconfig.Version {
 	var versions []bfconfig.Version
 	for _, name := range names {
 		digits, found := strings.CutPrefix(name, snapshotPrefix)
