--- a/lib/bfspread/poll.go
+++ b/lib/bfspread/poll.go
@@ -65,10 +65,10 @@
 // asked for it first, so that a node that merely lags behind doesn't push.
 func (s *Spreader) StoreDeltas(now time.Time, encoded [][]byte, err error) []Action {
 	s.begin()
-	if !s.pull.fromStore {
+	if !s.pull.fetching {
 		return s.out
 	}
-	s.pull.fromStore = false
+	s.pull.fetching = false
 	orphaned := s.pull.discovered
 	before := s.state.Version()
 	if err == nil {
--- a/lib/bfspread/pull.go
+++ b/lib/bfspread/pull.go
@@ -20,7 +20,8 @@
 	// discovered is set if the wanted version was read from the table and not
 	// advertised by a member.
 	discovered bool
-	fromStore  bool
+	// fetching is set while an answer from the store is outstanding.
+	fetching bool
 }
 
 const (
@@ -72,7 +73,7 @@
 	if !isDue(now, s.pull.due) {
 		return
 	}
-	if s.pull.nonce != 0 || s.pull.fromStore {
+	if s.pull.nonce != 0 || s.pull.fetching {
 		// The pull timed out.
 		s.retryPull(now)
 		return
@@ -90,7 +91,7 @@
 	s.pull.due = now.Add(s.options.PullTimeout)
 	source, found := s.pickSource()
 	if !found {
-		s.pull.fromStore = true
+		s.pull.fetching = true
 		s.emit(FetchDeltas{After: s.state.Version()})
 		return
 	}
@@ -141,7 +142,7 @@
 
 // retryPull schedules another source, with exponential backoff.
 func (s *Spreader) retryPull(now time.Time) {
-	s.pull.nonce, s.pull.fromStore = 0, false
+	s.pull.nonce, s.pull.fetching = 0, false
 	s.pull.attempts++
 	if s.pull.attempts%(maxPeerAttempts+1) == 0 {
 		s.pull.discovered = false
