--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -213,7 +213,7 @@
 		case bfmember.Send:
 			data, err := bfgossip.Encode(bfgossip.WithQuarantine(a.Message, c.parts.Self.Key().Hash, c.parts.Quarantine.Digest()))
 			c.send(a.Address, memberPurpose(a.Message), data, err)
-		case bfmember.Heard:
+		case bfmember.AdvertReceived:
 			c.heardFrom(now, a)
 			c.spreadActions(now, "", c.spreader.Heard(now, a.From, bfspread.Head{
 				Version: bfconfig.Version(a.Advert.Version), Digest: a.Advert.Digest,
@@ -226,8 +226,8 @@
 			c.logMember(a)
 		case bfmember.Refuted:
 			c.parts.Reincarnated(a.Self.Incarnation)
-			c.parts.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Told.State.String()),
-				slog.Bool("newIncarnation", a.Told.Incarnation != a.Self.Incarnation))
+			c.parts.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Received.State.String()),
+				slog.Bool("newIncarnation", a.Received.Incarnation != a.Self.Incarnation))
 		case bfmember.DomainLost:
 			c.logOutage(a.Outage)
 		case bfmember.Joined:
@@ -259,7 +259,7 @@
 }
 
 // heardFrom keeps what a member advertised; a stranger is not worth the memory.
-func (c *Control) heardFrom(now time.Time, a bfmember.Heard) {
+func (c *Control) heardFrom(now time.Time, a bfmember.AdvertReceived) {
 	rank, member := c.members.Order().RankOf(a.From)
 	if !member {
 		return
--- a/lib/bfmember/action.go
+++ b/lib/bfmember/action.go
@@ -14,8 +14,8 @@
 	Message bfgossip.Message
 }
 
-// Heard reports the configuration that a member advertised.
-type Heard struct {
+// AdvertReceived reports the configuration that a member advertised.
+type AdvertReceived struct {
 	From   uint64
 	Advert bfgossip.Advert
 }
@@ -28,7 +28,7 @@
 //
 // Self has a new incarnation if Told declared the node dead; state that is bound
 // to the old incarnation is then invalid.
-type Refuted struct{ Told, Self bfroster.Row }
+type Refuted struct{ Received, Self bfroster.Row }
 
 // Joined reports that the node holds a complete view; it contains only the node
 // itself if no peer was reachable.
@@ -43,11 +43,11 @@
 // Report passes an unexpected error to the caller.
 type Report struct{ Err error }
 
-func (Send) isAction()         {}
-func (Heard) isAction()        {}
-func (Changed) isAction()      {}
-func (Refuted) isAction()      {}
-func (Joined) isAction()       {}
-func (ReadMeeting) isAction()  {}
-func (WriteMeeting) isAction() {}
-func (Report) isAction()       {}
+func (Send) isAction()           {}
+func (AdvertReceived) isAction() {}
+func (Changed) isAction()        {}
+func (Refuted) isAction()        {}
+func (Joined) isAction()         {}
+func (ReadMeeting) isAction()    {}
+func (WriteMeeting) isAction()   {}
+func (Report) isAction()         {}
--- a/lib/bfmember/detector.go
+++ b/lib/bfmember/detector.go
@@ -358,6 +358,6 @@
 
 func (m *Members) reportAdvert(from uint64, advert bfgossip.Advert) {
 	if from != m.hash {
-		m.emit(Heard{From: from, Advert: advert})
+		m.emit(AdvertReceived{From: from, Advert: advert})
 	}
 }
--- a/lib/bfmember/members.go
+++ b/lib/bfmember/members.go
@@ -293,7 +293,7 @@
 		return
 	}
 	m.updateSelf(now, self)
-	m.emit(Refuted{Told: received, Self: self})
+	m.emit(Refuted{Received: received, Self: self})
 }
 
 // applyNews merges the updates piggybacked on a probe or an ack.
