--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -228,7 +228,7 @@
 			c.parts.Reincarnated(a.Self.Incarnation)
 			c.parts.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Received.State.String()),
 				slog.Bool("newIncarnation", a.Received.Incarnation != a.Self.Incarnation))
-		case bfmember.DomainLost:
+		case bfmember.OutageChanged:
 			c.logOutage(a.Outage)
 		case bfmember.Joined:
 			c.joined(now)
--- a/lib/bfcontrol/source_test.go
+++ b/lib/bfcontrol/source_test.go
@@ -91,7 +91,7 @@
 	c.parts.Logger = bflog.New(&out, "n1", slog.LevelInfo)
 	for _, lost := range []bool{true, false} {
 		outage := bfgossip.Outage{Region: "vienna", Domain: "wien-sued", Epoch: 1, Lost: lost}
-		c.memberActions(time.Now(), []bfmember.Action{bfmember.DomainLost{Outage: outage}})
+		c.memberActions(time.Now(), []bfmember.Action{bfmember.OutageChanged{Outage: outage}})
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), 2)
--- a/lib/bfmember/outage.go
+++ b/lib/bfmember/outage.go
@@ -8,10 +8,10 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// DomainLost reports that an outage of a failure domain began or ended in this node's view.
-type DomainLost struct{ Outage bfgossip.Outage }
+// OutageChanged reports that an outage of a failure domain began or ended in this node's view.
+type OutageChanged struct{ Outage bfgossip.Outage }
 
-func (DomainLost) isAction() {}
+func (OutageChanged) isAction() {}
 
 const (
 	// minOutage is the smallest number of members of a failure domain with outage records.
@@ -154,5 +154,5 @@
 		delete(m.detector.suspicionDeadlines, hash)
 		m.gossip.Remove(hash)
 	}
-	m.emit(DomainLost{Outage: o})
+	m.emit(OutageChanged{Outage: o})
 }
