--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -215,7 +215,7 @@
 			c.send(a.Address, memberPurpose(a.Message), data, err)
 		case bfmember.AdvertReceived:
 			c.heardFrom(now, a)
-			c.spreadActions(now, "", c.spreader.Heard(now, a.From, bfspread.Head{
+			c.spreadActions(now, "", c.spreader.HeadAdvertised(now, a.From, bfspread.Head{
 				Version: bfconfig.Version(a.Advert.Version), Digest: a.Advert.Digest,
 			}))
 		case bfmember.Changed:
@@ -314,7 +314,7 @@
 			c.fetchSnapshot(a.AtLeast)
 		case bfspread.Adopt:
 			c.held(now, a.State)
-		case bfspread.RefuseVersion:
+		case bfspread.RejectVersion:
 			c.refused(a)
 		case bfspread.CensusDone:
 			if answer, waiting := c.census[a.ID]; waiting {
@@ -327,7 +327,7 @@
 	}
 }
 
-func (c *Control) refused(a bfspread.RefuseVersion) {
+func (c *Control) refused(a bfspread.RejectVersion) {
 	event := bflog.VersionRefused
 	var digest *bfconfig.DigestError
 	if errors.As(a.Err, &digest) {
--- a/lib/bfspread/action.go
+++ b/lib/bfspread/action.go
@@ -33,8 +33,8 @@
 // Adopt reports a version that the node now holds; versions are strictly increasing.
 type Adopt struct{ State *bfconfig.State }
 
-// RefuseVersion reports a version that can't be applied; the node keeps the older one.
-type RefuseVersion struct {
+// RejectVersion reports a version that can't be applied; the node keeps the older one.
+type RejectVersion struct {
 	Version bfconfig.Version
 	Err     error
 }
@@ -53,7 +53,7 @@
 func (FetchDeltas) isAction()   {}
 func (FetchSnapshot) isAction() {}
 func (Adopt) isAction()         {}
-func (RefuseVersion) isAction() {}
+func (RejectVersion) isAction() {}
 func (CensusDone) isAction()    {}
 func (Report) isAction()        {}
 
--- a/lib/bfspread/pull.go
+++ b/lib/bfspread/pull.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Heard handles the head that a member advertised on a probe or an ack.
-func (s *Spreader) Heard(now time.Time, from uint64, head Head) []Action {
+// HeadAdvertised handles the head that a member advertised on a probe or an ack.
+func (s *Spreader) HeadAdvertised(now time.Time, from uint64, head Head) []Action {
 	s.begin()
 	s.onHead(now, from, head)
 	return s.out
@@ -241,7 +241,7 @@
 	}
 	state, err := bfconfig.Restore(data, version)
 	if err != nil {
-		s.emit(RefuseVersion{Version: version, Err: err})
+		s.emit(RejectVersion{Version: version, Err: err})
 		return
 	}
 	if HeadOf(state) == held {
--- a/lib/bfspread/refusal.go
+++ b/lib/bfspread/refusal.go
@@ -43,7 +43,7 @@
 // as a whole in both cases. Attempts back off exponentially, so that the node
 // doesn't request the version again as fast as answers arrive.
 func (s *Spreader) reject(now time.Time, version bfconfig.Version, data []byte, err error) {
-	s.emit(RefuseVersion{Version: version, Err: err})
+	s.emit(RejectVersion{Version: version, Err: err})
 	s.rejection.version, s.rejection.data = version, data
 	if !s.rejection.pending(now) {
 		s.requestSnapshot(now)
--- a/lib/bfspread/world_test.go
+++ b/lib/bfspread/world_test.go
@@ -140,7 +140,7 @@
 		to := w.nodes[w.rng.IntN(len(w.nodes))]
 		if to != n && w.isDelivered(n, to) {
 			from, head := n.row.Key().Hash, n.core.Head()
-			w.push(w.now.Add(time.Millisecond), to, func(now time.Time) []Action { return to.core.Heard(now, from, head) })
+			w.push(w.now.Add(time.Millisecond), to, func(now time.Time) []Action { return to.core.HeadAdvertised(now, from, head) })
 		}
 		w.scheduleAdvert(n)
 		return nil
@@ -174,7 +174,7 @@
 			w.afterTableDelay(n, func(now time.Time) []Action {
 				return n.core.StoreSnapshot(now, w.head(), encodeState(w.states[w.head()]), w.tableErr())
 			})
-		case RefuseVersion:
+		case RejectVersion:
 			n.rejections++
 		case CensusDone:
 			n.tally = &a.Tally
