--- a/lib/bfcontrol/force.go
+++ b/lib/bfcontrol/force.go
@@ -151,7 +151,7 @@
 	}
 	f.head.ended(now, err, f.control.rand)
 	if err != nil {
-		f.start.OnTableAway(err)
+		f.start.OnTableError(err)
 		return
 	}
 	f.start.OnHead(version)
--- a/lib/bfcontrol/profile.go
+++ b/lib/bfcontrol/profile.go
@@ -24,17 +24,17 @@
 // Convergence is the profile for a fleet that weighs convergence time more.
 func Convergence() Profile {
 	p := Profile{Members: bfmember.Convergence(), Spread: bfspread.Convergence(), Recover: bfrecover.DefaultSettings()}
-	p.Recover.Patience = patience
+	p.Recover.WitnessTimeout = patience
 	// Five witnesses lose two and still note a version at once; three lose one,
 	// and after two lost machines some node would wait until its notes lapse.
-	p.Recover.Witnesses, p.Recover.Asked = 5, 9
+	p.Recover.Witnesses, p.Recover.Candidates = 5, 9
 	return p
 }
 
 // Bytes is the profile for a fleet that weighs control bytes more.
 func Bytes() Profile {
 	p := Profile{Members: bfmember.Bytes(), Spread: bfspread.Bytes(), Recover: bfrecover.DefaultSettings()}
-	p.Recover.Patience = patience
+	p.Recover.WitnessTimeout = patience
 	p.Recover.Mode = bfrecover.BytesFirst
 	return p
 }
--- a/lib/bfrecover/model_test.go
+++ b/lib/bfrecover/model_test.go
@@ -155,7 +155,7 @@
 		f.send(n.member.ID, id, Question{Instance: n.member.ID})
 	}
 	if f.tableDown {
-		n.start.OnTableAway(errors.New("outage"))
+		n.start.OnTableError(errors.New("outage"))
 	} else {
 		n.start.OnHead(f.head)
 	}
--- a/lib/bfrecover/rules_test.go
+++ b/lib/bfrecover/rules_test.go
@@ -73,7 +73,7 @@
 func (s *scenario) decide(witnesses, members string, head bfconfig.Version) Decision {
 	start := NewStart(s.now, Member{ID: "x"}, s.settings)
 	start.OnMembers(membersOf(members))
-	start.OnTableAway(errors.New("outage"))
+	start.OnTableError(errors.New("outage"))
 	if head > 0 {
 		start.OnHead(head)
 	}
--- a/lib/bfrecover/settings.go
+++ b/lib/bfrecover/settings.go
@@ -16,9 +16,9 @@
 // Settings configures this package; all nodes of a fleet must use the same settings.
 type Settings struct {
 	Mode Mode
-	// Witnesses is the number of witnesses of a node, Asked the number of candidates
+	// Witnesses is the number of witnesses of a node, Candidates the number of candidates
 	// it asks after a restart.
-	Witnesses, Asked int
+	Witnesses, Candidates int
 	// NoteTTL is the time after its last refresh at which a note expires.
 	NoteTTL time.Duration
 	// Margin bounds the message delay and the clock drift during NoteTTL.
@@ -28,8 +28,8 @@
 	RefreshInterval, ResendInterval time.Duration
 	// MaxPause is the time without a tick after which a witness drops its notes.
 	MaxPause time.Duration
-	// Patience is how long a start waits for witnesses after it has the table's head.
-	Patience time.Duration
+	// WitnessTimeout is how long a start waits for witnesses after it has the table's head.
+	WitnessTimeout time.Duration
 	// MaxNotes bounds the number of instances that one witness notes.
 	MaxNotes int
 }
@@ -37,10 +37,10 @@
 // DefaultSettings returns the settings that the profiles of a fleet start from.
 func DefaultSettings() Settings {
 	return Settings{
-		Witnesses: 3, Asked: 7,
+		Witnesses: 3, Candidates: 7,
 		NoteTTL: 2 * time.Minute, Margin: 10 * time.Second,
 		RefreshInterval: 20 * time.Second, ResendInterval: time.Second,
-		MaxPause: 5 * time.Second, Patience: 2 * time.Second,
+		MaxPause: 5 * time.Second, WitnessTimeout: 2 * time.Second,
 		MaxNotes: 4_096,
 	}
 }
--- a/lib/bfrecover/start.go
+++ b/lib/bfrecover/start.go
@@ -72,7 +72,7 @@
 // or has found that it is the only one.
 func (s *Start) OnMembers(members []Member) {
 	s.joined = true
-	s.candidates = Witnesses(s.self, members, s.settings.Asked)
+	s.candidates = Witnesses(s.self, members, s.settings.Candidates)
 }
 
 // OnHead handles the table's head, which must have been read after the start.
@@ -81,8 +81,8 @@
 	s.head = version
 }
 
-// OnTableAway handles an error of reading the head.
-func (s *Start) OnTableAway(reason error) { s.tableErr = reason }
+// OnTableError handles an error of reading the head.
+func (s *Start) OnTableError(reason error) { s.tableErr = reason }
 
 // OnAnswer handles a witness's answer. An answer that counts isn't replaced by one
 // that doesn't, since it stays valid if the witness loses its notes later.
@@ -132,7 +132,7 @@
 		return StartAt{Version: s.head, FromTable: true, OldSets: sets}
 	case s.hasHead && s.enoughAnswered():
 		return StartAt{Version: s.head, FromTable: true, OldSets: s.allSets()}
-	case s.hasHead && now.Sub(s.askingSince) >= s.settings.Patience:
+	case s.hasHead && now.Sub(s.askingSince) >= s.settings.WitnessTimeout:
 		return StartAt{Version: s.head, FromTable: true, OldSets: s.allSets(), UnknownSets: true}
 	case !s.hasHead && hasQuorum:
 		return StartAt{Version: noted, OldSets: sets}
