--- a/lib/bfmember/action.go
+++ b/lib/bfmember/action.go
@@ -23,10 +23,10 @@
 // Changed reports that row New replaced row Old in the view; Old is empty for a new member.
 type Changed struct{ Old, New bfroster.Row }
 
-// Refuted reports that another node sent Told as this node's row and that this
+// Refuted reports that another node sent Received as this node's row and that this
 // node now gossips Self instead.
 //
-// Self has a new incarnation if Told declared the node dead; state that is bound
+// Self has a new incarnation if Received declared the node dead; state that is bound
 // to the old incarnation is then invalid.
 type Refuted struct{ Received, Self bfroster.Row }
 
