--- a/lib/bfrecover/settings.go
+++ b/lib/bfrecover/settings.go
@@ -16,7 +16,7 @@
 // Settings configures this package; all nodes of a fleet must use the same settings.
 type Settings struct {
 	Mode Mode
-	// Witnesses is the number of witnesses of a node, Candidates the number of candidates
+	// Witnesses is the number of witnesses of a node, Candidates the number of members
 	// it asks after a restart.
 	Witnesses, Candidates int
 	// NoteTTL is the time after its last refresh at which a note expires.
