--- a/lib/bfcaller/handler.go
+++ b/lib/bfcaller/handler.go
@@ -126,7 +126,7 @@
 }
 
 func readName(h http.Header, header string, longest int) (string, error) {
-	name, err := bfheader.Once(h, header)
+	name, err := bfheader.SingleValue(h, header)
 	if err != nil {
 		return "", err
 	}
--- a/lib/bfheader/forward.go
+++ b/lib/bfheader/forward.go
@@ -42,9 +42,9 @@
 	return false
 }
 
-// Once returns the value of a header, "" if it is missing. It returns a ValueError
+// SingleValue returns the value of a header, "" if it is missing. It returns a ValueError
 // if there is more than one value: different hops might use different ones.
-func Once(h http.Header, name string) (string, error) {
+func SingleValue(h http.Header, name string) (string, error) {
 	values := h[name]
 	switch len(values) {
 	case 0:
--- a/lib/bfheader/header.go
+++ b/lib/bfheader/header.go
@@ -81,7 +81,7 @@
 // ReadDeadline returns the time left according to the Deadline header, 0 if it is missing.
 // Its errors are of type ValueError.
 func ReadDeadline(h http.Header) (time.Duration, error) {
-	text, err := Once(h, Deadline)
+	text, err := SingleValue(h, Deadline)
 	if text == "" || err != nil {
 		return 0, err
 	}
@@ -104,7 +104,7 @@
 // ReadDepth returns the number of calls that the request is nested in. Its errors are of
 // type ValueError.
 func ReadDepth(h http.Header) (int, error) {
-	text, err := Once(h, Depth)
+	text, err := SingleValue(h, Depth)
 	if text == "" || err != nil {
 		return 0, err
 	}
@@ -121,7 +121,7 @@
 // ReadResent reports whether an upstream node sent the request as a retry. Its errors are
 // of type ValueError.
 func ReadResent(h http.Header) (bool, error) {
-	text, err := Once(h, Resent)
+	text, err := SingleValue(h, Resent)
 	if err == nil && text != "" && text != ResentMark {
 		err = &ValueError{Resent, text, ResentMark}
 	}
