--- a/lib/bfcontrol/hostile_test.go
+++ b/lib/bfcontrol/hostile_test.go
@@ -229,11 +229,11 @@
 	c.parts.Group.Go("timer", c.parts.Timer.Run)
 	c.parts.Group.Go("control", c.Run)
 	is.NoErr(c.loop.Ask(ctx, func(time.Time) {
-		for range 2 * bfpeer.OutboxLength {
+		for range 2 * bfpeer.OutboxCapacity {
 			c.send("10.0.0.1:1", bfpeer.Membership, []byte{1}, nil)
 		}
 	}))
-	is.True(c.outbox.Dropped() >= bfpeer.OutboxLength-1)
+	is.True(c.outbox.Dropped() >= bfpeer.OutboxCapacity-1)
 	cancel()
 	c.parts.Group.Cancel()
 	is.NoErr(c.parts.Group.Wait())
--- a/lib/bfcontrol/send.go
+++ b/lib/bfcontrol/send.go
@@ -33,11 +33,11 @@
 		return
 	}
 	if len(data) > bfpeer.MaxDatagram {
-		if !c.outbox.Begin() {
+		if !c.outbox.Acquire() {
 			return
 		}
 		c.parts.Group.Go("deliver", func(ctx context.Context) error {
-			defer c.outbox.End()
+			defer c.outbox.Release()
 			ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 			defer cancel()
 			_ = c.parts.Calls.Call(ctx, address, deliverMethod, &delivery{From: c.parts.Self.Peer, Data: data}, nil)
--- a/lib/bfpeer/outbox.go
+++ b/lib/bfpeer/outbox.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	// OutboxLength bounds the queued datagrams.
-	OutboxLength = 4096
+	// OutboxCapacity bounds the queued datagrams.
+	OutboxCapacity = 4096
 	// maxLarge bounds the large messages in transit.
 	maxLarge = 256
 )
@@ -39,7 +39,7 @@
 // NewOutbox makes an empty outbox. Dropped messages are counted in metrics.
 func NewOutbox(sender Sender, metrics *bfmetric.Registry) *Outbox {
 	return &Outbox{
-		sender: sender, queue: make(chan datagram, OutboxLength), largeSlots: make(chan struct{}, maxLarge),
+		sender: sender, queue: make(chan datagram, OutboxCapacity), largeSlots: make(chan struct{}, maxLarge),
 		dropped: metrics.Counter("control_dropped"),
 	}
 }
@@ -53,9 +53,9 @@
 	}
 }
 
-// Begin reserves one of the slots for large messages and reports whether one was free. A
+// Acquire reserves one of the slots for large messages and reports whether one was free. A
 // reserved slot must be returned with End.
-func (o *Outbox) Begin() bool {
+func (o *Outbox) Acquire() bool {
 	select {
 	case o.largeSlots <- struct{}{}:
 		return true
@@ -65,8 +65,8 @@
 	}
 }
 
-// End returns a slot reserved by Begin.
-func (o *Outbox) End() { <-o.largeSlots }
+// Release returns a slot reserved by Begin.
+func (o *Outbox) Release() { <-o.largeSlots }
 
 // Dropped is the number of dropped messages.
 func (o *Outbox) Dropped() int64 { return o.dropped.Value() }
