--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -127,8 +127,8 @@
 	n.pacer = bfpacer.New(n.timer, settings.LinkMbps)
 	account := n.account()
 	names := bfdialect.Headers()
-	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, IdleUnstated: targetIdle})
-	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, IdleUnstated: nodeIdle, Wrap: n.wrap})
+	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, DefaultIdleTimeout: targetIdle})
+	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, DefaultIdleTimeout: nodeIdle, Wrap: n.wrap})
 	n.host = bfhost.New(bfhost.Parts{
 		Service: common.Service, Names: names, Client: n.targets, Timer: n.timer, Account: account,
 		Changed: n.targetChanged, Quarantine: n.book, Crashed: n.targetCrashed,
@@ -370,7 +370,7 @@
 }
 
 func (n *node) sweep(now time.Time) {
-	n.targets.Sweep(now)
-	n.nodes.Sweep(now)
+	n.targets.CloseExpired(now)
+	n.nodes.CloseExpired(now)
 	n.calls.CloseIdle(now, callIdle)
 }
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -79,7 +79,7 @@
 	m.entry = New(Parts{
 		Service: "vault", Names: names, Traffic: traffic, Fleet: m.fleet, Account: m.account(terms), Timer: timer,
 		Host:   bfhost.New(bfhost.Parts{Service: "vault", Timer: timer}),
-		Client: bfexchange.New(bfexchange.Options{DialTimeout: time.Second, IdleUnstated: time.Second}),
+		Client: bfexchange.New(bfexchange.Options{DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 		Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		Spawn: group.Go, Gone: func(member bffleet.Member) { m.lost.Store(&member) },
 	})
@@ -110,7 +110,7 @@
 	}))
 	n.host = bfhost.New(bfhost.Parts{
 		Service: "portal", Names: names, Timer: timer, Account: account, Changed: func(*bfhost.Target) {},
-		Client: bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, IdleUnstated: time.Second}),
+		Client: bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 	})
 	n.host.Heard(bfhost.Heartbeat{
 		Incarnation: "a", Sequence: 1, Service: "portal", State: bfhost.Ready, Slots: slots,
--- a/lib/bfexchange/answer.go
+++ b/lib/bfexchange/answer.go
@@ -167,7 +167,7 @@
 			return nil, err
 		}
 		if c.options.IDHeader == "" || request.ID == "" || response.Header.Get(c.options.IDHeader) == request.ID {
-			k.idleTimeout = idleTimeoutOf(response.Header, c.options.IdleUnstated)
+			k.idleTimeout = idleTimeoutOf(response.Header, c.options.DefaultIdleTimeout)
 			return &Answer{client: c, conn: k, reusable: reusable && !response.Close, response: response}, nil
 		}
 		got, reusable = response.Header.Get(c.options.IDHeader), false
--- a/lib/bfexchange/exchange_test.go
+++ b/lib/bfexchange/exchange_test.go
@@ -69,7 +69,7 @@
 }
 
 func client() *Client {
-	return New(Options{IDHeader: idHeader, DialTimeout: time.Second, IdleUnstated: time.Second})
+	return New(Options{IDHeader: idHeader, DialTimeout: time.Second, DefaultIdleTimeout: time.Second})
 }
 
 func request(id string) *Request {
--- a/lib/bfexchange/pool.go
+++ b/lib/bfexchange/pool.go
@@ -16,9 +16,9 @@
 	IDHeader string
 	// DialTimeout bounds the setup of a connection.
 	DialTimeout time.Duration
-	// IdleUnstated is how long an idle connection is kept if the peer does not send a
+	// DefaultIdleTimeout is how long an idle connection is kept if the peer does not send a
 	// Keep-Alive timeout.
-	IdleUnstated time.Duration
+	DefaultIdleTimeout time.Duration
 	// Wrap wraps each new connection to an address; nil means no wrapping.
 	Wrap func(address string, c net.Conn) net.Conn
 }
@@ -104,7 +104,7 @@
 	if c.options.Wrap != nil {
 		opened = c.options.Wrap(address, opened)
 	}
-	return &conn{Conn: opened, address: address, reader: bufio.NewReader(opened), idleTimeout: c.options.IdleUnstated}, nil
+	return &conn{Conn: opened, address: address, reader: bufio.NewReader(opened), idleTimeout: c.options.DefaultIdleTimeout}, nil
 }
 
 // get returns a connection to address, pooled or new.
@@ -188,8 +188,8 @@
 	}
 }
 
-// Sweep closes the connections that have exceeded their idle timeout.
-func (c *Client) Sweep(now time.Time) {
+// CloseExpired closes the connections that have exceeded their idle timeout.
+func (c *Client) CloseExpired(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, kept := range c.idle {
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -52,7 +52,7 @@
 	group.Go("timer", timer.Run)
 	r.host = New(Parts{
 		Service: "portal", Names: names, Timer: timer, Account: r.account,
-		Client:  bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, IdleUnstated: time.Second}),
+		Client:  bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 		Changed: func(*Target) { r.changes.Add(1) },
 	})
 	t.Cleanup(func() {
@@ -417,7 +417,7 @@
 	r.heartbeat("a", 1, Ready)
 	inbound := httptest.NewServer(NewInbound(r.host, nil))
 	defer inbound.Close()
-	client := bfexchange.New(bfexchange.Options{DialTimeout: time.Second, IdleUnstated: time.Second})
+	client := bfexchange.New(bfexchange.Options{DialTimeout: time.Second, DefaultIdleTimeout: time.Second})
 	request := &bfexchange.Request{
 		Method: http.MethodPost, Target: "/x/..//y?z", Host: "h", Head: []byte("body"), Length: 4,
 		Header: http.Header{names.RequestID: {"1"}, names.Deadline: {"900"}},
