--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -304,7 +304,7 @@
 		{"ready", n.settings.Ready, ready},
 	}
 	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
-		Name: "caller", Handler: n.entry, Beside: n.entry.Beside, Limits: n.limits,
+		Name: "caller", Handler: n.entry, MayRunConcurrently: n.entry.MayRunConcurrently, Limits: n.limits,
 		SendBuffer: n.settings.sendBuffer(), Logger: n.logger,
 	})
 	if err != nil {
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -568,7 +568,7 @@
 	for path, concurrent := range map[string]bool{"/look/1?a=/b": true, "/approve/1": false, "/nowhere": false} {
 		r := httptest.NewRequest(http.MethodGet, path, nil)
 		r.Host = "h.example"
-		m.Equal(m.entry.Beside(r), concurrent)
+		m.Equal(m.entry.MayRunConcurrently(r), concurrent)
 	}
 }
 
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -90,10 +90,10 @@
 // target still runs are accepted, since refusing them would fail their parents.
 func (h *Handler) Close() { h.closed.Store(true) }
 
-// Beside reports whether a request may run concurrently with others of its
+// MayRunConcurrently reports whether a request may run concurrently with others of its
 // connection, which holds for idempotent ones. A download may not: one that is cut off
 // closes the connection, and the answers queued behind it are lost.
-func (h *Handler) Beside(r *http.Request) bool {
+func (h *Handler) MayRunConcurrently(r *http.Request) bool {
 	traffic := h.parts.Traffic.Current()
 	if traffic == nil {
 		return false
--- a/lib/bfpipeline/exchange.go
+++ b/lib/bfpipeline/exchange.go
@@ -60,7 +60,7 @@
 	if c.conn != nil {
 		e.request.RemoteAddr = c.conn.RemoteAddr().String()
 	}
-	mayRunConcurrently := c.server.parts.Beside
+	mayRunConcurrently := c.server.parts.MayRunConcurrently
 	e.exclusive = request.Body != http.NoBody || mayRunConcurrently == nil || !mayRunConcurrently(e.request)
 	if request.Body == http.NoBody {
 		e.finishBody()
--- a/lib/bfpipeline/pipeline_test.go
+++ b/lib/bfpipeline/pipeline_test.go
@@ -69,8 +69,8 @@
 	group := bfgroup.New(context.Background())
 	server, err := Listen("127.0.0.1:0", Parts{
 		Name: "caller", Handler: handler, Logger: bflog.Discard(),
-		Beside: func(r *http.Request) bool { return r.Method == http.MethodGet },
-		Limits: func() Limits { return limits },
+		MayRunConcurrently: func(r *http.Request) bool { return r.Method == http.MethodGet },
+		Limits:             func() Limits { return limits },
 	})
 	p.NoErr(err)
 	p.server = server
--- a/lib/bfpipeline/server.go
+++ b/lib/bfpipeline/server.go
@@ -48,9 +48,9 @@
 	Name string
 	// Handler serves the requests.
 	Handler http.Handler
-	// Beside reports whether a request may run concurrently with others of its
+	// MayRunConcurrently reports whether a request may run concurrently with others of its
 	// connection; nil means that none may.
-	Beside func(*http.Request) bool
+	MayRunConcurrently func(*http.Request) bool
 	// Limits returns the current limits; nil means the defaults.
 	Limits func() Limits
 	// SendBuffer is the size of a connection's socket send buffer in bytes, 0 for the system
