--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -136,7 +136,7 @@
 	n.entry = bfentry.New(bfentry.Parts{
 		Service: common.Service, Inbound: common.Inbound, Names: names,
 		Traffic: n.traffic, Fleet: n.fleet, Host: n.host, Client: n.nodes, Pacer: n.pacer,
-		Spawn: n.group.Go, Gone: n.forget, Account: account, Quarantine: n.book,
+		Spawn: n.group.Go, OnMemberLost: n.forget, Account: account, Quarantine: n.book,
 		Timer: n.timer, Logger: logger, Metrics: n.metrics,
 	})
 	n.store = bfdialect.NewStore(common.PlatformAddress)
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -81,7 +81,7 @@
 		Host:   bfhost.New(bfhost.Parts{Service: "vault", Timer: timer}),
 		Client: bfexchange.New(bfexchange.Options{DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 		Logger: bflog.Discard(), Metrics: bfmetric.New(),
-		Spawn: group.Go, Gone: func(member bffleet.Member) { m.lost.Store(&member) },
+		Spawn: group.Go, OnMemberLost: func(member bffleet.Member) { m.lost.Store(&member) },
 	})
 	m.front = httptest.NewServer(m.entry)
 	t.Cleanup(m.front.Close)
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -40,8 +40,8 @@
 	Pacer *bfpacer.Pacer
 	// Spawn starts a goroutine in the node's group.
 	Spawn func(name string, fn func(ctx context.Context) error)
-	// Gone is called for a member that has been unreachable for removeAfter.
-	Gone func(bffleet.Member)
+	// OnMemberLost is called for a member that has been unreachable for removeAfter.
+	OnMemberLost func(bffleet.Member)
 	// Account is the node's share of the fleet's retry budgets.
 	Account *bfbudget.Account
 	// Quarantine holds the requests that crash targets; nil means empty.
--- a/lib/bfentry/look.go
+++ b/lib/bfentry/look.go
@@ -53,7 +53,7 @@
 		lost := float64(h.parts.Fleet.Lost()) / float64(max(h.parts.Fleet.Size(), 1))
 		if !reported && h.parts.Timer.Now().Sub(began) > removeAfter && lost <= maxLostShare {
 			reported = true
-			h.parts.Gone(target.Member())
+			h.parts.OnMemberLost(target.Member())
 		}
 	}
 }
