--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -244,9 +244,9 @@
 		return
 	}
 	n.logger.Emit(bflog.TargetChanged,
-		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.Takes()),
+		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.AcceptsWork()),
 		slog.Int("slots", target.Slots()), slog.String("address", target.Address()), slog.Duration("warm_up_left", target.WarmUpLeft()))
-	if !target.Takes() || n.ready.leaving.Load() {
+	if !target.AcceptsWork() || n.ready.leaving.Load() {
 		n.presence.Want(nil)
 		return
 	}
@@ -271,7 +271,7 @@
 	if !own.HasTarget() {
 		return
 	}
-	n.host.Recall(bfhost.Heartbeat{
+	n.host.RestoreTarget(bfhost.Heartbeat{
 		Incarnation: own.Incarnation, Started: own.Started(), Service: own.Service, Address: own.Address,
 		Slots: own.Slots, State: bfhost.Ready,
 	})
@@ -299,7 +299,7 @@
 		handler       http.Handler
 	}
 	ports := []port{
-		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.Heard, Left: n.host.Left, Refused: n.reportRefused}},
+		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.reportRefused}},
 		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
--- a/bfnode/internal/bfmesh/stop_test.go
+++ b/bfnode/internal/bfmesh/stop_test.go
@@ -24,7 +24,7 @@
 	n := newNode(common, Mesh{Grace: bfsettings.Duration(6 * time.Second), LinkMbps: 1000}, bflog.Discard())
 	n.group.Go("timer", n.timer.Run)
 	t.Cleanup(n.group.Cancel)
-	n.host.Heard(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", Address: "127.0.0.1:3", Slots: 9, State: bfhost.Ready})
+	n.host.HandleHeartbeat(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", Address: "127.0.0.1:3", Slots: 9, State: bfhost.Ready})
 	row, err := bffleet.Member{
 		Inbound: common.Inbound, Service: "portal", Domain: "nord", Slots: 9, LinkMbps: 1000, Instance: "portal-1",
 		Incarnation: "a", Address: "127.0.0.1:3",
@@ -39,6 +39,6 @@
 	is.True(n.host.Leaving())
 	is.True(n.presence.Settled()) // the row is as it should be
 
-	n.host.Left(bfhost.Departure{Incarnation: "a"})
+	n.host.HandleDeparture(bfhost.Departure{Incarnation: "a"})
 	is.True(!n.presence.Settled()) // the row has to go
 }
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -112,7 +112,7 @@
 		Service: "portal", Names: names, Timer: timer, Account: account, Changed: func(*bfhost.Target) {},
 		Client: bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 	})
-	n.host.Heard(bfhost.Heartbeat{
+	n.host.HandleHeartbeat(bfhost.Heartbeat{
 		Incarnation: "a", Sequence: 1, Service: "portal", State: bfhost.Ready, Slots: slots,
 		Address: strings.TrimPrefix(target.URL, "http://"),
 	})
@@ -197,7 +197,7 @@
 // consuming retry budget.
 func TestRefusedRequestGoesToTheNextNode(t *testing.T) {
 	m := newMesh(t, bfbudget.Terms{}, hello, hello, hello)
-	m.nodes[0].host.Left(bfhost.Departure{Incarnation: "a"})
+	m.nodes[0].host.HandleDeparture(bfhost.Departure{Incarnation: "a"})
 	m.nodes[1].host.Leave()
 	for i := range 20 {
 		answer, _ := m.send(http.MethodPost, fmt.Sprint("/approve/", i), nil)
--- a/lib/bfentry/quarantine_test.go
+++ b/lib/bfentry/quarantine_test.go
@@ -50,7 +50,7 @@
 		n.host = bfhost.New(bfhost.Parts{
 			Service: "portal", Names: names, Timer: m.entry.parts.Timer, Account: n.account, Changed: func(*bfhost.Target) {}, Quarantine: book,
 		})
-		n.host.Heard(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", State: bfhost.Ready, Slots: slots, Address: "127.0.0.1:1"})
+		n.host.HandleHeartbeat(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", State: bfhost.Ready, Slots: slots, Address: "127.0.0.1:1"})
 		inbound := bfhost.NewInbound(n.host, nil)
 		n.inbound.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			received.Add(1)
--- a/lib/bfhost/heartbeat.go
+++ b/lib/bfhost/heartbeat.go
@@ -78,8 +78,8 @@
 // WarmUpLeft is the remaining warm-up time as of the latest heartbeat.
 func (t *Target) WarmUpLeft() time.Duration { return t.heartbeat.WarmUpLeft }
 
-// Takes reports whether the target receives new requests.
-func (t *Target) Takes() bool { return t.acceptsWork }
+// AcceptsWork reports whether the target receives new requests.
+func (t *Target) AcceptsWork() bool { return t.acceptsWork }
 
 // Departure is a target's announcement that it exits.
 type Departure struct {
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -68,26 +68,26 @@
 	return h
 }
 
-// Heard applies a heartbeat of the target.
-func (h *Host) Heard(beat Heartbeat) {
+// HandleHeartbeat applies a heartbeat of the target.
+func (h *Host) HandleHeartbeat(beat Heartbeat) {
 	now := h.parts.Timer.Now()
 	h.change(func(b *targetTracker) bool { return b.applyHeartbeat(beat, now) })
 }
 
-// Recall sets the target from the row that this node stored before it restarted. It
+// RestoreTarget sets the target from the row that this node stored before it restarted. It
 // has no effect once the target has sent a message.
 //
 // Targets send heartbeats every 1.5 s. Without the stored row, a restarted node would refuse
 // all requests for a running target until the next one, and other nodes would avoid the
 // target for even longer. Each request carries the incarnation, so a different target at
 // the address refuses it.
-func (h *Host) Recall(target Heartbeat) {
+func (h *Host) RestoreTarget(target Heartbeat) {
 	now := h.parts.Timer.Now()
 	h.change(func(b *targetTracker) bool { return b.restore(target, now) })
 }
 
-// Left applies the target's departure.
-func (h *Host) Left(departure Departure) {
+// HandleDeparture applies the target's departure.
+func (h *Host) HandleDeparture(departure Departure) {
 	now := h.parts.Timer.Now()
 	h.change(func(b *targetTracker) bool { return b.applyDeparture(departure, now) })
 }
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -73,7 +73,7 @@
 }
 
 func (r *fixture) heartbeat(incarnation string, sequence int64, state State) {
-	r.host.Heard(Heartbeat{
+	r.host.HandleHeartbeat(Heartbeat{
 		Incarnation: incarnation, Sequence: sequence, Service: "portal", State: state, Slots: 2,
 		Address: strings.TrimPrefix(r.target.URL, "http://"),
 	})
@@ -139,10 +139,10 @@
 func TestDepartureIsFinal(t *testing.T) {
 	r := newFixture(t, hello)
 	r.heartbeat("a", 1, Ready)
-	r.host.Left(Departure{Incarnation: "a"})
+	r.host.HandleDeparture(Departure{Incarnation: "a"})
 	r.heartbeat("a", 2, Ready)
 	r.Equal(r.run(job("1")), "refused leaving")
-	r.host.Left(Departure{Incarnation: "never heard"})
+	r.host.HandleDeparture(Departure{Incarnation: "never heard"})
 	r.heartbeat("never heard", 1, Ready)
 	r.Equal(r.run(job("2")), "refused leaving")
 	r.heartbeat("b", 1, Ready)
@@ -225,7 +225,7 @@
 	other := job("1")
 	other.Policy.Service = "vault"
 	r.Equal(r.run(other), "refused other-service")
-	r.host.Heard(Heartbeat{Incarnation: "z", Sequence: 9, Service: "vault", State: Ready, Slots: 2})
+	r.host.HandleHeartbeat(Heartbeat{Incarnation: "z", Sequence: 9, Service: "vault", State: Ready, Slots: 2})
 	r.Equal(r.host.Target().Incarnation(), "a")
 	r.Equal(r.runs.Load(), int32(0))
 }
@@ -444,7 +444,7 @@
 
 // restore restores target "a" from the node's row.
 func (r *fixture) restore() {
-	r.host.Recall(Heartbeat{
+	r.host.RestoreTarget(Heartbeat{
 		Incarnation: "a", Service: "portal", State: Ready, Slots: 2, Address: strings.TrimPrefix(r.target.URL, "http://"),
 	})
 }
