--- a/lib/bfpeer/outbox.go
+++ b/lib/bfpeer/outbox.go
@@ -54,7 +54,7 @@
 }
 
 // Acquire reserves one of the slots for large messages and reports whether one was free. A
-// reserved slot must be returned with End.
+// reserved slot must be returned with Release.
 func (o *Outbox) Acquire() bool {
 	select {
 	case o.largeSlots <- struct{}{}:
@@ -65,7 +65,7 @@
 	}
 }
 
-// Release returns a slot reserved by Begin.
+// Release returns a slot reserved by Acquire.
 func (o *Outbox) Release() { <-o.largeSlots }
 
 // Dropped is the number of dropped messages.
