--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -127,8 +127,8 @@
 	n.pacer = bfpacer.New(n.timer, settings.LinkMbps)
 	account := n.account()
 	names := bfdialect.Headers()
-	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, IdleUnstated: targetIdle})
-	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, IdleUnstated: nodeIdle, Wrap: n.wrap})
+	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, DefaultIdleTimeout: targetIdle})
+	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, DefaultIdleTimeout: nodeIdle, Wrap: n.wrap})
 	n.host = bfhost.New(bfhost.Parts{
 		Service: common.Service, Names: names, Client: n.targets, Timer: n.timer, Account: account,
 		Changed: n.targetChanged, Quarantine: n.book, Crashed: n.targetCrashed,
@@ -136,7 +136,7 @@
 	n.entry = bfentry.New(bfentry.Parts{
 		Service: common.Service, Inbound: common.Inbound, Names: names,
 		Traffic: n.traffic, Fleet: n.fleet, Host: n.host, Client: n.nodes, Pacer: n.pacer,
-		Spawn: n.group.Go, Gone: n.forget, Account: account, Quarantine: n.book,
+		Spawn: n.group.Go, OnMemberLost: n.forget, Account: account, Quarantine: n.book,
 		Timer: n.timer, Logger: logger, Metrics: n.metrics,
 	})
 	n.store = bfdialect.NewStore(common.PlatformAddress)
@@ -244,9 +244,9 @@
 		return
 	}
 	n.logger.Emit(bflog.TargetChanged,
-		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.Takes()),
+		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.AcceptsWork()),
 		slog.Int("slots", target.Slots()), slog.String("address", target.Address()), slog.Duration("warm_up_left", target.WarmUpLeft()))
-	if !target.Takes() || n.ready.leaving.Load() {
+	if !target.AcceptsWork() || n.ready.leaving.Load() {
 		n.presence.Want(nil)
 		return
 	}
@@ -271,7 +271,7 @@
 	if !own.HasTarget() {
 		return
 	}
-	n.host.Recall(bfhost.Heartbeat{
+	n.host.RestoreTarget(bfhost.Heartbeat{
 		Incarnation: own.Incarnation, Started: own.Started(), Service: own.Service, Address: own.Address,
 		Slots: own.Slots, State: bfhost.Ready,
 	})
@@ -299,12 +299,12 @@
 		handler       http.Handler
 	}
 	ports := []port{
-		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.Heard, Left: n.host.Left, Refused: n.reportRefused}},
+		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.reportRefused}},
 		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
 	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
-		Name: "caller", Handler: n.entry, Beside: n.entry.Beside, Limits: n.limits,
+		Name: "caller", Handler: n.entry, MayRunConcurrently: n.entry.MayRunConcurrently, Limits: n.limits,
 		SendBuffer: n.settings.sendBuffer(), Logger: n.logger,
 	})
 	if err != nil {
@@ -370,7 +370,7 @@
 }
 
 func (n *node) sweep(now time.Time) {
-	n.targets.Sweep(now)
-	n.nodes.Sweep(now)
+	n.targets.CloseExpired(now)
+	n.nodes.CloseExpired(now)
 	n.calls.CloseIdle(now, callIdle)
 }
