--- a/lib/bfcaller/handler.go
+++ b/lib/bfcaller/handler.go
@@ -128,7 +128,7 @@
 }
 
 func readValue(h http.Header, header string, maxLength int) (string, error) {
-	value, err := bfheader.Once(h, header)
+	value, err := bfheader.SingleValue(h, header)
 	if err != nil {
 		return "", err
 	}
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -213,9 +213,9 @@
 		case bfmember.Send:
 			data, err := bfgossip.Encode(bfgossip.WithQuarantine(a.Message, c.parts.Self.Key().Hash, c.parts.Quarantine.Digest()))
 			c.send(a.Address, memberPurpose(a.Message), data, err)
-		case bfmember.Heard:
+		case bfmember.AdvertReceived:
 			c.heardFrom(now, a)
-			c.spreadActions(now, "", c.spreader.Heard(now, a.From, bfspread.Head{
+			c.spreadActions(now, "", c.spreader.HeadAdvertised(now, a.From, bfspread.Head{
 				Version: bfconfig.Version(a.Advert.Version), Digest: a.Advert.Digest,
 			}))
 		case bfmember.Changed:
@@ -226,9 +226,9 @@
 			c.logMember(a)
 		case bfmember.Refuted:
 			c.parts.Reincarnated(a.Self.Incarnation)
-			c.parts.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Told.State.String()),
-				slog.Bool("newIncarnation", a.Told.Incarnation != a.Self.Incarnation))
-		case bfmember.DomainLost:
+			c.parts.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Received.State.String()),
+				slog.Bool("newIncarnation", a.Received.Incarnation != a.Self.Incarnation))
+		case bfmember.OutageChanged:
 			c.logOutage(a.Outage)
 		case bfmember.Joined:
 			c.joined(now)
@@ -259,7 +259,7 @@
 }
 
 // heardFrom keeps what a member advertised; a stranger is not worth the memory.
-func (c *Control) heardFrom(now time.Time, a bfmember.Heard) {
+func (c *Control) heardFrom(now time.Time, a bfmember.AdvertReceived) {
 	rank, member := c.members.Order().RankOf(a.From)
 	if !member {
 		return
@@ -314,7 +314,7 @@
 			c.fetchSnapshot(a.AtLeast)
 		case bfspread.Adopt:
 			c.held(now, a.State)
-		case bfspread.RefuseVersion:
+		case bfspread.RejectVersion:
 			c.refused(a)
 		case bfspread.CensusDone:
 			if answer, waiting := c.census[a.ID]; waiting {
@@ -327,7 +327,7 @@
 	}
 }
 
-func (c *Control) refused(a bfspread.RefuseVersion) {
+func (c *Control) refused(a bfspread.RejectVersion) {
 	event := bflog.VersionRefused
 	var digest *bfconfig.DigestError
 	if errors.As(a.Err, &digest) {
--- a/lib/bfentry/remote.go
+++ b/lib/bfentry/remote.go
@@ -10,8 +10,8 @@
 	"bilberryflow.org/lib/bfhost"
 )
 
-// there asks another node to have the request run at its target.
-func (c *call) there(ctx context.Context, target *bffleet.Target) bfhost.Result {
+// sendRemote sends the request to the target through another node.
+func (c *call) sendRemote(ctx context.Context, target *bffleet.Target) bfhost.Result {
 	parts := c.handler.parts
 	left := c.deadline.Sub(parts.Timer.Now())
 	if left <= 0 {
@@ -26,31 +26,31 @@
 	var notSent *bfexchange.NotSentError
 	switch {
 	case errors.As(err, &notSent) && c.request.Rest == nil:
-		return bfhost.Refused{Reason: bfhost.Unreached, Err: err}
+		return bfhost.Refused{Reason: bfhost.Unreachable, Err: err}
 	case err != nil && !parts.Timer.Now().Before(c.deadline):
 		return bfhost.Expired{Sent: true}
 	case err != nil:
 		return bfhost.Lost{Reason: err.Error()}
 	}
-	return c.read(from, target)
+	return c.readResult(from, target)
 }
 
-// read reads what the other node answered.
-func (c *call) read(from *bfexchange.Answer, target *bffleet.Target) bfhost.Result {
+// readResult reads the other node's answer.
+func (c *call) readResult(from *bfexchange.Answer, target *bffleet.Target) bfhost.Result {
 	now := c.handler.parts.Timer.Now()
-	if used, slots, told := bfhost.ReadLoad(from.Header()); told {
+	if used, slots, ok := bfhost.ReadLoad(from.Header()); ok {
 		target.Told(used, slots, now)
 		target.ToldBacklog(bfhost.ReadBacklog(from.Header()), now)
 	}
-	if track, told := bfhost.ReadTrack(from.Header()); told {
-		c.follow(target, track)
+	if health, ok := bfhost.ReadHealth(from.Header()); ok {
+		c.updateHealth(target, health)
 	}
 	if result, ok := bfhost.ReadResult(from.Header()); ok {
 		drain(from)
 		return result
 	}
 	spent := bfhost.ReadSpent(from.Header())
-	answer, err := bfhost.ReadAnswer(from, bfhost.HoldAtEntry, func() {})
+	answer, err := bfhost.ReadAnswer(from, bfhost.EntryBufferBytes, func() {})
 	if err != nil {
 		if !now.Before(c.deadline) {
 			return bfhost.Expired{Sent: true}
@@ -61,7 +61,7 @@
 	return bfhost.Answered{Answer: answer}
 }
 
-// drain reads a short answer to its end, so that its connection can be kept.
+// drain reads a short answer to its end, so that its connection can be reused.
 func drain(from *bfexchange.Answer) {
 	var piece [512]byte
 	for {
