--- a/lib/bfcodec/codec.go
+++ b/lib/bfcodec/codec.go
@@ -37,8 +37,8 @@
 // Unwrap is the reason.
 func (e *Error) Unwrap() error { return e.Reason }
 
-// UnknownForm returns the error for a message with an unknown kind byte.
-func UnknownForm(kind byte) error {
+// UnknownKind returns the error for a message with an unknown kind byte.
+func UnknownKind(kind byte) error {
 	return &Error{What: "message", Reason: fmt.Errorf("unknown message kind %d", kind)}
 }
 
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// EncodeForm encodes a message, preceded by its kind byte.
-func EncodeForm(kind byte, message any) ([]byte, error) {
+// EncodeMessage encodes a message, preceded by its kind byte.
+func EncodeMessage(kind byte, message any) ([]byte, error) {
 	body, err := Marshal(message)
 	if err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 	return append([]byte{kind}, body...), nil
 }
 
-// DecodeForm decodes the message that follows the kind byte.
-func DecodeForm[M any](data []byte) (M, error) {
+// DecodeMessage decodes the message that follows the kind byte.
+func DecodeMessage[M any](data []byte) (M, error) {
 	var m M
 	if len(data) == 0 {
 		return m, &Error{What: fmt.Sprintf("%T", m), Reason: fmt.Errorf("no bytes")}
--- a/lib/bfcontrol/witness.go
+++ b/lib/bfcontrol/witness.go
@@ -38,7 +38,7 @@
 	case bfrecover.Answer:
 		kind = kindAnswer
 	}
-	data, err := bfcodec.EncodeForm(kind, message)
+	data, err := bfcodec.EncodeMessage(kind, message)
 	c.send(address, bfpeer.Witness, data, err)
 }
 
@@ -53,10 +53,10 @@
 	case kindAnswer:
 		return decodeWitnessAs[bfrecover.Answer](data)
 	}
-	return nil, bfcodec.UnknownForm(data[0])
+	return nil, bfcodec.UnknownKind(data[0])
 }
 
 func decodeWitnessAs[M any](data []byte) (any, error) {
-	m, err := bfcodec.DecodeForm[M](data)
+	m, err := bfcodec.DecodeMessage[M](data)
 	return witnessMessage{body: m}, err
 }
--- a/lib/bfspread/message.go
+++ b/lib/bfspread/message.go
@@ -98,7 +98,7 @@
 func Owns(data []byte) bool { return len(data) > 0 && data[0] >= kindPush && data[0] < kindLimit }
 
 // Encode encodes a message as its kind in one byte, followed by CBOR.
-func Encode(m Message) ([]byte, error) { return bfcodec.EncodeForm(m.kind(), m) }
+func Encode(m Message) ([]byte, error) { return bfcodec.EncodeMessage(m.kind(), m) }
 
 // Decode decodes the output of Encode; it returns a bfcodec.Error for anything else.
 func Decode(data []byte) (Message, error) {
@@ -123,11 +123,11 @@
 	case kindCensusAnswer:
 		return decodeAs[CensusAnswer](data)
 	}
-	return nil, bfcodec.UnknownForm(data[0])
+	return nil, bfcodec.UnknownKind(data[0])
 }
 
 func decodeAs[M Message](data []byte) (Message, error) {
-	message, err := bfcodec.DecodeForm[M](data)
+	message, err := bfcodec.DecodeMessage[M](data)
 	if err != nil {
 		return nil, err
 	}
