--- a/bfnode/internal/bfmesh/forget.go
+++ b/bfnode/internal/bfmesh/forget.go
@@ -27,7 +27,7 @@
 func (n *node) remove(ctx context.Context, member bffleet.Member) {
 	write := bfstore.RowWrite{Key: member.Inbound, Remove: true, Revision: member.Revision}
 	_, err := n.writeTogether(ctx, write)
-	var notMade *bfbatch.NotMadeError
+	var notMade *bfbatch.BatchError
 	if errors.As(err, &notMade) {
 		_, err = n.store.Write(ctx, membersTable, write)
 	}
--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -172,7 +172,7 @@
 		Table: membersTable, Key: n.common.Inbound, Rows: store, Together: n.writeTogether,
 		Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
-	n.batcher = bfbatch.New(bfbatch.Parts{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
+	n.batcher = bfbatch.New(bfbatch.Config{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
 	n.state = &state{
 		logger: n.logger, traffic: n.traffic, fleet: n.fleet, presence: n.presence, self: n.common.Inbound,
 		follows: n.follows, current: n.current, changed: n.stateChanged, recall: n.recall,
@@ -230,7 +230,7 @@
 	}
 	switch peer {
 	case "":
-		return 0, &bfbatch.NotMadeError{Reason: &bfstore.UnavailableError{Reason: "nobody is known who gathers writes"}}
+		return 0, &bfbatch.BatchError{Reason: &bfstore.UnavailableError{Reason: "nobody is known who gathers writes"}}
 	case n.common.Peer:
 		return n.batcher.Write(ctx, write)
 	}
--- a/lib/bfbatch/batch.go
+++ b/lib/bfbatch/batch.go
@@ -22,8 +22,8 @@
 // thousands of nodes start at once, nodes write their rows themselves.
 const maxPending = 10 * bfstore.MaxWrites
 
-// Parts holds the dependencies of a Batcher.
-type Parts struct {
+// Config holds the dependencies of a Batcher.
+type Config struct {
 	Table  string
 	Rows   bfstore.Rows
 	Timer  *bftimer.Service
@@ -34,7 +34,7 @@
 
 // Batcher combines concurrent writes to a table into batches.
 type Batcher struct {
-	config Parts
+	config Config
 
 	mu      sync.Mutex
 	waiting []*pending
@@ -54,24 +54,24 @@
 }
 
 // New returns a batcher.
-func New(config Parts) *Batcher { return &Batcher{config: config} }
+func New(config Config) *Batcher { return &Batcher{config: config} }
 
-// NotMadeError reports a write that failed as part of a batch; the caller should write the
+// BatchError reports a write that failed as part of a batch; the caller should write the
 // row itself. A write that a Batcher failed had no effect, one of a Remote may have had.
-type NotMadeError struct{ Reason error }
+type BatchError struct{ Reason error }
 
 // Error gives the reason.
-func (e *NotMadeError) Error() string { return "batched write failed: " + e.Reason.Error() }
+func (e *BatchError) Error() string { return "batched write failed: " + e.Reason.Error() }
 
 // Unwrap is the reason.
-func (e *NotMadeError) Unwrap() error { return e.Reason }
+func (e *BatchError) Unwrap() error { return e.Reason }
 
 // Write adds the write to a batch and returns the row's new revision. Its errors are
 // NotMadeError, those of the store, and ctx's.
 func (b *Batcher) Write(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	p := &pending{write: write, done: make(chan result, 1)}
 	if !b.add(p) {
-		return 0, &NotMadeError{Reason: &bfstore.UnavailableError{Reason: "too many pending writes"}}
+		return 0, &BatchError{Reason: &bfstore.UnavailableError{Reason: "too many pending writes"}}
 	}
 	select {
 	case r := <-p.done:
@@ -158,7 +158,7 @@
 	}
 	var conflict *bfstore.ConflictError
 	if len(batch) > 1 && errors.As(err, &conflict) {
-		err = &NotMadeError{Reason: err}
+		err = &BatchError{Reason: err}
 	}
 	for _, s := range batch {
 		for _, p := range s.waiting {
--- a/lib/bfbatch/batch_test.go
+++ b/lib/bfbatch/batch_test.go
@@ -41,7 +41,7 @@
 		timer := bftimer.New(1)
 		group := bfgroup.New(context.Background())
 		group.Go("timer", timer.Run)
-		b := New(Parts{Table: "members", Rows: rows, Timer: timer, Logger: bflog.Discard(), Spawn: group.Go})
+		b := New(Config{Table: "members", Rows: rows, Timer: timer, Logger: bflog.Discard(), Spawn: group.Go})
 		fn(is.New(t), rows, b, group)
 		group.Cancel()
 		if err := group.Wait(); err != nil {
@@ -92,11 +92,11 @@
 		errs := write(group, b,
 			bfstore.RowWrite{Key: "a", Value: []byte("v")}, bfstore.RowWrite{Key: "b", Value: []byte("v")}, bfstore.RowWrite{Key: "c", Remove: true})
 		for _, err := range errs {
-			var batchErr *NotMadeError
+			var batchErr *BatchError
 			is.True(errors.As(err, &batchErr))
 		}
 		alone := write(group, b, bfstore.RowWrite{Key: "b", Value: []byte("v")})
-		var batchErr *NotMadeError
+		var batchErr *BatchError
 		var conflict *bfstore.ConflictError
 		is.True(!errors.As(alone[0], &batchErr) && errors.As(alone[0], &conflict))
 	})
@@ -142,7 +142,7 @@
 		}
 		refused := 0
 		for _, err := range write(group, b, writes...) {
-			var batchErr *NotMadeError
+			var batchErr *BatchError
 			if errors.As(err, &batchErr) {
 				refused++
 			}
@@ -164,7 +164,7 @@
 	calls := bfpeer.NewCalls(bfpeer.Methods{}, bfpeer.NewTraffic(bfmetric.New()), group)
 	began := time.Now()
 	_, err = Remote{Calls: calls, Peer: address}.Write(context.Background(), bfstore.RowWrite{Key: "a"})
-	var batchErr *NotMadeError
+	var batchErr *BatchError
 	is.True(errors.As(err, &batchErr))
 	is.True(time.Since(began) < callTimeout)
 }
@@ -177,7 +177,7 @@
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	rows := bfstore.NewMemoryRows()
-	b := New(Parts{Table: "members", Rows: rows, Timer: timer, Logger: bflog.Discard(), Spawn: group.Go})
+	b := New(Config{Table: "members", Rows: rows, Timer: timer, Logger: bflog.Discard(), Spawn: group.Go})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	calls := bfpeer.NewCalls(b.Methods(), bfpeer.NewTraffic(bfmetric.New()), group)
--- a/lib/bfbatch/remote.go
+++ b/lib/bfbatch/remote.go
@@ -51,7 +51,7 @@
 	}
 	revision, err := b.Write(ctx, bfstore.RowWrite(req))
 	var conflicting *bfstore.ConflictError
-	var batchErr *NotMadeError
+	var batchErr *BatchError
 	switch {
 	case err == nil:
 		return reply{Outcome: written, Revision: revision}, nil
@@ -79,11 +79,11 @@
 	err := r.Calls.Call(ctx, r.Peer, writeMethod, request(write), &got)
 	switch {
 	case err != nil:
-		return 0, &NotMadeError{Reason: err}
+		return 0, &BatchError{Reason: err}
 	case got.Outcome == written:
 		return got.Revision, nil
 	case got.Outcome == conflict:
 		return 0, &bfstore.ConflictError{Row: bfstore.Row{Key: write.Key}}
 	}
-	return 0, &NotMadeError{Reason: &bfstore.UnavailableError{Reason: "batch was not written"}}
+	return 0, &BatchError{Reason: &bfstore.UnavailableError{Reason: "batch was not written"}}
 }
