--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -96,10 +96,10 @@
 }
 
 func (n *node) newGuard(minter *bfrecord.Minter, directory *bfdirectory.Directory) {
-	n.guard = bfguard.New(bfguard.Parts{
+	n.guard = bfguard.New(bfguard.Config{
 		Home: n.home, Service: n.settings.Service, ColdStart: n.coldStart,
 		View: n.view, Client: bfforward.New(bfforward.TargetOptions()), Minter: minter,
-		Timer: n.timer, Logger: n.logger, Metrics: n.metrics, Tell: n.tell,
+		Timer: n.timer, Logger: n.logger, Metrics: n.metrics, PublishState: n.tell,
 		Table: n.platform, Directory: directory, Resolver: bfguard.Resolver{Calls: n.calls}, Spawn: n.group.Go,
 		Quarantine: n.book, Crashed: n.targetCrashed,
 	})
--- a/lib/bfcaller/cluster_test.go
+++ b/lib/bfcaller/cluster_test.go
@@ -188,10 +188,10 @@
 	n.clients = []*bfforward.Client{bfforward.New(options), bfforward.New(bfforward.DefaultOptions())}
 	minter := bfrecord.NewMinter(n.home)
 	resolver := bfguard.Resolver{Calls: n.calls}
-	n.guard = bfguard.New(bfguard.Parts{
+	n.guard = bfguard.New(bfguard.Config{
 		Home: n.home, Service: service, ColdStart: func() time.Duration { return 0 },
 		View: c.view.Load, Client: n.clients[1], Minter: minter, Timer: c.timer, Logger: bflog.Discard(),
-		Metrics: n.metrics, Table: c.table, Directory: n.directory, Resolver: resolver, Spawn: n.group.Go, Tell: n.publishState,
+		Metrics: n.metrics, Table: c.table, Directory: n.directory, Resolver: resolver, Spawn: n.group.Go, PublishState: n.publishState,
 		Quarantine: c.quarantine,
 	})
 	for name, method := range n.guard.Methods() {
--- a/lib/bfguard/claims.go
+++ b/lib/bfguard/claims.go
@@ -46,7 +46,7 @@
 	flush *bftimer.Subscription
 }
 
-func newClaims(config Parts) *claims {
+func newClaims(config Config) *claims {
 	return &claims{
 		table: config.Table, timer: config.Timer, directory: config.Directory, resolver: config.Resolver,
 		spawn: config.Spawn, logger: config.Logger,
--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -24,8 +24,8 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Parts holds the dependencies of a Guard.
-type Parts struct {
+// Config holds the dependencies of a Guard.
+type Config struct {
 	// Home is the node's instance name and its incarnation at start.
 	Home bfrecord.Home
 	// Service is the service of the local target.
@@ -44,8 +44,8 @@
 	Directory *bfdirectory.Directory
 	Resolver  Resolver
 	Spawn     func(name string, fn func(ctx context.Context) error)
-	// Tell propagates a change of the target's state through the membership.
-	Tell func(state bfroster.TargetState, slots int)
+	// PublishState propagates a change of the target's state through the membership.
+	PublishState func(state bfroster.TargetState, slots int)
 	// Quarantine lists the requests that crash targets; nil means none.
 	Quarantine *bfquarantine.Book
 	// Crashed is called after the target ended without announcing it; nil means no call.
@@ -54,7 +54,7 @@
 
 // Guard proxies requests from entry nodes to one target.
 type Guard struct {
-	config    Parts
+	config    Config
 	records   *bfrecord.Sharded
 	announced announcedTarget
 	claims    *claims
@@ -88,7 +88,7 @@
 const recordShards = 16
 
 // New returns the guard of one target.
-func New(config Parts) *Guard {
+func New(config Config) *Guard {
 	if config.Quarantine == nil {
 		config.Quarantine = bfquarantine.New("")
 	}
@@ -167,7 +167,7 @@
 	}
 	g.current.Store(g.nextProcess(before, status))
 	g.logChange(before, status)
-	g.config.Tell(status.State, status.Slots)
+	g.config.PublishState(status.State, status.Slots)
 }
 
 // nextProcess updates admission to the status. A new target process gets a limiter of
--- a/lib/bfguard/target_test.go
+++ b/lib/bfguard/target_test.go
@@ -29,10 +29,10 @@
 func TestInvalidAnnouncementNamesField(t *testing.T) {
 	is := is.New(t)
 	var published []bfroster.TargetState
-	g := New(Parts{
+	g := New(Config{
 		Home: bfrecord.Home{Instance: "a", Incarnation: 1}, Service: "docs", ColdStart: func() time.Duration { return 0 },
 		Timer: bftimer.New(1), Logger: bflog.Discard(), Metrics: bfmetric.New(),
-		Tell: func(state bfroster.TargetState, _ int) { published = append(published, state) },
+		PublishState: func(state bfroster.TargetState, _ int) { published = append(published, state) },
 	})
 	server := httptest.NewServer(http.HandlerFunc(g.ServeAnnouncements))
 	defer server.Close()
