--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -168,7 +168,7 @@
 }
 
 func (n *node) newCaller(directory *bfdirectory.Directory, minter *bfrecord.Minter) {
-	n.entry = bfcaller.New(bfcaller.Parts{
+	n.entry = bfcaller.New(bfcaller.Config{
 		View: n.view, Directory: directory, Client: n.client, Resolver: bfguard.Resolver{Calls: n.calls},
 		Minter: minter, Timer: n.timer, Metrics: n.metrics, Spawn: n.group.Go,
 		Quarantine: n.book,
--- a/lib/bfcaller/cluster_test.go
+++ b/lib/bfcaller/cluster_test.go
@@ -197,7 +197,7 @@
 	for name, method := range n.guard.Methods() {
 		methods[name] = method
 	}
-	n.entry = bfcaller.New(bfcaller.Parts{
+	n.entry = bfcaller.New(bfcaller.Config{
 		View: c.view.Load, Directory: n.directory, Client: n.clients[0], Resolver: resolver,
 		Minter: minter, Timer: c.timer, Metrics: n.metrics, Spawn: n.group.Go,
 		Quarantine: c.quarantine,
--- a/lib/bfcaller/entry.go
+++ b/lib/bfcaller/entry.go
@@ -27,8 +27,8 @@
 	Mint(ctx context.Context, address string) (string, error)
 }
 
-// Parts holds the dependencies of an Entry.
-type Parts struct {
+// Config holds the dependencies of an Entry.
+type Config struct {
 	// View returns the current view, or nil before the node has one.
 	View      func() *bfroute.View
 	Directory *bfdirectory.Directory
@@ -45,13 +45,13 @@
 
 // Entry routes callers' requests to targets and determines their results.
 type Entry struct {
-	config  Parts
+	config  Config
 	budgets bfretry.Budgets
 	metrics metrics
 }
 
 // New returns an Entry.
-func New(config Parts) *Entry {
+func New(config Config) *Entry {
 	if config.Quarantine == nil {
 		config.Quarantine = bfquarantine.New("")
 	}
--- a/lib/bfcaller/target_result_test.go
+++ b/lib/bfcaller/target_result_test.go
@@ -17,7 +17,7 @@
 func TestDeadlinePassedBeforeContextDone(t *testing.T) {
 	is := is.New(t)
 	timer := bftimer.New(1)
-	entry := &Entry{config: Parts{Timer: timer}}
+	entry := &Entry{config: Config{Timer: timer}}
 	unanswered := noAnswer{outcome: bfrecord.Unknown{}}
 	resultOf := func(shortDeadline bool, deadline time.Time) bfchoice.Result {
 		c := &call{entry: entry, shortDeadline: shortDeadline, deadline: deadline}
