--- a/lib/bfbatch/batch.go
+++ b/lib/bfbatch/batch.go
@@ -67,7 +67,7 @@
 func (e *BatchError) Unwrap() error { return e.Reason }
 
 // Write adds the write to a batch and returns the row's new revision. Its errors are
-// NotMadeError, those of the store, and ctx's.
+// BatchError, those of the store, and ctx's.
 func (b *Batcher) Write(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	p := &pending{write: write, done: make(chan result, 1)}
 	if !b.add(p) {
--- a/lib/bfbatch/remote.go
+++ b/lib/bfbatch/remote.go
@@ -71,7 +71,7 @@
 }
 
 // Write sends the write to the node. Its errors are bfstore.ConflictError and
-// NotMadeError; after the latter the write may still have taken effect.
+// BatchError; after the latter the write may still have taken effect.
 func (r Remote) Write(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
