--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -65,8 +65,8 @@
 // Comparer keeps what all members are to know the same; its digest rides on their probes.
 type Comparer interface {
 	Digest() uint64
-	// Saw takes the digest of the member whose peer port is at an address.
-	Saw(address string, digest uint64)
+	// ObserveDigest takes the digest of the member whose peer port is at an address.
+	ObserveDigest(address string, digest uint64)
 }
 
 // Control is a node's part in the control plane.
@@ -265,7 +265,7 @@
 		return
 	}
 	c.contact(now)
-	c.parts.Quarantine.Saw(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
+	c.parts.Quarantine.ObserveDigest(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
 	c.heard[a.From] = heardHead{bfconfig.Version(a.Advert.Version), now}
 }
 
--- a/lib/bfcontrol/quarantine_test.go
+++ b/lib/bfcontrol/quarantine_test.go
@@ -25,7 +25,7 @@
 	d.own = own
 }
 
-func (d *digests) Saw(address string, digest uint64) {
+func (d *digests) ObserveDigest(address string, digest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seen == nil {
--- a/lib/bfnews/news.go
+++ b/lib/bfnews/news.go
@@ -62,7 +62,7 @@
 	// Digest identifies this node's state, 0 if it is empty.
 	Digest() uint64
 	// ObserveDigest receives the digest of a peer.
-	Saw(peer string, digest uint64)
+	ObserveDigest(peer string, digest uint64)
 }
 
 // noReconciler is the Reconciler of a node that has none.
@@ -71,8 +71,8 @@
 // Digest returns the digest of the empty state.
 func (noReconciler) Digest() uint64 { return 0 }
 
-// Saw ignores the digest.
-func (noReconciler) Saw(string, uint64) {}
+// ObserveDigest ignores the digest.
+func (noReconciler) ObserveDigest(string, uint64) {}
 
 // pollRequest states which data the polling node holds.
 type pollRequest struct {
@@ -252,7 +252,7 @@
 	if err := e.calls.Call(ctx, peer, Method, request, &reply); err != nil {
 		return pollReply{}, false
 	}
-	e.quarantine.Saw(peer, reply.Quarantine)
+	e.quarantine.ObserveDigest(peer, reply.Quarantine)
 	e.apply(reply)
 	if e.state.Version() > before {
 		e.sendHint()
@@ -292,7 +292,7 @@
 		return nil, err
 	}
 	if request.Peer != "" {
-		e.quarantine.Saw(request.Peer, request.Quarantine)
+		e.quarantine.ObserveDigest(request.Peer, request.Quarantine)
 	}
 	if e.behind(request.Version, request.Revision) && e.fetchingFromPoller.CompareAndSwap(false, true) {
 		e.spawn("fetch from poller", func(ctx context.Context) error {
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -202,7 +202,7 @@
 	}
 	e.recordReceipt(u)
 	if !u.Hint {
-		e.quarantine.Saw(u.Peer, u.Quarantine)
+		e.quarantine.ObserveDigest(u.Peer, u.Quarantine)
 	}
 	e.applyDelta(u.Delta)
 	e.applyMembersDelta(u.Members)
--- a/lib/bfrumor/exchange.go
+++ b/lib/bfrumor/exchange.go
@@ -187,11 +187,11 @@
 	}
 }
 
-// Saw receives the digest of a peer, and starts a comparison with the peer if it
+// ObserveDigest receives the digest of a peer, and starts a comparison with the peer if it
 // still differs after convergeDelay.
 //
 // A node that restarted or was partitioned lacks records that it cannot know of otherwise.
-func (e *Exchange) Saw(peer string, digest uint64) {
+func (e *Exchange) ObserveDigest(peer string, digest uint64) {
 	if digest == e.Digest() || !e.comparing.CompareAndSwap(false, true) {
 		return
 	}
--- a/lib/bfrumor/exchange_test.go
+++ b/lib/bfrumor/exchange_test.go
@@ -149,10 +149,10 @@
 	f.mu.Lock()
 	f.partitioned["b"] = false
 	f.mu.Unlock()
-	b.Saw("a", a.Digest())
+	b.ObserveDigest("a", a.Digest())
 	f.eventually("compared", func() bool { return holds(b) })
 	restarted := f.start("c", true)
-	a.Saw("c", restarted.Digest()) // the other node detects the difference
+	a.ObserveDigest("c", restarted.Digest()) // the other node detects the difference
 	f.eventually("the restarted node has the records", func() bool { return holds(restarted) })
 }
 
@@ -161,10 +161,10 @@
 	f := newFleet(t)
 	a := f.start("a", true)
 	f.start("b", true)
-	a.Saw("b", 0)
+	a.ObserveDigest("b", 0)
 	f.Equal(f.calls.Load(), int32(0))
 	for range 50 {
-		a.Saw("gone", 12345)
+		a.ObserveDigest("gone", 12345)
 		time.Sleep(10 * time.Millisecond)
 	}
 	f.Equal(f.calls.Load(), int32(1))
