--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -188,7 +188,7 @@
 	})
 	n.members = bffollow.New(bffollow.Parts{
 		Table: membersTable, Rows: store, Apply: n.state.applyMembers, Gather: gatherMembers,
-		Due: func() bool { return n.news.Reads() }, Held: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+		Due: func() bool { return n.news.ReadsStore() }, Held: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 }
 
@@ -203,7 +203,7 @@
 
 // current reports whether what the node holds follows the store: by its own calls
 // or by the word of a node that does.
-func (n *node) current() bool { return n.news.HearsFresh() || n.follows() }
+func (n *node) current() bool { return n.news.ReceivesFresh() || n.follows() }
 
 // follows reports whether the node's own calls follow the store now.
 func (n *node) follows() bool { return n.config.Follows() && n.members.Follows() }
@@ -212,8 +212,8 @@
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, bfpeer.NewTraffic(n.metrics), n.group)
 	n.shareQuarantine()
-	n.news = bfnews.New(bfnews.Parts{
-		Self: n.common.Peer, Place: place(n.common, n.settings), First: n.settings.FirstStart, State: n.state,
+	n.news = bfnews.New(bfnews.Config{
+		Self: n.common.Peer, Place: place(n.common, n.settings), FirstStart: n.settings.FirstStart, State: n.state,
 		Fleet: n.fleet, Calls: n.calls, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go, Quarantine: n.rumor,
 	})
 	maps.Copy(methods, n.news.Methods())
@@ -224,7 +224,7 @@
 // writeTogether has the row written by the node that gathers writes: the fleet's first
 // source, or a seed where the fleet has yet to meet.
 func (n *node) writeTogether(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
-	peer := n.news.Writer()
+	peer := n.news.BatchWriter()
 	if peer == "" && n.settings.FirstStart {
 		peer = n.settings.seedPeer(n.common.Peer)
 	}
--- a/bfnode/internal/bfmesh/quarantine.go
+++ b/bfnode/internal/bfmesh/quarantine.go
@@ -13,7 +13,7 @@
 func (n *node) shareQuarantine() {
 	n.rumor = bfrumor.New(bfrumor.Parts{
 		Self: n.common.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
-		Audience: func(own bool) []string { return n.news.Audience(own) },
+		Audience: func(own bool) []string { return n.news.Recipients(own) },
 	})
 	n.backup = bfbackup.New(bfbackup.Parts{
 		Table: quarantineTable, Rows: n.store, Book: n.book, Take: n.rumor.Take, First: n.settings.FirstStart,
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TakeSpec takes a configuration if it is newer and holds together.
-func (s *state) TakeSpec(spec bftraffic.Spec) { s.takeSpec(spec) }
+// ApplySpec takes a configuration if it is newer and holds together.
+func (s *state) ApplySpec(spec bftraffic.Spec) { s.takeSpec(spec) }
 
 // takeSpec is TakeSpec; it reports whether the configuration, or a newer one, is in force.
 func (s *state) takeSpec(spec bftraffic.Spec) bool {
@@ -90,9 +90,9 @@
 	return true
 }
 
-// TakeDelta takes what another node's newer configuration changes, if it fits; one
+// ApplyDelta takes what another node's newer configuration changes, if it fits; one
 // that does not is made good by asking for the whole.
-func (s *state) TakeDelta(delta bftraffic.Delta) {
+func (s *state) ApplyDelta(delta bftraffic.Delta) {
 	held := s.traffic.Current()
 	if held == nil || delta.Version <= held.Version() {
 		return
@@ -187,14 +187,14 @@
 	return bfnews.Roster{Revision: s.revision, Members: s.fleet.Members()}
 }
 
-// TakeRoster takes another node's members if they are known as of a later revision.
-func (s *state) TakeRoster(roster bfnews.Roster) {
+// ApplyRoster takes another node's members if they are known as of a later revision.
+func (s *state) ApplyRoster(roster bfnews.Roster) {
 	s.brought(roster.Revision, func(held uint64) bool { return roster.Revision > held }, func() { s.fleet.Replace(roster.Members) })
 }
 
-// TakeMembers takes what changed among another node's members, if that fits.
-func (s *state) TakeMembers(delta bfnews.MembersDelta) {
-	s.brought(delta.Revision, delta.Fits, func() { s.fleet.Change(delta.Changed, delta.Gone) })
+// ApplyMembersDelta takes what changed among another node's members, if that fits.
+func (s *state) ApplyMembersDelta(delta bfnews.MembersDelta) {
+	s.brought(delta.Revision, delta.AppliesTo, func() { s.fleet.Change(delta.Changed, delta.Gone) })
 }
 
 // brought takes members that another node brought and that are known as of a revision, if
@@ -247,8 +247,8 @@
 	return max(read, s.asOf)
 }
 
-// TakeAsOf takes another node's word that a version is the newest one as of a revision.
-func (s *state) TakeAsOf(version bftraffic.Version, revision uint64) {
+// ConfirmVersion takes another node's word that a version is the newest one as of a revision.
+func (s *state) ConfirmVersion(version bftraffic.Version, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.told || version == s.told && revision > s.asOf {
--- a/bfnode/internal/bfmesh/state_test.go
+++ b/bfnode/internal/bfmesh/state_test.go
@@ -52,10 +52,10 @@
 func TestOldNewsOfMembersIsPassedOver(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	s.TakeRoster(bfnews.Roster{Revision: 20, Members: []bffleet.Member{{Inbound: "a:1", Service: "vault"}}})
+	s.ApplyRoster(bfnews.Roster{Revision: 20, Members: []bffleet.Member{{Inbound: "a:1", Service: "vault"}}})
 	s.applyMembers(bffollow.Batch{Entries: []bfstore.Entry{row(t, "b:1", 15)}, Revision: 15})
 	is.Equal(s.fleet.Size(), 1)
-	s.TakeRoster(bfnews.Roster{Revision: 19, Members: nil})
+	s.ApplyRoster(bfnews.Roster{Revision: 19, Members: nil})
 	is.Equal(s.fleet.Size(), 1)
 	s.applyMembers(bffollow.Batch{Entries: []bfstore.Entry{row(t, "c:1", 21), {Key: "a:1", Revision: 22, Removed: true}}, Revision: 22})
 	is.Equal(s.fleet.Members()[0].Inbound, "c:1")
@@ -148,7 +148,7 @@
 	value, err := own.Encode()
 	is.NoErr(err)
 	s.applyMembers(bffollow.Batch{Whole: true, Entries: []bfstore.Entry{row(t, "10.0.0.2:1", 4), {Key: own.Inbound, Value: value, Revision: 5}}, Revision: 5})
-	s.TakeRoster(bfnews.Roster{Revision: 6, Members: []bffleet.Member{own}})
+	s.ApplyRoster(bfnews.Roster{Revision: 6, Members: []bffleet.Member{own}})
 	is.Equal(recalled, []string{"i-1"})
 	is.True(own.HasTarget())
 	own.Address = "10.0.0.2:3"
--- a/lib/bfnews/members.go
+++ b/lib/bfnews/members.go
@@ -15,10 +15,12 @@
 	Gone     []string         `cbor:"4,keyasint,omitempty"`
 }
 
-// Fits reports whether the delta can be applied to members at the given revision. A
+// AppliesTo reports whether the delta can be applied to members at the given revision. A
 // revision between Base and Revision does not qualify: it can contain a row that was added and
 // removed since Base, and the delta does not list that removal.
-func (d MembersDelta) Fits(revision uint64) bool { return d.Base == revision && revision < d.Revision }
+func (d MembersDelta) AppliesTo(revision uint64) bool {
+	return d.Base == revision && revision < d.Revision
+}
 
 // membersDelta computes the delta between two rosters. A row that was rewritten has another
 // revision, so it counts as changed even if its contents are the same.
--- a/lib/bfnews/news.go
+++ b/lib/bfnews/news.go
@@ -34,7 +34,7 @@
 	Revision() uint64
 	// ConfirmVersion records a peer's report that a version is the newest one at a store
 	// revision.
-	TakeAsOf(version bftraffic.Version, revision uint64)
+	ConfirmVersion(version bftraffic.Version, revision uint64)
 	// Snapshot returns the traffic configuration in force, nil before the first.
 	Snapshot() *bftraffic.Snapshot
 	// Recent returns the configuration of a version that was recently in force, or nil.
@@ -42,13 +42,13 @@
 	// Roster returns the members.
 	Roster() Roster
 	// ApplySpec adopts a peer's configuration if it is newer.
-	TakeSpec(spec bftraffic.Spec)
+	ApplySpec(spec bftraffic.Spec)
 	// ApplyDelta applies a delta to the configuration in force if its base version matches.
-	TakeDelta(delta bftraffic.Delta)
+	ApplyDelta(delta bftraffic.Delta)
 	// ApplyRoster adopts a peer's member list if its revision is newer; ApplyMembersDelta
 	// applies changes to the list if they apply to its revision.
-	TakeRoster(roster Roster)
-	TakeMembers(delta MembersDelta)
+	ApplyRoster(roster Roster)
+	ApplyMembersDelta(delta MembersDelta)
 	// Current reports whether the state follows the store, either by this node's own calls or
 	// by updates from a node that follows it.
 	Current() bool
@@ -131,18 +131,18 @@
 	fetchingFromPoller atomic.Bool
 }
 
-// Parts holds the dependencies of an Exchange.
-type Parts struct {
+// Config holds the dependencies of an Exchange.
+type Config struct {
 	// Self is the node's address for calls from other nodes.
 	Self  string
 	Place bffleet.Place
 	// FirstStart is set if the whole fleet starts for the first time.
-	First  bool
-	State  State
-	Fleet  *bffleet.Fleet
-	Calls  *bfpeer.Calls
-	Timer  *bftimer.Service
-	Logger *bflog.Logger
+	FirstStart bool
+	State      State
+	Fleet      *bffleet.Fleet
+	Calls      *bfpeer.Calls
+	Timer      *bftimer.Service
+	Logger     *bflog.Logger
 	// Spawn starts a goroutine in the node's group.
 	Spawn func(name string, fn func(ctx context.Context) error)
 	// Quarantine is reconciled alongside the state; nil for none.
@@ -150,13 +150,13 @@
 }
 
 // New returns the exchange of a node that starts now.
-func New(parts Parts) *Exchange {
-	if parts.Quarantine == nil {
-		parts.Quarantine = noReconciler{}
+func New(config Config) *Exchange {
+	if config.Quarantine == nil {
+		config.Quarantine = noReconciler{}
 	}
 	return &Exchange{
-		self: parts.Self, place: parts.Place, firstStart: parts.First, state: parts.State, fleet: parts.Fleet,
-		calls: parts.Calls, timer: parts.Timer, logger: parts.Logger, spawn: parts.Spawn, quarantine: parts.Quarantine,
+		self: config.Self, place: config.Place, firstStart: config.FirstStart, state: config.State, fleet: config.Fleet,
+		calls: config.Calls, timer: config.Timer, logger: config.Logger, spawn: config.Spawn, quarantine: config.Quarantine,
 		firstStartDelay: firstStartDelay + time.Duration(rand.Float64()*float64(firstStartJitter)),
 		changed:         make(chan struct{}, 1), started: time.Now(),
 	}
@@ -276,12 +276,12 @@
 func (e *Exchange) apply(reply pollReply) {
 	var spec bftraffic.Spec
 	if len(reply.Spec) > 0 && bfcodec.Unmarshal(reply.Spec, "configuration", &spec) == nil {
-		e.state.TakeSpec(spec)
+		e.state.ApplySpec(spec)
 	}
 	e.applyDelta(reply.Delta)
 	var roster Roster
 	if len(reply.Roster) > 0 && bfcodec.Unmarshal(reply.Roster, "roster", &roster) == nil {
-		e.state.TakeRoster(roster)
+		e.state.ApplyRoster(roster)
 	}
 }
 
--- a/lib/bfnews/news_test.go
+++ b/lib/bfnews/news_test.go
@@ -56,7 +56,7 @@
 	return h.roster
 }
 
-func (h *memoryState) TakeSpec(spec bftraffic.Spec) {
+func (h *memoryState) ApplySpec(spec bftraffic.Spec) {
 	snapshot, err := bftraffic.NewSnapshot(spec)
 	if err != nil {
 		panic(err)
@@ -66,7 +66,7 @@
 	}
 }
 
-func (h *memoryState) TakeDelta(delta bftraffic.Delta) {
+func (h *memoryState) ApplyDelta(delta bftraffic.Delta) {
 	snapshot, err := h.traffic.Current().Apply(delta)
 	if err == nil && h.traffic.Adopt(snapshot) {
 		h.count(&h.deltas)
@@ -85,7 +85,7 @@
 	return h.specs, h.deltas
 }
 
-func (h *memoryState) TakeRoster(roster Roster) {
+func (h *memoryState) ApplyRoster(roster Roster) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if roster.Revision > h.roster.Revision {
@@ -94,10 +94,10 @@
 	}
 }
 
-func (h *memoryState) TakeMembers(delta MembersDelta) {
+func (h *memoryState) ApplyMembersDelta(delta MembersDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if delta.Fits(h.roster.Revision) {
+	if delta.AppliesTo(h.roster.Revision) {
 		h.fleet.Change(delta.Changed, delta.Gone)
 		h.roster = Roster{Revision: delta.Revision, Members: h.fleet.Members()}
 		h.memberDeltas++
@@ -120,7 +120,7 @@
 
 func (h *memoryState) VersionAsOf() uint64 { return 0 }
 
-func (h *memoryState) TakeAsOf(bftraffic.Version, uint64) {}
+func (h *memoryState) ConfirmVersion(bftraffic.Version, uint64) {}
 
 // testSpec returns a configuration with one route per name.
 func testSpec(version bftraffic.Version, names ...string) bftraffic.Spec {
@@ -154,7 +154,7 @@
 	methods := bfpeer.Methods{}
 	calls := bfpeer.NewCalls(methods, bfpeer.NewTraffic(bfmetric.New()), group)
 	address := listener.Addr().String()
-	exchange := New(Parts{
+	exchange := New(Config{
 		Self: address, Place: bffleet.Place{Inbound: address, Domain: "nord"}, State: state, Fleet: state.fleet, Calls: calls, Timer: timer, Logger: bflog.Discard(), Spawn: group.Go,
 	})
 	for name, method := range exchange.Methods() {
@@ -184,8 +184,8 @@
 		others = append(others, state)
 	}
 	for _, state := range others {
-		state.TakeSpec(spec)
-		state.TakeRoster(roster)
+		state.ApplySpec(spec)
+		state.ApplyRoster(roster)
 	}
 	deadline := time.Now().Add(15 * time.Second)
 	for rejected.Version() != 7 || rejected.Revision() != 9 {
@@ -209,9 +209,9 @@
 	fresh, freshAddress := start(t, group, timer, true)
 	spec := testSpec(7)
 	roster := Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}, {Inbound: "b", Peer: freshAddress}}}
-	stale.TakeRoster(roster)
-	fresh.TakeRoster(roster)
-	fresh.TakeSpec(spec)
+	stale.ApplyRoster(roster)
+	fresh.ApplyRoster(roster)
+	fresh.ApplySpec(spec)
 	deadline := time.Now().Add(10 * time.Second)
 	for stale.Version() != 7 {
 		if time.Now().After(deadline) {
@@ -231,17 +231,17 @@
 	group.Go("timer", timer.Run)
 	stale, staleAddress := start(t, group, timer, true)
 	fresh, freshAddress := start(t, group, timer, true)
-	stale.TakeRoster(Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}}})
-	fresh.TakeRoster(Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}, {Inbound: "b", Peer: freshAddress}}})
-	fresh.TakeSpec(testSpec(7))
+	stale.ApplyRoster(Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}}})
+	fresh.ApplyRoster(Roster{Revision: 9, Members: []bffleet.Member{{Inbound: "a", Peer: staleAddress}, {Inbound: "b", Peer: freshAddress}}})
+	fresh.ApplySpec(testSpec(7))
 	waitFor(t, "the node has the new version", func() bool { return stale.Version() == 7 })
 }
 
 func TestReplyContainsOnlyNewerData(t *testing.T) {
 	is := is.New(t)
 	state := &memoryState{traffic: bftraffic.NewHolder(nil), fleet: bffleet.New(bffleet.Place{Domain: "nord"})}
-	state.TakeSpec(testSpec(7))
-	e := New(Parts{Self: "a", State: state, Fleet: state.fleet})
+	state.ApplySpec(testSpec(7))
+	e := New(Config{Self: "a", State: state, Fleet: state.fleet})
 	r, err := e.buildReply(pollRequest{Version: 7, Send: true})
 	is.NoErr(err)
 	is.Equal(r, pollReply{Version: 7})
@@ -251,7 +251,7 @@
 	r, err = e.buildReply(pollRequest{Version: 6, Send: true})
 	is.NoErr(err)
 	is.True(len(r.Spec) > 0)
-	state.TakeSpec(testSpec(9, "r"))
+	state.ApplySpec(testSpec(9, "r"))
 	r, err = e.buildReply(pollRequest{Version: 7, Send: true})
 	is.NoErr(err)
 	is.True(len(r.Spec) == 0 && len(r.Delta) > 0) // a delta, since version 7 is still remembered
@@ -313,8 +313,8 @@
 	}
 	d.plan = makePlan("nord", slices.Clone(d.members))
 	for _, state := range d.states {
-		state.TakeRoster(Roster{Revision: 1, Members: d.members})
-		state.TakeSpec(testSpec(7, "r"))
+		state.ApplyRoster(Roster{Revision: 1, Members: d.members})
+		state.ApplySpec(testSpec(7, "r"))
 	}
 	return d
 }
@@ -322,7 +322,7 @@
 // readers lists the nodes that read the store.
 func (d *testDomain) readers() (all []string) {
 	for _, m := range d.plan.domain {
-		if d.exchanges[m.Inbound].Reads() {
+		if d.exchanges[m.Inbound].ReadsStore() {
 			all = append(all, m.Inbound)
 		}
 	}
@@ -357,7 +357,7 @@
 		last := states[len(states)-1]
 		delta := membersDelta(states[rapid.IntRange(0, len(states)-2).Draw(t, "from")], last)
 		held := states[rapid.IntRange(0, len(states)-1).Draw(t, "held")]
-		if !delta.Fits(held.Revision) {
+		if !delta.AppliesTo(held.Revision) {
 			return
 		}
 		f := bffleet.New(bffleet.Place{})
@@ -383,10 +383,10 @@
 	d := newDomain(t, timer, 4)
 	waitFor(t, "only the sources read the store", func() bool { return len(d.readers()) == sourcesPerFleet })
 	last := d.states[d.plan.domain[3].Inbound]
-	waitFor(t, "the last follower receives updates", d.exchanges[last.address].HearsFresh)
+	waitFor(t, "the last follower receives updates", d.exchanges[last.address].ReceivesFresh)
 	source := d.plan.relays[0].Inbound
 	next := append(slices.Clone(d.members), bffleet.Member{Inbound: "new", Domain: "nord"})
-	d.states[source].TakeRoster(Roster{Revision: 5, Members: next})
+	d.states[source].ApplyRoster(Roster{Revision: 5, Members: next})
 	d.exchanges[source].Changed()
 	waitFor(t, "all nodes have the new member", func() bool {
 		for _, state := range d.states {
@@ -416,7 +416,7 @@
 	next := testSpec(9, "r", "s")
 	next.Routes[0].Rank = 1
 	for _, address := range sources {
-		d.states[address].TakeSpec(next)
+		d.states[address].ApplySpec(next)
 		d.exchanges[address].Changed()
 	}
 	waitFor(t, "all nodes have the version", func() bool { return d.hasVersion(9) })
@@ -425,11 +425,11 @@
 		is.Equal(specs, map[bool]int{true: 2, false: 1}[slices.Contains(sources, address)]) // the initial one, and for a source the one it read
 	}
 	last := d.plan.domain[3].Inbound
-	is.True(d.exchanges[last].HearsFresh())
+	is.True(d.exchanges[last].ReceivesFresh())
 	for _, address := range sources {
 		d.states[address].setCurrent(false)
 	}
-	waitFor(t, "the others detect that no node follows the store", func() bool { return !d.exchanges[last].HearsFresh() })
+	waitFor(t, "the others detect that no node follows the store", func() bool { return !d.exchanges[last].ReceivesFresh() })
 	time.Sleep(receiveTimeout)
 	is.Equal(d.readers(), sources)
 }
@@ -446,19 +446,19 @@
 	sources := []string{d.plan.relays[0].Inbound, d.plan.relays[1].Inbound}
 	waitFor(t, "only the sources read the store", func() bool { return slices.Equal(d.readers(), sources) })
 	last := d.exchanges[d.plan.domain[4].Inbound]
-	waitFor(t, "the last follower receives updates", last.HearsFresh)
+	waitFor(t, "the last follower receives updates", last.ReceivesFresh)
 	for _, address := range sources {
 		d.groups[address].Cancel()
 	}
 	began := time.Now()
 	replacement := d.exchanges[d.plan.domain[2].Inbound]
-	waitFor(t, "the first remaining follower reads the store", replacement.Reads)
+	waitFor(t, "the first remaining follower reads the store", replacement.ReadsStore)
 	is.True(time.Since(began) < 2*time.Second)
 	for time.Since(began) < 2*receiveTimeout+maxStaggerSteps*followerStagger {
-		is.True(!last.Reads())
+		is.True(!last.ReadsStore())
 		time.Sleep(20 * time.Millisecond)
 	}
-	is.True(last.HearsFresh())
+	is.True(last.ReceivesFresh())
 }
 
 // A relay's domain is partitioned from the sources. The relay must read the store itself and
@@ -475,12 +475,14 @@
 		remote[i].LinkMbps = 100
 	}
 	for _, state := range d.states {
-		state.TakeRoster(Roster{Revision: 2, Members: append(remote, d.members...)})
+		state.ApplyRoster(Roster{Revision: 2, Members: append(remote, d.members...)})
 	}
 	relays := d.plan.domain[:relaysPerDomain]
-	waitFor(t, "a relay reads the store", func() bool { return d.exchanges[relays[0].Inbound].Reads() || d.exchanges[relays[1].Inbound].Reads() })
-	waitFor(t, "the others receive its updates", d.exchanges[d.plan.domain[3].Inbound].HearsFresh)
-	is.True(!d.exchanges[d.plan.domain[3].Inbound].Reads())
+	waitFor(t, "a relay reads the store", func() bool {
+		return d.exchanges[relays[0].Inbound].ReadsStore() || d.exchanges[relays[1].Inbound].ReadsStore()
+	})
+	waitFor(t, "the others receive its updates", d.exchanges[d.plan.domain[3].Inbound].ReceivesFresh)
+	is.True(!d.exchanges[d.plan.domain[3].Inbound].ReadsStore())
 }
 
 // A fleet starts for the first time, and one node reads the member list. Guards against every
@@ -506,7 +508,7 @@
 	}
 	reader := d.plan.domain[nodes-1].Inbound
 	d.exchanges[reader].firstStartDelay = 0
-	d.states[reader].TakeRoster(Roster{Revision: 3, Members: d.members})
+	d.states[reader].ApplyRoster(Roster{Revision: 3, Members: d.members})
 	d.exchanges[reader].Changed()
 	waitFor(t, "all nodes have the member list", func() bool {
 		for _, state := range d.states {
@@ -518,7 +520,7 @@
 	})
 	first := d.plan.relays[0].Inbound
 	waitFor(t, "a source reads the versions", d.exchanges[first].ReadsVersions)
-	d.states[first].TakeSpec(testSpec(7, "r"))
+	d.states[first].ApplySpec(testSpec(7, "r"))
 	d.exchanges[first].Changed()
 	waitFor(t, "all nodes have the version", func() bool { return d.hasVersion(7) })
 }
@@ -533,7 +535,7 @@
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 4)
 	fresh, freshAddress := start(t, group, timer, true) // not in any member list
-	fresh.TakeSpec(testSpec(9, "r", "s"))
+	fresh.ApplySpec(testSpec(9, "r", "s"))
 	waitFor(t, "only the sources read the store", func() bool { return len(d.readers()) == sourcesPerFleet })
 	began := time.Now()
 	d.exchanges[d.plan.domain[3].Inbound].poll(context.Background(), freshAddress, true)
@@ -552,15 +554,15 @@
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	state, address, exchange := startExchange(t, group, timer, true)
-	is.True(exchange.Reads())
+	is.True(exchange.ReadsStore())
 	all := members("nord", 4)
 	for i := range all {
 		all[i].LinkMbps = 100
 	}
-	state.TakeRoster(Roster{Revision: 1, Members: append(all, bffleet.Member{Inbound: address, Peer: address, Domain: "nord"})})
-	is.True(!exchange.Reads())
+	state.ApplyRoster(Roster{Revision: 1, Members: append(all, bffleet.Member{Inbound: address, Peer: address, Domain: "nord"})})
+	is.True(!exchange.ReadsStore())
 	is.True(exchange.ReadsVersions()) // its row existed at the start, so its target is running
-	waitFor(t, "the node reads the store", exchange.Reads)
+	waitFor(t, "the node reads the store", exchange.ReadsStore)
 }
 
 // A new node finds the other members in the store. It must receive the version in force from
@@ -573,11 +575,11 @@
 	group.Go("timer", timer.Run)
 	d := newDomain(t, timer, 3)
 	state, _, exchange := startExchange(t, group, timer, true)
-	state.TakeRoster(Roster{Revision: 1, Members: d.members})
+	state.ApplyRoster(Roster{Revision: 1, Members: d.members})
 	is.True(!exchange.ReadsVersions())
 	waitFor(t, "the node has the version", func() bool { return state.Version() == 7 })
 	isolatedState, _, isolated := startExchange(t, group, timer, true)
-	isolatedState.TakeRoster(Roster{Revision: 1, Members: members("nord", 3)}) // none of these answers
+	isolatedState.ApplyRoster(Roster{Revision: 1, Members: members("nord", 3)}) // none of these answers
 	waitFor(t, "the node reads the store", isolated.ReadsVersions)
 }
 
--- a/lib/bfnews/reading.go
+++ b/lib/bfnews/reading.go
@@ -47,11 +47,11 @@
 	any, fresh, reader atomic.Int64
 }
 
-// Reads reports whether this node should read the store itself.
+// ReadsStore reports whether this node should read the store itself.
 //
 // A timeout starts at the first call at the earliest: a node that starts has just read the
 // store when it determines from which nodes it receives updates.
-func (e *Exchange) Reads() bool {
+func (e *Exchange) ReadsStore() bool {
 	p := e.plan()
 	if p.size == 0 {
 		return !e.firstStart || e.uptime() > int64(e.firstStartDelay)
@@ -73,7 +73,7 @@
 // starting, receives the version from a peer.
 func (e *Exchange) ReadsVersions() bool {
 	if e.state.Version() > 0 {
-		return e.Reads()
+		return e.ReadsStore()
 	}
 	p := e.plan()
 	_, isMember := e.fleet.Member(e.place.Inbound)
@@ -92,9 +92,9 @@
 	return e.uptime()-received.Load() >= int64(timeout)
 }
 
-// HearsFresh reports whether an update from a node that follows the store arrived within the
+// ReceivesFresh reports whether an update from a node that follows the store arrived within the
 // receive timeout.
-func (e *Exchange) HearsFresh() bool { return e.receivedRecently(&e.received.fresh) }
+func (e *Exchange) ReceivesFresh() bool { return e.receivedRecently(&e.received.fresh) }
 
 func (e *Exchange) receivedRecently(received *atomic.Int64) bool {
 	last := received.Load()
@@ -136,9 +136,9 @@
 	return !e.firstStart && (!isMember || e.uptime() > int64(versionTimeout))
 }
 
-// Writer returns the peer address of the node that writes rows for all nodes, "" if no
+// BatchWriter returns the peer address of the node that writes rows for all nodes, "" if no
 // member is known.
-func (e *Exchange) Writer() string {
+func (e *Exchange) BatchWriter() string {
 	p := e.plan()
 	if len(p.relays) == 0 {
 		return ""
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -57,7 +57,7 @@
 		}
 		cancel()
 		p := e.plan()
-		reads := e.Reads()
+		reads := e.ReadsStore()
 		e.logRole(p, reads)
 		if p.size == 0 || !reads && p.roleOf(e.place.Inbound) == follower {
 			continue
@@ -79,7 +79,7 @@
 	}
 	e.reported = now
 	e.logger.Emit(bflog.StandingChanged, slog.String("standing", now.role.String()), slog.Bool("reads_store", reads),
-		slog.Int("members", p.size), slog.Bool("hears_fresh", e.HearsFresh()))
+		slog.Int("members", p.size), slog.Bool("hears_fresh", e.ReceivesFresh()))
 }
 
 // roleReport is a role as it was last logged.
@@ -206,7 +206,7 @@
 	}
 	e.applyDelta(u.Delta)
 	e.applyMembersDelta(u.Members)
-	e.state.TakeAsOf(u.Version, u.AsOf)
+	e.state.ConfirmVersion(u.Version, u.AsOf)
 	if e.behind(u.Version, u.Revision) && e.fetching.CompareAndSwap(false, true) {
 		e.spawn("fetch update", func(ctx context.Context) error {
 			defer e.fetching.Store(false)
@@ -222,7 +222,7 @@
 func (e *Exchange) applyDelta(data []byte) {
 	var delta bftraffic.Delta
 	if len(data) > 0 && bfcodec.Unmarshal(data, "delta", &delta) == nil {
-		e.state.TakeDelta(delta)
+		e.state.ApplyDelta(delta)
 	}
 }
 
@@ -230,7 +230,7 @@
 func (e *Exchange) applyMembersDelta(data []byte) {
 	var delta MembersDelta
 	if len(data) > 0 && bfcodec.Unmarshal(data, "members", &delta) == nil {
-		e.state.TakeMembers(delta)
+		e.state.ApplyMembersDelta(delta)
 	}
 }
 
@@ -240,9 +240,9 @@
 	return len(p.relays) > 0 && p.relays[0].Inbound == e.place.Inbound
 }
 
-// Audience returns the peers that first receive a record from this node. If own is false, the
+// Recipients returns the peers that first receive a record from this node. If own is false, the
 // record came from another node.
-func (e *Exchange) Audience(own bool) (peers []string) {
+func (e *Exchange) Recipients(own bool) (peers []string) {
 	for _, m := range e.plan().recipients(e.place.Inbound, own) {
 		peers = append(peers, m.Peer)
 	}
