--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -260,7 +260,7 @@
 
 // heardFrom keeps what a member advertised; a stranger is not worth the memory.
 func (c *Control) heardFrom(now time.Time, a bfmember.AdvertReceived) {
-	rank, member := c.members.Order().RankOf(a.From)
+	rank, member := c.members.Order().RankByHash(a.From)
 	if !member {
 		return
 	}
--- a/lib/bfcontrol/directory.go
+++ b/lib/bfcontrol/directory.go
@@ -75,7 +75,7 @@
 	}
 	if len(c.heard) > c.share.order.Len() {
 		maps.DeleteFunc(c.heard, func(hash uint64, _ heardHead) bool {
-			_, member := c.share.order.RankOf(hash)
+			_, member := c.share.order.RankByHash(hash)
 			return !member
 		})
 	}
--- a/lib/bfgossip/meeting.go
+++ b/lib/bfgossip/meeting.go
@@ -28,7 +28,7 @@
 	if err := bfcodec.Unmarshal(data, "meeting row", &m); err != nil {
 		return Meeting{}, err
 	}
-	if err := m.Row.Check(); err != nil {
+	if err := m.Row.Validate(); err != nil {
 		return Meeting{}, &bfcodec.Error{What: "meeting row", Reason: err}
 	}
 	return m, nil
--- a/lib/bfgossip/outage.go
+++ b/lib/bfgossip/outage.go
@@ -26,7 +26,7 @@
 
 // Check returns a bfcodec.Error if a field is out of range.
 func (o Outage) Check() error {
-	if len(o.Region) > bfroster.MaxText || len(o.Domain) > bfroster.MaxText || o.Epoch > bfroster.MaxSequence {
+	if len(o.Region) > bfroster.MaxFieldBytes || len(o.Domain) > bfroster.MaxFieldBytes || o.Epoch > bfroster.MaxSequence {
 		return &bfcodec.Error{What: "outage", Reason: &bfroster.RowError{Field: "domain or epoch", Reason: "is out of range"}}
 	}
 	return nil
--- a/lib/bfmember/members.go
+++ b/lib/bfmember/members.go
@@ -48,7 +48,7 @@
 // the node's start time in microseconds since 1970. It returns a bfroster.RowError
 // if self is invalid.
 func New(options Options, self bfroster.Row, rng *rand.Rand) (*Members, error) {
-	if err := self.Check(); err != nil {
+	if err := self.Validate(); err != nil {
 		return nil, err
 	}
 	m := &Members{
@@ -312,7 +312,7 @@
 
 func (m *Members) applyRows(now time.Time, rows []bfroster.Row, broadcast bool) {
 	for _, row := range rows {
-		if err := row.Check(); err != nil {
+		if err := row.Validate(); err != nil {
 			m.emit(Report{Err: err})
 			continue
 		}
--- a/lib/bfmember/members_test.go
+++ b/lib/bfmember/members_test.go
@@ -45,7 +45,7 @@
 // be refuted.
 func TestInvalidRowsAreRejectedByField(t *testing.T) {
 	is := is.New(t)
-	long := strings.Repeat("x", bfroster.MaxText+1)
+	long := strings.Repeat("x", bfroster.MaxFieldBytes+1)
 	for field, corrupt := range map[string]func(*bfroster.Row){
 		"id": func(r *bfroster.Row) { r.ID = "" }, "peer": func(r *bfroster.Row) { r.Peer = "" }, "domain": func(r *bfroster.Row) { r.Domain = long },
 		"service": func(r *bfroster.Row) { r.Service = long }, "incarnation": func(r *bfroster.Row) { r.Incarnation = math.MaxUint64 },
--- a/lib/bfmember/repair.go
+++ b/lib/bfmember/repair.go
@@ -39,7 +39,7 @@
 func (m *Members) applySender(now time.Time, self bfroster.Row) bool {
 	m.applyRows(now, []bfroster.Row{self}, true)
 	m.recordContact(now, bfroster.HashID(self.ID))
-	return self.Check() == nil && self.ID != m.Self().ID
+	return self.Validate() == nil && self.ID != m.Self().ID
 }
 
 func (m *Members) onSummary(now time.Time, s bfgossip.Summary) {
--- a/lib/bfroster/order.go
+++ b/lib/bfroster/order.go
@@ -85,9 +85,9 @@
 	Sorted []*Member
 	// Changed maps the hash of each changed member to the member, or to nil if it is no longer
 	// present.
-	Touched map[uint64]*Member
+	Changed map[uint64]*Member
 	// MembershipChanged is set if members were added or removed.
-	Moved bool
+	MembershipChanged bool
 	// Digest identifies the new view.
 	Digest uint64
 }
@@ -99,12 +99,12 @@
 func (o *Order) Next(c Change) *Order {
 	next := &Order{members: slices.Clone(c.Sorted), ranks: o.ranks, services: maps.Clone(o.services), digest: c.Digest}
 	next.alive = o.alive
-	if c.Moved {
+	if c.MembershipChanged {
 		next.ranks = ranksOf(next.members)
 	}
 	changedServices := map[string]bool{}
-	for hash, member := range c.Touched {
-		if rank, found := o.RankOf(hash); found {
+	for hash, member := range c.Changed {
+		if rank, found := o.RankByHash(hash); found {
 			next.alive -= o.members[rank].aliveCount()
 			changedServices[o.members[rank].row.Service] = true
 		}
@@ -114,7 +114,7 @@
 		}
 	}
 	delete(changedServices, "")
-	next.regroup(changedServices, c.Touched)
+	next.regroup(changedServices, c.Changed)
 	return next
 }
 
@@ -158,12 +158,12 @@
 
 // Rank returns the rank of the member with the given ID.
 func (o *Order) Rank(id string) (int, bool) {
-	rank, found := o.RankOf(HashID(id))
+	rank, found := o.RankByHash(HashID(id))
 	return rank, found && o.members[rank].row.ID == id
 }
 
-// RankOf returns the rank of the member whose ID has the given hash.
-func (o *Order) RankOf(hash uint64) (int, bool) {
+// RankByHash returns the rank of the member whose ID has the given hash.
+func (o *Order) RankByHash(hash uint64) (int, bool) {
 	rank, found := o.ranks[hash]
 	return int(rank), found
 }
--- a/lib/bfroster/order_test.go
+++ b/lib/bfroster/order_test.go
@@ -99,7 +99,7 @@
 
 // changeTo returns the change that leads to rows; Sorted and touched share the members.
 func changeTo(rows map[uint64]Row, changed map[uint64]*Member) Change {
-	change := Change{Touched: changed, Moved: true}
+	change := Change{Changed: changed, MembershipChanged: true}
 	for hash, row := range rows {
 		if !row.State.Present() {
 			continue
--- a/lib/bfroster/row.go
+++ b/lib/bfroster/row.go
@@ -112,8 +112,8 @@
 func (e *RowError) Error() string { return fmt.Sprintf("row of %q: %s %s", e.ID, e.Field, e.Reason) }
 
 const (
-	// MaxText is the maximum length of each string field of a row in bytes.
-	MaxText = 96
+	// MaxFieldBytes is the maximum length of each string field of a row in bytes.
+	MaxFieldBytes = 96
 	// MaxSequence is the largest valid sequence number and epoch.
 	MaxSequence = 1 << 60
 	// maxIncarnation leaves a member room to refute its death: no refutation could exceed a
@@ -121,15 +121,15 @@
 	maxIncarnation = 1 << 60
 )
 
-// Check returns a RowError for the first invalid field, or nil.
-func (r Row) Check() error {
+// Validate returns a RowError for the first invalid field, or nil.
+func (r Row) Validate() error {
 	texts := []struct{ field, value string }{
 		{"id", r.ID}, {"region", r.Region}, {"domain", r.Domain},
 		{"service", r.Service}, {"peer", r.Peer}, {"inbound", r.Inbound},
 	}
 	for _, text := range texts {
-		if len(text.value) > MaxText {
-			return &RowError{ID: r.ID[:min(len(r.ID), MaxText)], Field: text.field, Reason: "is too long"}
+		if len(text.value) > MaxFieldBytes {
+			return &RowError{ID: r.ID[:min(len(r.ID), MaxFieldBytes)], Field: text.field, Reason: "is too long"}
 		}
 	}
 	switch {
--- a/lib/bfspread/pull.go
+++ b/lib/bfspread/pull.go
@@ -110,7 +110,7 @@
 		// received an advert from the same member don't all keep asking it.
 		latest := s.pull.sources[n-1]
 		s.pull.sources = s.pull.sources[:n-1]
-		if _, known := s.order.RankOf(latest); known {
+		if _, known := s.order.RankByHash(latest); known {
 			return latest, true
 		}
 	}
--- a/lib/bfspread/push.go
+++ b/lib/bfspread/push.go
@@ -178,7 +178,7 @@
 func (s *Spreader) nextPushRelay(p *pendingPush) (*bfroster.Member, bool) {
 	if n := len(p.tried); n > 0 && !p.resent {
 		p.resent = true
-		if rank, found := s.order.RankOf(p.tried[n-1].Hash); found {
+		if rank, found := s.order.RankByHash(p.tried[n-1].Hash); found {
 			return s.order.At(rank), true
 		}
 	}
--- a/lib/bfspread/spreader.go
+++ b/lib/bfspread/spreader.go
@@ -137,7 +137,7 @@
 // send sends to a member by its hash; if the member isn't in the view, the message
 // goes to the source address of the message it answers.
 func (s *Spreader) send(to uint64, message Message) {
-	rank, found := s.order.RankOf(to)
+	rank, found := s.order.RankByHash(to)
 	if !found {
 		s.emit(Send{To: to, Message: message})
 		return
--- a/lib/bfview/table.go
+++ b/lib/bfview/table.go
@@ -154,7 +154,7 @@
 
 // NextOrder is the order after previous, which the last call returned.
 func (t *Table) NextOrder(previous *bfroster.Order) *bfroster.Order {
-	next := previous.Next(bfroster.Change{Sorted: t.sorted, Touched: t.touched, Moved: t.moved, Digest: t.total})
+	next := previous.Next(bfroster.Change{Sorted: t.sorted, Changed: t.touched, MembershipChanged: t.moved, Digest: t.total})
 	clear(t.touched)
 	t.moved = false
 	return next
