--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -168,8 +168,8 @@
 }
 
 func (n *node) followStore(store *bfdialect.Store) {
-	n.presence = bfpresence.New(bfpresence.Parts{
-		Table: membersTable, Key: n.common.Inbound, Rows: store, Together: n.writeTogether,
+	n.presence = bfpresence.New(bfpresence.Config{
+		Table: membersTable, Key: n.common.Inbound, Rows: store, WriteBatched: n.writeTogether,
 		Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 	n.batcher = bfbatch.New(bfbatch.Config{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
@@ -180,7 +180,7 @@
 	}
 	if n.settings.FirstStart {
 		// The fleet's table is empty: nothing has to be read before the row is written.
-		n.presence.Seen(bfstore.Entry{Key: n.common.Inbound, Removed: true})
+		n.presence.Observe(bfstore.Entry{Key: n.common.Inbound, Removed: true})
 	}
 	n.config = bffollow.New(bffollow.Parts{
 		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, Gather: gatherVersions,
@@ -240,14 +240,14 @@
 // targetChanged has the table of members follow what the target does.
 func (n *node) targetChanged(target *bfhost.Target) {
 	if target == nil {
-		n.presence.Want(nil)
+		n.presence.SetDesired(nil)
 		return
 	}
 	n.logger.Emit(bflog.TargetChanged,
 		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.AcceptsWork()),
 		slog.Int("slots", target.Slots()), slog.String("address", target.Address()), slog.Duration("warm_up_left", target.WarmUpLeft()))
 	if !target.AcceptsWork() || n.ready.leaving.Load() {
-		n.presence.Want(nil)
+		n.presence.SetDesired(nil)
 		return
 	}
 	member := bffleet.Member{
@@ -263,7 +263,7 @@
 		n.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 		return
 	}
-	n.presence.Want(value)
+	n.presence.SetDesired(value)
 }
 
 // recall has the host believe what this node's own row tells of its target.
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -158,7 +158,7 @@
 	s.changed()
 	s.logger.Emit(bflog.FleetChanged, slog.Int("members", s.fleet.Size()), slog.Int("added", len(members)), slog.Int("removed", len(gone)))
 	if ownTold {
-		s.presence.Seen(own)
+		s.presence.Observe(own)
 	}
 }
 
@@ -223,7 +223,7 @@
 func (s *state) seeOwn(revision uint64) {
 	own, found := s.fleet.Member(s.self)
 	if !found {
-		s.presence.Seen(bfstore.Entry{Key: s.self, Removed: true, Revision: revision})
+		s.presence.Observe(bfstore.Entry{Key: s.self, Removed: true, Revision: revision})
 		return
 	}
 	written := own.Revision
@@ -233,7 +233,7 @@
 		s.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 		return
 	}
-	s.presence.Seen(bfstore.Entry{Key: s.self, Value: value, Revision: written})
+	s.presence.Observe(bfstore.Entry{Key: s.self, Value: value, Revision: written})
 }
 
 // VersionAsOf is the store's revision as of which the version in force is the newest one.
--- a/bfnode/internal/bfmesh/state_test.go
+++ b/bfnode/internal/bfmesh/state_test.go
@@ -21,7 +21,7 @@
 	fleet := bffleet.New(bffleet.Place{Inbound: "self", Domain: "nord"})
 	return &state{
 		logger: bflog.Discard(), traffic: bftraffic.NewHolder(nil), fleet: fleet, self: "self", changed: func() {}, recall: func(bffleet.Member) {},
-		presence: bfpresence.New(bfpresence.Parts{Logger: bflog.Discard(), Metrics: bfmetric.New()}),
+		presence: bfpresence.New(bfpresence.Config{Logger: bflog.Discard(), Metrics: bfmetric.New()}),
 	}
 }
 
--- a/bfnode/internal/bfmesh/stop.go
+++ b/bfnode/internal/bfmesh/stop.go
@@ -52,7 +52,7 @@
 		}
 		if passed > closeAfter {
 			n.entry.Close()
-			if n.entry.Active() == 0 && n.host.Running() == 0 && n.presence.Settled() {
+			if n.entry.Active() == 0 && n.host.Running() == 0 && n.presence.InSync() {
 				return
 			}
 		}
--- a/bfnode/internal/bfmesh/stop_test.go
+++ b/bfnode/internal/bfmesh/stop_test.go
@@ -30,15 +30,15 @@
 		Incarnation: "a", Address: "127.0.0.1:3",
 	}.Encode()
 	is.NoErr(err)
-	n.presence.Seen(bfstore.Entry{Key: common.Inbound, Value: row, Revision: 7})
-	is.True(n.presence.Settled())
+	n.presence.Observe(bfstore.Entry{Key: common.Inbound, Value: row, Revision: 7})
+	is.True(n.presence.InSync())
 
 	began := time.Now()
 	n.drain(context.Background())
 	is.True(time.Since(began) < 3*time.Second) // it did not wait for the store
 	is.True(n.host.Leaving())
-	is.True(n.presence.Settled()) // the row is as it should be
+	is.True(n.presence.InSync()) // the row is as it should be
 
 	n.host.HandleDeparture(bfhost.Departure{Incarnation: "a"})
-	is.True(!n.presence.Settled()) // the row has to go
+	is.True(!n.presence.InSync()) // the row has to go
 }
--- a/lib/bfpresence/presence.go
+++ b/lib/bfpresence/presence.go
@@ -14,22 +14,22 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Parts holds the dependencies of a Presence.
-type Parts struct {
+// Config holds the dependencies of a Presence.
+type Config struct {
 	Table string
 	Key   string
 	Rows  bfstore.Rows
 	// WriteBatched writes the row in a batch with rows of other nodes. If it is nil or returns
 	// an error other than ConflictError, the node writes the row directly.
-	Together func(ctx context.Context, write bfstore.RowWrite) (uint64, error)
-	Timer    *bftimer.Service
-	Logger   *bflog.Logger
-	Metrics  *bfmetric.Registry
+	WriteBatched func(ctx context.Context, write bfstore.RowWrite) (uint64, error)
+	Timer        *bftimer.Service
+	Logger       *bflog.Logger
+	Metrics      *bfmetric.Registry
 }
 
 // Presence reconciles one row with its desired value.
 type Presence struct {
-	parts  Parts
+	config Config
 	writes *bfmetric.Counter
 	wake   chan struct{}
 
@@ -45,23 +45,23 @@
 }
 
 // New returns a presence that does not write the row before SetDesired and Observe are called.
-func New(parts Parts) *Presence {
+func New(config Config) *Presence {
 	return &Presence{
-		parts: parts, wake: make(chan struct{}, 1),
-		writes: parts.Metrics.Counter("store_writes_" + parts.Table),
+		config: config, wake: make(chan struct{}, 1),
+		writes: config.Metrics.Counter("store_writes_" + config.Table),
 	}
 }
 
-// Want sets the desired value of the row; nil removes it.
-func (p *Presence) Want(value []byte) {
+// SetDesired sets the desired value of the row; nil removes it.
+func (p *Presence) SetDesired(value []byte) {
 	p.mu.Lock()
 	p.hasDesired, p.desired = true, value
 	p.mu.Unlock()
 	p.notify()
 }
 
-// Seen receives the row's state in the table; Removed is set if it does not exist.
-func (p *Presence) Seen(entry bfstore.Entry) {
+// Observe receives the row's state in the table; Removed is set if it does not exist.
+func (p *Presence) Observe(entry bfstore.Entry) {
 	p.mu.Lock()
 	stale := p.hasObserved && entry.Revision < p.observed.Revision
 	if !stale {
@@ -103,16 +103,16 @@
 		case ctx.Err() != nil:
 			return nil
 		}
-		p.parts.Logger.Emit(bflog.AnnounceError, bflog.Err(err))
-		if p.parts.Timer.Wait(ctx, p.parts.Timer.Jittered(backoff, backoffJitter)()) != nil {
+		p.config.Logger.Emit(bflog.AnnounceError, bflog.Err(err))
+		if p.config.Timer.Wait(ctx, p.config.Timer.Jittered(backoff, backoffJitter)()) != nil {
 			return nil
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// Settled reports whether no write of the row is pending.
-func (p *Presence) Settled() bool {
+// InSync reports whether no write of the row is pending.
+func (p *Presence) InSync() bool {
 	_, _, pending := p.pendingWrite()
 	return !pending
 }
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	p.parts.Logger.Emit(bflog.Announced, slog.Bool("present", desired != nil), slog.Uint64("revision", written.Revision))
+	p.config.Logger.Emit(bflog.Announced, slog.Bool("present", desired != nil), slog.Uint64("revision", written.Revision))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if written.Revision >= p.observed.Revision {
@@ -156,7 +156,7 @@
 
 // write conditionally writes or removes the row.
 func (p *Presence) write(ctx context.Context, desired []byte, observed bfstore.Entry) (bfstore.Entry, error) {
-	write := bfstore.RowWrite{Key: p.parts.Key, Value: desired, Remove: desired == nil, Revision: observed.Revision}
+	write := bfstore.RowWrite{Key: p.config.Key, Value: desired, Remove: desired == nil, Revision: observed.Revision}
 	if observed.Removed {
 		write.Revision = 0
 	}
@@ -168,14 +168,14 @@
 // write but its reply was lost, the direct write fails with a conflict, and the table's
 // follower reports the row.
 func (p *Presence) commit(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
-	if p.parts.Together != nil {
-		revision, err := p.parts.Together(ctx, write)
+	if p.config.WriteBatched != nil {
+		revision, err := p.config.WriteBatched(ctx, write)
 		var conflict *bfstore.ConflictError
 		if err == nil || errors.As(err, &conflict) {
 			return revision, err
 		}
-		p.parts.Logger.Emit(bflog.RowAlone, bflog.Err(err))
+		p.config.Logger.Emit(bflog.RowAlone, bflog.Err(err))
 	}
 	p.writes.Add(1)
-	return p.parts.Rows.Write(ctx, p.parts.Table, write)
+	return p.config.Rows.Write(ctx, p.config.Table, write)
 }
--- a/lib/bfpresence/presence_test.go
+++ b/lib/bfpresence/presence_test.go
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
-		p := New(Parts{Table: "members", Key: "self", Rows: s, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New()})
+		p := New(Config{Table: "members", Key: "self", Rows: s, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New()})
 		group := bfgroup.New(context.Background())
 		group.Go("timer", timer.Run)
 		group.Go("presence", p.Run)
@@ -88,21 +88,21 @@
 
 func TestOneWriteForEachChange(t *testing.T) {
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
-		p.Want([]byte("here"))
+		p.SetDesired([]byte("here"))
 		synctest.Wait()
 		is.Equal(s.count(), 0) // the table has not been read yet
-		p.Seen(s.row())
+		p.Observe(s.row())
 		synctest.Wait()
 		is.Equal(string(s.row().Value), "here")
-		p.Want([]byte("here"))
-		p.Seen(s.row())
+		p.SetDesired([]byte("here"))
+		p.Observe(s.row())
 		synctest.Wait()
 		is.Equal(s.count(), 1)
-		p.Want(nil)
+		p.SetDesired(nil)
 		synctest.Wait()
 		is.True(s.row().Removed)
 		is.Equal(s.count(), 2)
-		is.True(p.Settled())
+		is.True(p.InSync())
 	})
 }
 
@@ -111,10 +111,10 @@
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		_, err := s.MemoryRows.Put(context.Background(), "members", "self", []byte("here"), 0)
 		is.NoErr(err)
-		p.Seen(s.row())
+		p.Observe(s.row())
 		synctest.Wait()
 		is.True(!s.row().Removed) // no desired value is set, so nothing is removed
-		p.Want([]byte("here"))
+		p.SetDesired([]byte("here"))
 		synctest.Wait()
 		is.Equal(s.count(), 0)
 	})
@@ -124,9 +124,9 @@
 // of its recovery.
 func TestStoreOutage(t *testing.T) {
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
-		p.Seen(s.row())
+		p.Observe(s.row())
 		s.set(true, false)
-		p.Want([]byte("here"))
+		p.SetDesired([]byte("here"))
 		time.Sleep(time.Minute)
 		is.True(s.count() < 100)
 		s.set(false, false)
@@ -139,13 +139,13 @@
 // although the node never received its revision.
 func TestLostReplyThenRemoval(t *testing.T) {
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
-		p.Seen(s.row())
+		p.Observe(s.row())
 		s.set(false, true)
-		p.Want([]byte("here"))
+		p.SetDesired([]byte("here"))
 		synctest.Wait()
 		s.set(false, false)
-		p.Want(nil)
-		p.Seen(s.row()) // as reported by the table's follower
+		p.SetDesired(nil)
+		p.Observe(s.row()) // as reported by the table's follower
 		time.Sleep(2 * time.Second)
 		is.True(s.row().Removed)
 		// The store makes the lost write a second time; its condition no longer holds.
@@ -158,11 +158,11 @@
 // be restored.
 func TestRowRemovedByPeerIsRestored(t *testing.T) {
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
-		p.Seen(s.row())
-		p.Want([]byte("here"))
+		p.Observe(s.row())
+		p.SetDesired([]byte("here"))
 		synctest.Wait()
 		is.NoErr(s.MemoryRows.Remove(context.Background(), "members", "self", s.row().Revision))
-		p.Seen(bfstore.Entry{Key: "self", Removed: true, Revision: 2})
+		p.Observe(bfstore.Entry{Key: "self", Removed: true, Revision: 2})
 		synctest.Wait()
 		is.Equal(string(s.row().Value), "here")
 	})
@@ -173,11 +173,11 @@
 func TestStaleObservationIsIgnored(t *testing.T) {
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
 		before := s.row()
-		p.Seen(before)
-		p.Want([]byte("here"))
+		p.Observe(before)
+		p.SetDesired([]byte("here"))
 		synctest.Wait()
 		is.Equal(s.count(), 1)
-		p.Seen(before)
+		p.Observe(before)
 		synctest.Wait()
 		is.Equal(s.count(), 1)
 	})
@@ -191,9 +191,9 @@
 			is := is.New(t)
 			s := &store{MemoryRows: bfstore.NewMemoryRows()}
 			timer := bftimer.New(1)
-			p := New(Parts{
+			p := New(Config{
 				Table: "members", Key: "self", Rows: s, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
-				Together: func(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
+				WriteBatched: func(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 					if performed {
 						// The second attempt is a conflict, since the first was made.
 						_, _ = s.MemoryRows.Write(ctx, "members", write)
@@ -204,8 +204,8 @@
 			group := bfgroup.New(context.Background())
 			group.Go("timer", timer.Run)
 			group.Go("presence", p.Run)
-			p.Seen(bfstore.Entry{Key: "self", Removed: true})
-			p.Want([]byte("here"))
+			p.Observe(bfstore.Entry{Key: "self", Removed: true})
+			p.SetDesired([]byte("here"))
 			time.Sleep(time.Second)
 			is.Equal(string(s.row().Value), "here")
 			is.Equal(s.row().Revision, uint64(1))
