--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -81,9 +81,9 @@
 	traffic := bfpeer.NewTraffic(n.metrics)
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, traffic, n.group)
-	n.rumor = bfrumor.New(bfrumor.Parts{
+	n.rumor = bfrumor.New(bfrumor.Config{
 		Self: settings.Listen.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
-		Audience: n.rumorAudience,
+		Recipients: n.rumorAudience,
 	})
 	n.newGuard(minter, directory)
 	n.newTeller()
--- a/bfnode/internal/bfmesh/quarantine.go
+++ b/bfnode/internal/bfmesh/quarantine.go
@@ -11,12 +11,12 @@
 
 // shareQuarantine has the node know what others know of requests under which targets end.
 func (n *node) shareQuarantine() {
-	n.rumor = bfrumor.New(bfrumor.Parts{
+	n.rumor = bfrumor.New(bfrumor.Config{
 		Self: n.common.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
-		Audience: func(own bool) []string { return n.news.Recipients(own) },
+		Recipients: func(own bool) []string { return n.news.Recipients(own) },
 	})
 	n.backup = bfbackup.New(bfbackup.Parts{
-		Table: quarantineTable, Rows: n.store, Book: n.book, Take: n.rumor.Take, First: n.settings.FirstStart,
+		Table: quarantineTable, Rows: n.store, Book: n.book, Take: n.rumor.Merge, First: n.settings.FirstStart,
 		Keeps: func() bool { return n.news.IsFirstSource() }, Timer: n.timer, Logger: n.logger,
 	})
 }
--- a/lib/bfrumor/exchange.go
+++ b/lib/bfrumor/exchange.go
@@ -37,23 +37,23 @@
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Parts holds the dependencies of an Exchange.
-type Parts struct {
+// Config holds the dependencies of an Exchange.
+type Config struct {
 	// Self is the node's address for calls.
 	Self  string
 	Book  *bfquarantine.Book
 	Calls Caller
 	// Recipients returns the peers that records are sent to at once; own is set for this node's
 	// own records, and unset for those received from another node.
-	Audience func(own bool) []string
-	Timer    *bftimer.Service
+	Recipients func(own bool) []string
+	Timer      *bftimer.Service
 	// Spawn starts a goroutine in the node's group.
 	Spawn func(name string, fn func(ctx context.Context) error)
 }
 
 // Exchange keeps the records of a node's book equal to those of other nodes.
 type Exchange struct {
-	parts     Parts
+	config    Config
 	comparing atomic.Bool
 	// wake signals Run that records were received.
 	wake chan struct{}
@@ -65,7 +65,7 @@
 }
 
 // New returns the exchange of a node.
-func New(parts Parts) *Exchange { return &Exchange{parts: parts, wake: make(chan struct{}, 1)} }
+func New(config Config) *Exchange { return &Exchange{config: config, wake: make(chan struct{}, 1)} }
 
 // message is the request of a call.
 type message struct {
@@ -88,22 +88,22 @@
 }
 
 // Digest identifies this node's records; it is piggybacked on messages to other nodes.
-func (e *Exchange) Digest() uint64 { return e.parts.Book.View().Digest() }
+func (e *Exchange) Digest() uint64 { return e.config.Book.View().Digest() }
 
 // Run sends and forwards new records until ctx ends.
 func (e *Exchange) Run(ctx context.Context) error {
-	sweep := e.parts.Timer.Every(func() time.Duration { return sweepInterval }, e.parts.Book.Sweep)
+	sweep := e.config.Timer.Every(func() time.Duration { return sweepInterval }, e.config.Book.Sweep)
 	defer sweep.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-e.parts.Book.Changed():
+		case <-e.config.Book.Changed():
 		case <-e.wake:
 		}
-		sent := e.send(e.parts.Audience(true), e.parts.Book.TakeNews(e.parts.Timer.Now()))
-		sent += e.send(e.parts.Audience(false), e.takeReceived())
-		if e.parts.Timer.Wait(ctx, batchPause+time.Duration(sent)*peerPause) != nil {
+		sent := e.send(e.config.Recipients(true), e.config.Book.TakeNews(e.config.Timer.Now()))
+		sent += e.send(e.config.Recipients(false), e.takeReceived())
+		if e.config.Timer.Wait(ctx, batchPause+time.Duration(sent)*peerPause) != nil {
 			return nil
 		}
 	}
@@ -128,9 +128,9 @@
 		return 0
 	}
 	for _, peer := range peers {
-		e.parts.Spawn("send crash records", func(ctx context.Context) error {
+		e.config.Spawn("send crash records", func(ctx context.Context) error {
 			var ignored reply
-			_ = e.call(ctx, peer, message{Peer: e.parts.Self, Records: data}, &ignored)
+			_ = e.call(ctx, peer, message{Peer: e.config.Self, Records: data}, &ignored)
 			return nil
 		})
 	}
@@ -140,7 +140,7 @@
 func (e *Exchange) call(ctx context.Context, peer string, m message, result *reply) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return e.parts.Calls.Call(ctx, peer, Method, m, result)
+	return e.config.Calls.Call(ctx, peer, Method, m, result)
 }
 
 // handle merges the records of another node's message.
@@ -155,7 +155,7 @@
 	if !m.Compare {
 		return reply{}, nil
 	}
-	data, err := bfcodec.Marshal(e.parts.Book.Records(e.parts.Timer.Now()))
+	data, err := bfcodec.Marshal(e.config.Book.Records(e.config.Timer.Now()))
 	return reply{Records: data}, err
 }
 
@@ -168,13 +168,13 @@
 	if err := bfcodec.Unmarshal(data, "crash records", &records); err != nil {
 		return err
 	}
-	e.Take(records)
+	e.Merge(records)
 	return nil
 }
 
-// Take adds records to the book and forwards those that are new to this node.
-func (e *Exchange) Take(records []bfquarantine.Record) {
-	added := e.parts.Book.Merge(records, e.parts.Timer.Now())
+// Merge adds records to the book and forwards those that are new to this node.
+func (e *Exchange) Merge(records []bfquarantine.Record) {
+	added := e.config.Book.Merge(records, e.config.Timer.Now())
 	if len(added) == 0 {
 		return
 	}
@@ -195,25 +195,25 @@
 	if digest == e.Digest() || !e.comparing.CompareAndSwap(false, true) {
 		return
 	}
-	e.parts.Spawn("compare crash records", func(ctx context.Context) error {
+	e.config.Spawn("compare crash records", func(ctx context.Context) error {
 		defer e.comparing.Store(false)
-		if e.parts.Timer.Wait(ctx, convergeDelay) != nil || digest == e.Digest() {
+		if e.config.Timer.Wait(ctx, convergeDelay) != nil || digest == e.Digest() {
 			return nil
 		}
 		e.compare(ctx, peer)
 		// An error means that the node stops.
-		_ = e.parts.Timer.Wait(ctx, minCompareInterval)
+		_ = e.config.Timer.Wait(ctx, minCompareInterval)
 		return nil
 	})
 }
 
 func (e *Exchange) compare(ctx context.Context, peer string) {
-	data, err := bfcodec.Marshal(e.parts.Book.Records(e.parts.Timer.Now()))
+	data, err := bfcodec.Marshal(e.config.Book.Records(e.config.Timer.Now()))
 	if err != nil {
 		return
 	}
 	var response reply
-	if e.call(ctx, peer, message{Peer: e.parts.Self, Records: data, Compare: true}, &response) == nil {
+	if e.call(ctx, peer, message{Peer: e.config.Self, Records: data, Compare: true}, &response) == nil {
 		// Unreadable records are requested again after the next differing digest.
 		_ = e.merge(response.Records)
 	}
--- a/lib/bfrumor/exchange_test.go
+++ b/lib/bfrumor/exchange_test.go
@@ -74,9 +74,9 @@
 // start runs a node that sends its own records to recipients; a relay also forwards records
 // that it receives.
 func (f *fleet) start(name string, relay bool, recipients ...string) *Exchange {
-	e := New(Parts{
+	e := New(Config{
 		Self: name, Book: bfquarantine.New(name), Calls: caller{f, name}, Timer: f.timer, Spawn: f.group.Go,
-		Audience: func(own bool) []string {
+		Recipients: func(own bool) []string {
 			if own || relay {
 				return recipients
 			}
@@ -93,7 +93,7 @@
 var bad = bfquarantine.KeyOf(bfquarantine.Request{Method: "GET", Host: "h", Target: "/bad"})
 
 func (f *fleet) crash(at *Exchange, name string) {
-	at.parts.Book.Crashed(bfquarantine.CrashOf(name), []bfquarantine.Key{bad}, f.timer.Now())
+	at.config.Book.Crashed(bfquarantine.CrashOf(name), []bfquarantine.Key{bad}, f.timer.Now())
 }
 
 func (f *fleet) eventually(what string, holds func() bool) {
@@ -105,7 +105,7 @@
 	}
 }
 
-func holds(e *Exchange) bool { return e.parts.Book.View().Holds() }
+func holds(e *Exchange) bool { return e.config.Book.View().Holds() }
 
 // Guards against crashes that were each observed by a different node not being added up.
 func TestCrashesSeenByDifferentNodesAddUp(t *testing.T) {
