--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -182,13 +182,13 @@
 		// The fleet's table is empty: nothing has to be read before the row is written.
 		n.presence.Observe(bfstore.Entry{Key: n.common.Inbound, Removed: true})
 	}
-	n.config = bffollow.New(bffollow.Parts{
-		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, Gather: gatherVersions,
-		Due: func() bool { return n.news.ReadsVersions() }, Held: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+	n.config = bffollow.New(bffollow.Config{
+		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, BatchDelay: gatherVersions,
+		ShouldFollow: func() bool { return n.news.ReadsVersions() }, KnownRevision: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
-	n.members = bffollow.New(bffollow.Parts{
-		Table: membersTable, Rows: store, Apply: n.state.applyMembers, Gather: gatherMembers,
-		Due: func() bool { return n.news.ReadsStore() }, Held: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+	n.members = bffollow.New(bffollow.Config{
+		Table: membersTable, Rows: store, Apply: n.state.applyMembers, BatchDelay: gatherMembers,
+		ShouldFollow: func() bool { return n.news.ReadsStore() }, KnownRevision: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 }
 
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -122,7 +122,7 @@
 	var members []bffleet.Member
 	var gone []string
 	own := bfstore.Entry{Key: s.self, Removed: true, Revision: batch.Revision}
-	ownTold := batch.Whole
+	ownTold := batch.Full
 	for _, entry := range batch.Entries {
 		if entry.Key == s.self {
 			own, ownTold = entry, true
@@ -148,7 +148,7 @@
 	if batch.Revision >= s.revision {
 		s.revision = batch.Revision
 		s.listed.mark()
-		if batch.Whole {
+		if batch.Full {
 			s.fleet.Replace(members)
 		} else {
 			s.fleet.Change(members, gone)
--- a/bfnode/internal/bfmesh/state_test.go
+++ b/bfnode/internal/bfmesh/state_test.go
@@ -40,9 +40,9 @@
 func TestListAfterDroppedHistoryCounts(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	s.applyMembers(bffollow.Batch{Whole: true, Entries: []bfstore.Entry{row(t, "a:1", 4), row(t, "b:1", 9)}, Revision: 9})
+	s.applyMembers(bffollow.Batch{Full: true, Entries: []bfstore.Entry{row(t, "a:1", 4), row(t, "b:1", 9)}, Revision: 9})
 	is.Equal(s.fleet.Size(), 2)
-	s.applyMembers(bffollow.Batch{Whole: true, Entries: []bfstore.Entry{row(t, "a:1", 4)}, Revision: 12})
+	s.applyMembers(bffollow.Batch{Full: true, Entries: []bfstore.Entry{row(t, "a:1", 4)}, Revision: 12})
 	is.Equal(s.fleet.Size(), 1)
 	is.Equal(s.Revision(), uint64(12))
 }
@@ -77,9 +77,9 @@
 	}
 	for _, whole := range []bool{false, true} {
 		s := newState()
-		s.applyMembers(bffollow.Batch{Whole: true, Entries: []bfstore.Entry{row(t, "a:1", 4), row(t, "b:1", 9)}, Revision: 9})
+		s.applyMembers(bffollow.Batch{Full: true, Entries: []bfstore.Entry{row(t, "a:1", 4), row(t, "b:1", 9)}, Revision: 9})
 		is.Equal(s.fleet.Size(), 2)
-		s.applyMembers(bffollow.Batch{Whole: whole, Entries: append([]bfstore.Entry{row(t, "b:1", 9)}, bad...), Revision: 14})
+		s.applyMembers(bffollow.Batch{Full: whole, Entries: append([]bfstore.Entry{row(t, "b:1", 9)}, bad...), Revision: 14})
 		is.Equal(s.fleet.Size(), 1)
 		is.Equal(s.fleet.Members()[0].Inbound, "b:1")
 	}
@@ -147,7 +147,7 @@
 	s.recall = func(m bffleet.Member) { recalled = append(recalled, m.Incarnation) }
 	value, err := own.Encode()
 	is.NoErr(err)
-	s.applyMembers(bffollow.Batch{Whole: true, Entries: []bfstore.Entry{row(t, "10.0.0.2:1", 4), {Key: own.Inbound, Value: value, Revision: 5}}, Revision: 5})
+	s.applyMembers(bffollow.Batch{Full: true, Entries: []bfstore.Entry{row(t, "10.0.0.2:1", 4), {Key: own.Inbound, Value: value, Revision: 5}}, Revision: 5})
 	s.ApplyRoster(bfnews.Roster{Revision: 6, Members: []bffleet.Member{own}})
 	is.Equal(recalled, []string{"i-1"})
 	is.True(own.HasTarget())
--- a/lib/bffollow/follow.go
+++ b/lib/bffollow/follow.go
@@ -16,7 +16,7 @@
 // Batch holds rows read from a table.
 type Batch struct {
 	// Full states that Entries are the full table and not only the changed rows.
-	Whole   bool
+	Full    bool
 	Entries []bfstore.Entry
 	// Revision is the store revision at which the rows were read.
 	Revision uint64
@@ -42,30 +42,30 @@
 	wake chan struct{}
 }
 
-// Parts holds the dependencies of a Follower.
-type Parts struct {
+// Config holds the dependencies of a Follower.
+type Config struct {
 	Table string
 	Rows  bfstore.Rows
 	Apply func(Batch)
 	// BatchDelay is the pause after a change, in which further changes are batched to save
 	// calls.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// ShouldFollow reports whether this node should follow the table itself; nil for always.
-	Due func() bool
+	ShouldFollow func() bool
 	// KnownRevision returns the store revision of the rows received from other nodes, 0 for
 	// none; nil if no other node sends them. The follower then reads the changes since that
 	// revision instead of the full table.
-	Held    func() uint64
-	Timer   *bftimer.Service
-	Logger  *bflog.Logger
-	Metrics *bfmetric.Registry
+	KnownRevision func() uint64
+	Timer         *bftimer.Service
+	Logger        *bflog.Logger
+	Metrics       *bfmetric.Registry
 }
 
 // New returns a follower, which Run starts.
-func New(parts Parts) *Follower {
+func New(config Config) *Follower {
 	return &Follower{
-		table: parts.Table, rows: parts.Rows, apply: parts.Apply, batchDelay: parts.Gather, shouldFollow: parts.Due, knownRevision: parts.Held, timer: parts.Timer, logger: parts.Logger,
-		calls: parts.Metrics.Counter("store_reads_" + parts.Table), wake: make(chan struct{}, 1),
+		table: config.Table, rows: config.Rows, apply: config.Apply, batchDelay: config.BatchDelay, shouldFollow: config.ShouldFollow, knownRevision: config.KnownRevision, timer: config.Timer, logger: config.Logger,
+		calls: config.Metrics.Counter("store_reads_" + config.Table), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -174,7 +174,7 @@
 			return at, false, err
 		}
 		f.logger.Emit(bflog.StoreListed, slog.String("table", f.table), slog.Int("rows", len(entries)), slog.Uint64("revision", revision))
-		f.apply(Batch{Whole: true, Entries: entries, Revision: revision})
+		f.apply(Batch{Full: true, Entries: entries, Revision: revision})
 		return position{listed: true, after: revision}, false, nil
 	}
 	entries, revision, err := f.rows.Changes(ctx, f.table, at.after, wait)
--- a/lib/bffollow/follow_test.go
+++ b/lib/bffollow/follow_test.go
@@ -95,12 +95,12 @@
 		var mu sync.Mutex
 		rows := map[string]string{}
 		timer := bftimer.New(1)
-		f := New(Parts{
-			Table: "t", Rows: store, Gather: batchDelay, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
+		f := New(Config{
+			Table: "t", Rows: store, BatchDelay: batchDelay, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 			Apply: func(b Batch) {
 				mu.Lock()
 				defer mu.Unlock()
-				if b.Whole {
+				if b.Full {
 					clear(rows)
 				}
 				for _, e := range b.Entries {
@@ -246,8 +246,8 @@
 		var shouldFollow atomic.Bool
 		var knownRevision atomic.Uint64
 		var read atomic.Int32
-		f := New(Parts{
-			Table: "t", Rows: store, Apply: func(b Batch) { read.Add(int32(len(b.Entries))) }, Due: shouldFollow.Load, Held: knownRevision.Load,
+		f := New(Config{
+			Table: "t", Rows: store, Apply: func(b Batch) { read.Add(int32(len(b.Entries))) }, ShouldFollow: shouldFollow.Load, KnownRevision: knownRevision.Load,
 			Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		})
 		group := bfgroup.New(context.Background())
@@ -281,8 +281,8 @@
 		is := is.New(t)
 		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
-		f := New(Parts{
-			Table: "t", Rows: store, Apply: func(Batch) {}, Held: func() uint64 { return 0 },
+		f := New(Config{
+			Table: "t", Rows: store, Apply: func(Batch) {}, KnownRevision: func() uint64 { return 0 },
 			Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		})
 		group := bfgroup.New(context.Background())
@@ -304,8 +304,8 @@
 		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 		timer := bftimer.New(1)
 		var shouldFollow atomic.Bool
-		f := New(Parts{
-			Table: "t", Rows: store, Apply: func(Batch) {}, Due: shouldFollow.Load,
+		f := New(Config{
+			Table: "t", Rows: store, Apply: func(Batch) {}, ShouldFollow: shouldFollow.Load,
 			Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		})
 		group := bfgroup.New(context.Background())
