--- a/lib/bfbackend/census_test.go
+++ b/lib/bfbackend/census_test.go
@@ -86,7 +86,7 @@
 		tally: bfcount.Tally{
 			Versions: []bfcount.VersionCount{{Version: 6, Members: 1}, {Version: 7, Members: 2}},
 			Domains:  []bfcount.DomainCount{{Domain: "nord", Members: 2, Oldest: 6}, {Domain: "princes", Members: 1, Oldest: 7}},
-			Lacks:    []bfcount.Lack{{Domain: "sued", Members: 1}},
+			Lacks:    []bfcount.UnreachableCount{{Domain: "sued", Members: 1}},
 		},
 	}})
 }
--- a/lib/bfcount/action.go
+++ b/lib/bfcount/action.go
@@ -5,16 +5,16 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// Question requests the tally of the members in Range.
-type Question struct {
+// Query requests the tally of the members in Range.
+type Query struct {
 	From  uint64       `cbor:"1,keyasint"`
 	Nonce uint32       `cbor:"2,keyasint"`
 	Range bfspan.Range `cbor:"3,keyasint,omitzero"`
 	Wait  uint32       `cbor:"4,keyasint"` // milliseconds
 }
 
-// Answer is the tally of the members in a query's range.
-type Answer struct {
+// Response is the tally of the members in a query's range.
+type Response struct {
 	Nonce uint32 `cbor:"1,keyasint"`
 	Tally Tally  `cbor:"2,keyasint"`
 }
@@ -22,16 +22,16 @@
 // Action is a side effect that the node must perform; the set of actions is sealed.
 type Action interface{ isAction() }
 
-// Ask sends a query to a relay.
-type Ask struct {
-	Relay    *bfroster.Member
-	Question Question
+// SendQuery sends a query to a relay.
+type SendQuery struct {
+	Relay *bfroster.Member
+	Query Query
 }
 
-// Reply sends a response to the member that sent the query, identified by its hash.
-type Reply struct {
-	To     uint64
-	Answer Answer
+// SendResponse sends a response to the member that sent the query, identified by its hash.
+type SendResponse struct {
+	To       uint64
+	Response Response
 }
 
 // Done is the result of a census that this node's own operator started.
@@ -40,6 +40,6 @@
 	Tally Tally
 }
 
-func (Ask) isAction()   {}
-func (Reply) isAction() {}
-func (Done) isAction()  {}
+func (SendQuery) isAction()    {}
+func (SendResponse) isAction() {}
+func (Done) isAction()         {}
--- a/lib/bfcount/counter.go
+++ b/lib/bfcount/counter.go
@@ -81,25 +81,25 @@
 	return id, c.start(now, &activeCensus{id: id, wait: wait}, bfspan.Span{})
 }
 
-// Asked starts the census that another node requested.
-func (c *Counter) Asked(now time.Time, q Question) []Action {
+// HandleQuery starts the census that another node requested.
+func (c *Counter) HandleQuery(now time.Time, q Query) []Action {
 	wait := min(time.Duration(q.Wait)*time.Millisecond, maxWait)
 	requested := &activeCensus{id: c.fleet.NewNonce(), requester: q.From, nonce: q.Nonce, wait: wait}
 	return c.start(now, requested, q.Range.Span(c.self))
 }
 
-// Answered adds the first response for a part; a late one from a relay that timed out is
+// HandleResponse adds the first response for a part; a late one from a relay that timed out is
 // dropped, so that no member is counted twice.
-func (c *Counter) Answered(answer Answer) []Action {
+func (c *Counter) HandleResponse(response Response) []Action {
 	c.out = nil
-	id, waiting := c.pending[answer.Nonce]
+	id, waiting := c.pending[response.Nonce]
 	if !waiting {
 		return nil
 	}
-	delete(c.pending, answer.Nonce)
+	delete(c.pending, response.Nonce)
 	current := c.censuses[id]
-	delete(current.parts, answer.Nonce)
-	current.tally.merge(answer.Tally)
+	delete(current.parts, response.Nonce)
+	current.tally.merge(response.Tally)
 	c.finishIfComplete(current)
 	return c.out
 }
@@ -166,7 +166,7 @@
 	nonce := c.fleet.NewNonce()
 	current.parts[nonce] = p
 	c.pending[nonce] = current.id
-	c.out = append(c.out, Ask{Relay: relay, Question: Question{
+	c.out = append(c.out, SendQuery{Relay: relay, Query: Query{
 		From: c.self.Hash, Nonce: nonce, Range: p.span.Range(relay.Key()), Wait: uint32(wait.Milliseconds()),
 	}})
 }
@@ -176,7 +176,7 @@
 	order := c.fleet.Order()
 	low, high := over.Ranks(order)
 	for rank := low; rank < high; rank++ {
-		current.tally.addUnreachable(Lack{Domain: order.At(rank).Key().Domain, Members: 1})
+		current.tally.addUnreachable(UnreachableCount{Domain: order.At(rank).Key().Domain, Members: 1})
 	}
 }
 
@@ -189,5 +189,5 @@
 		c.out = append(c.out, Done{ID: current.id, Tally: current.tally})
 		return
 	}
-	c.out = append(c.out, Reply{To: current.requester, Answer: Answer{Nonce: current.nonce, Tally: current.tally}})
+	c.out = append(c.out, SendResponse{To: current.requester, Response: Response{Nonce: current.nonce, Tally: current.tally}})
 }
--- a/lib/bfcount/counter_test.go
+++ b/lib/bfcount/counter_test.go
@@ -98,10 +98,10 @@
 func (w *world) perform(n *node, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Ask:
-			w.send(n, w.nodes[a.Relay.Key().Hash], func(to *node, now time.Time) []Action { return to.counter.Asked(now, a.Question) })
-		case Reply:
-			w.send(n, w.nodes[a.To], func(to *node, _ time.Time) []Action { return to.counter.Answered(a.Answer) })
+		case SendQuery:
+			w.send(n, w.nodes[a.Relay.Key().Hash], func(to *node, now time.Time) []Action { return to.counter.HandleQuery(now, a.Query) })
+		case SendResponse:
+			w.send(n, w.nodes[a.To], func(to *node, _ time.Time) []Action { return to.counter.HandleResponse(a.Response) })
 		case Done:
 			w.done = append(w.done, a)
 		}
--- a/lib/bfcount/tally.go
+++ b/lib/bfcount/tally.go
@@ -13,7 +13,7 @@
 	Versions []VersionCount `cbor:"1,keyasint,omitempty"`
 	Domains  []DomainCount  `cbor:"2,keyasint,omitempty"`
 	// Lacks counts the members without a response in time.
-	Lacks []Lack `cbor:"3,keyasint,omitempty"`
+	Lacks []UnreachableCount `cbor:"3,keyasint,omitempty"`
 }
 
 // VersionCount is the number of members that have a version in force.
@@ -29,9 +29,9 @@
 	Oldest  bfconfig.Version `cbor:"3,keyasint"`
 }
 
-// Lack is the number of members of a domain without a response, by the querying
+// UnreachableCount is the number of members of a domain without a response, by the querying
 // node's view.
-type Lack struct {
+type UnreachableCount struct {
 	Domain  string `cbor:"1,keyasint"`
 	Members int    `cbor:"2,keyasint"`
 }
@@ -94,8 +94,8 @@
 	t.Domains[i].Oldest = min(t.Domains[i].Oldest, d.Oldest)
 }
 
-func (t *Tally) addUnreachable(l Lack) {
-	i, found := slices.BinarySearchFunc(t.Lacks, l, func(a, b Lack) int { return cmp.Compare(a.Domain, b.Domain) })
+func (t *Tally) addUnreachable(l UnreachableCount) {
+	i, found := slices.BinarySearchFunc(t.Lacks, l, func(a, b UnreachableCount) int { return cmp.Compare(a.Domain, b.Domain) })
 	if !found {
 		t.Lacks = slices.Insert(t.Lacks, i, l)
 		return
--- a/lib/bfspread/census.go
+++ b/lib/bfspread/census.go
@@ -25,10 +25,10 @@
 func (s *Spreader) doCounterActions(actions []bfcount.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case bfcount.Ask:
-			s.emit(sendTo(action.Relay, Census(action.Question)))
-		case bfcount.Reply:
-			s.send(action.To, CensusAnswer(action.Answer))
+		case bfcount.SendQuery:
+			s.emit(sendTo(action.Relay, Census(action.Query)))
+		case bfcount.SendResponse:
+			s.send(action.To, CensusAnswer(action.Response))
 		case bfcount.Done:
 			s.emit(CensusDone{ID: action.ID, Tally: action.Tally})
 		}
--- a/lib/bfspread/message.go
+++ b/lib/bfspread/message.go
@@ -67,10 +67,10 @@
 }
 
 // Census requests the number of members of a range by version in force.
-type Census bfcount.Question
+type Census bfcount.Query
 
 // CensusAnswer answers a Census.
-type CensusAnswer bfcount.Answer
+type CensusAnswer bfcount.Response
 
 // The first byte of an encoded message is its kind; 16 to 31 belong to this package.
 const (
--- a/lib/bfspread/spreader.go
+++ b/lib/bfspread/spreader.go
@@ -123,9 +123,9 @@
 	case Busy:
 		s.onBusy(now, from, message)
 	case Census:
-		s.doCounterActions(s.counter.Asked(now, bfcount.Question(message)))
+		s.doCounterActions(s.counter.HandleQuery(now, bfcount.Query(message)))
 	case CensusAnswer:
-		s.doCounterActions(s.counter.Answered(bfcount.Answer(message)))
+		s.doCounterActions(s.counter.HandleResponse(bfcount.Response(message)))
 	}
 	return s.out
 }
--- a/lib/bfspread/spreader_test.go
+++ b/lib/bfspread/spreader_test.go
@@ -232,7 +232,7 @@
 	tally := w.nodes[0].tally
 	is.True(tally != nil)
 	is.Equal(tally.Members()+tally.Unreachable(), 90)
-	is.Equal(tally.Lacks, []bfcount.Lack{{Domain: "domain-01", Members: 2}})
+	is.Equal(tally.Lacks, []bfcount.UnreachableCount{{Domain: "domain-01", Members: 2}})
 	is.Equal(tally.Oldest(), bfconfig.Version(0))
 	t.Logf("%d messages for 90 nodes", w.messages-messages)
 }
--- a/lib/bfspread/wire_test.go
+++ b/lib/bfspread/wire_test.go
@@ -22,7 +22,7 @@
 	deltas := [][]byte{{1, 2}, {3}}
 	tally := bfcount.Tally{
 		Versions: []bfcount.VersionCount{{Version: 41, Members: 2}, {Version: 42, Members: 3}},
-		Domains:  []bfcount.DomainCount{{Domain: "wien-nord", Members: 5, Oldest: 41}}, Lacks: []bfcount.Lack{{Domain: "wien-sued", Members: 1}},
+		Domains:  []bfcount.DomainCount{{Domain: "wien-nord", Members: 5, Oldest: 41}}, Lacks: []bfcount.UnreachableCount{{Domain: "wien-sued", Members: 1}},
 	}
 	messages := []Message{
 		Push{From: 1, Nonce: 1, Deltas: deltas, Range: bfspan.Range{Scope: bfspan.ScopeFleet, From: from, To: to}, Head: head},
