--- a/lib/bfbackend/backend.go
+++ b/lib/bfbackend/backend.go
@@ -31,11 +31,11 @@
 	Order() *bfroster.Order
 	// KnownVersions returns, by the hash of each member, the newest version that it is known to
 	// hold and the age of that information.
-	Heard(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error)
+	KnownVersions(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error)
 	// Census counts the versions in force on the whole fleet.
 	Census(ctx context.Context, wait time.Duration) (bfcount.Tally, error)
 	// PublishDelta sends the delta of a version that this node committed to the fleet.
-	Committed(ctx context.Context, delta []byte) error
+	PublishDelta(ctx context.Context, delta []byte) error
 }
 
 // Parts holds the dependencies of a Backend.
--- a/lib/bfbackend/backend_test.go
+++ b/lib/bfbackend/backend_test.go
@@ -26,13 +26,13 @@
 func (f *fakeControl) State() *bfconfig.State { return f.state }
 func (f *fakeControl) View() *bfroute.View    { return nil }
 func (f *fakeControl) Order() *bfroster.Order { return bfroster.NewOrder(nil) }
-func (f *fakeControl) Heard(context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
+func (f *fakeControl) KnownVersions(context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
 	return nil, nil, nil
 }
 func (f *fakeControl) Census(context.Context, time.Duration) (bfcount.Tally, error) {
 	return bfcount.Tally{}, nil
 }
-func (f *fakeControl) Committed(_ context.Context, data []byte) error {
+func (f *fakeControl) PublishDelta(_ context.Context, data []byte) error {
 	delta, err := bfconfig.DecodeDelta(data)
 	if err == nil {
 		f.state, err = f.state.Apply(delta)
--- a/lib/bfbackend/confirm.go
+++ b/lib/bfbackend/confirm.go
@@ -117,7 +117,7 @@
 		slog.String("author", author), slog.String("change", o.Delta.Change().ID()))
 	data, err := o.Delta.Encode()
 	if err == nil {
-		err = b.parts.Control.Committed(ctx, data)
+		err = b.parts.Control.PublishDelta(ctx, data)
 	}
 	if err != nil {
 		// The version is in the table: the next node that reads the head publishes it.
--- a/lib/bfbackend/fleet.go
+++ b/lib/bfbackend/fleet.go
@@ -48,7 +48,7 @@
 
 // Nodes lists the nodes with the newest version that each is known to hold.
 func (b *Backend) Nodes(ctx context.Context) ([]bfquery.Node, error) {
-	versions, ages, err := b.parts.Control.Heard(ctx)
+	versions, ages, err := b.parts.Control.KnownVersions(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/lib/bfcontrol/ask.go
+++ b/lib/bfcontrol/ask.go
@@ -9,8 +9,8 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Committed tells of a version that this node's commit made.
-func (c *Control) Committed(ctx context.Context, delta []byte) error {
+// PublishDelta tells of a version that this node's commit made.
+func (c *Control) PublishDelta(ctx context.Context, delta []byte) error {
 	return c.loop.Ask(ctx, func(now time.Time) { c.spreadActions(now, "", c.spreader.Committed(now, delta)) })
 }
 
@@ -33,8 +33,8 @@
 	}
 }
 
-// Heard tells the newest version each member was heard to hold, and how long ago.
-func (c *Control) Heard(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
+// KnownVersions tells the newest version each member was heard to hold, and how long ago.
+func (c *Control) KnownVersions(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
 	versions, ages := map[uint64]bfconfig.Version{}, map[uint64]time.Duration{}
 	err := c.loop.Ask(ctx, func(now time.Time) {
 		for hash, head := range c.heard {
--- a/lib/bfcontrol/world_test.go
+++ b/lib/bfcontrol/world_test.go
@@ -195,7 +195,7 @@
 		{Key: bfcommit.HeadKey, Value: head.Encode()}, {Key: bfcommit.VersionKey(next.Version()), Value: encoded},
 	}}))
 	if from != "" {
-		w.is.NoErr(w.node(from).control.Committed(w.t.Context(), encoded))
+		w.is.NoErr(w.node(from).control.PublishDelta(w.t.Context(), encoded))
 	}
 }
 
