--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -154,7 +154,7 @@
 	maps.Copy(methods, n.control.Methods())
 	maps.Copy(methods, n.guard.Methods())
 	maps.Copy(methods, n.rumor.Methods())
-	maps.Copy(methods, bfbackend.Methods(n.guard.DrainTarget))
+	maps.Copy(methods, bfbackend.DrainMethods(n.guard.DrainTarget))
 	maps.Copy(methods, bfbackend.InForceMethods(n.control.View))
 	return nil
 }
@@ -177,7 +177,7 @@
 }
 
 func (n *node) newOperator(directory *bfdirectory.Directory) {
-	backend := bfbackend.New(bfbackend.Parts{
+	backend := bfbackend.New(bfbackend.Config{
 		Control: n.control, Table: n.platform, Objects: n.platform, Directory: directory, Calls: n.calls,
 		Quarantine: n.book, Timer: n.timer, Logger: n.logger, SnapshotEvery: bfconfig.Version(n.settings.SnapshotEvery), Spawn: n.group.Go,
 	})
--- a/lib/bfbackend/backend.go
+++ b/lib/bfbackend/backend.go
@@ -38,8 +38,8 @@
 	PublishDelta(ctx context.Context, delta []byte) error
 }
 
-// Parts holds the dependencies of a Backend.
-type Parts struct {
+// Config holds the dependencies of a Backend.
+type Config struct {
 	Control   Control
 	Table     bfstore.Table
 	Objects   bfstore.Objects
@@ -57,7 +57,7 @@
 
 // Backend implements bfquery.Backend on a node.
 type Backend struct {
-	parts  Parts
+	config Config
 	clock  bfcommit.TimerClock
 	limits bfcommit.Limits
 }
@@ -65,12 +65,12 @@
 var _ bfquery.Backend = (*Backend)(nil)
 
 // New returns the backend of a node.
-func New(parts Parts) *Backend {
-	return &Backend{parts: parts, clock: bfcommit.TimerClock{Service: parts.Timer}, limits: bfcommit.DefaultLimits()}
+func New(config Config) *Backend {
+	return &Backend{config: config, clock: bfcommit.TimerClock{Service: config.Timer}, limits: bfcommit.DefaultLimits()}
 }
 
 // Now returns the time of the node's clock.
-func (b *Backend) Now() time.Time { return b.parts.Timer.Now() }
+func (b *Backend) Now() time.Time { return b.config.Timer.Now() }
 
 // Wait returns after d, or earlier with the context's error.
 func (b *Backend) Wait(ctx context.Context, d time.Duration) error {
@@ -86,7 +86,7 @@
 }
 
 // started reports whether the node has a version in force.
-func (b *Backend) started() bool { return b.parts.Control.View() != nil }
+func (b *Backend) started() bool { return b.config.Control.View() != nil }
 
 // State returns the newest version that the node holds.
-func (b *Backend) State() *bfconfig.State { return b.parts.Control.State() }
+func (b *Backend) State() *bfconfig.State { return b.config.Control.State() }
--- a/lib/bfbackend/backend_test.go
+++ b/lib/bfbackend/backend_test.go
@@ -70,7 +70,7 @@
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
 	t.Cleanup(func() { group.Cancel(); _ = group.Wait() })
-	return New(Parts{
+	return New(Config{
 		Control: &fakeControl{state: bfconfig.Empty()}, Table: table, Objects: objects, Timer: timer,
 		Logger: bflog.Discard(), SnapshotEvery: 2, Spawn: group.Go,
 	})
@@ -161,7 +161,7 @@
 	memory := bfstore.NewMemory()
 	b := newBackend(t, memory, memory)
 	stage(t, b, "a", "s1")
-	b.parts.Table = lostReplies{memory}
+	b.config.Table = lostReplies{memory}
 	outcome, err := b.Confirm(ctx, "a", "c1", "anna")
 	is.NoErr(err)
 	is.Equal(outcome, bfquery.NotAccepted{Reason: "no commit was attempted: the platform's responses are being lost"})
--- a/lib/bfbackend/census.go
+++ b/lib/bfbackend/census.go
@@ -25,11 +25,11 @@
 	if at, isNode := scope.(bfsyntax.AtNode); isNode {
 		return b.censusOfNode(ctx, at.Instance)
 	}
-	domains := domainsInScope(b.parts.Control.Order(), scope)
+	domains := domainsInScope(b.config.Control.Order(), scope)
 	if len(domains) == 0 {
 		return bfcensus.Census{}, &bfquery.NoMembersError{Scope: scope}
 	}
-	tally, err := b.parts.Control.Census(ctx, censusWait)
+	tally, err := b.config.Control.Census(ctx, censusWait)
 	if err != nil {
 		return bfcensus.Census{}, err
 	}
@@ -126,7 +126,7 @@
 // censusOfNode queries the node itself: the version known here is the one that the node holds,
 // which takes effect there a moment later.
 func (b *Backend) censusOfNode(ctx context.Context, instance string) (bfcensus.Census, error) {
-	order := b.parts.Control.Order()
+	order := b.config.Control.Order()
 	rank, found := order.Rank(instance)
 	if !found {
 		return bfcensus.Census{}, &bfquery.NoInstanceError{Instance: instance}
@@ -144,11 +144,11 @@
 }
 
 func (b *Backend) queryInForce(ctx context.Context, row *bfroster.Row) (*inForceReply, error) {
-	if row.ID == b.parts.Control.Self() {
-		return newInForceReply(b.parts.Control.View()), nil
+	if row.ID == b.config.Control.Self() {
+		return newInForceReply(b.config.Control.View()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, censusWait)
 	defer cancel()
 	reply := &inForceReply{}
-	return reply, b.parts.Calls.Call(ctx, row.Peer, inForceMethod, &inForceRequest{}, reply)
+	return reply, b.config.Calls.Call(ctx, row.Peer, inForceMethod, &inForceRequest{}, reply)
 }
--- a/lib/bfbackend/census_test.go
+++ b/lib/bfbackend/census_test.go
@@ -77,7 +77,7 @@
 	group := bfgroup.New(context.Background())
 	calls := bfpeer.NewCalls(bfpeer.Methods{}, bfpeer.NewTraffic(bfmetric.New()), group)
 	t.Cleanup(func() { calls.CloseAll(); group.Cancel(); _ = group.Wait() })
-	return New(Parts{Calls: calls, Directory: bfdirectory.New("nord"), Control: &fleetControl{
+	return New(Config{Calls: calls, Directory: bfdirectory.New("nord"), Control: &fleetControl{
 		order: bfroster.NewOrder([]bfroster.Row{
 			member("n1", "vienna", "nord", "127.0.0.1:1"), member("n2", "vienna", "nord", startPeer(t, viewOf(t, 6))),
 			member("n3", "vienna", "sued", closed.Addr().String()), member("n4", "hobart", "princes", startPeer(t, nil)),
--- a/lib/bfbackend/confirm.go
+++ b/lib/bfbackend/confirm.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	attempt := bfcommit.NewConfirm(changeID, b.State(), b.limits)
-	outcome := bfcommit.Run(ctx, b.parts.Table, attempt, b.clock)
+	outcome := bfcommit.Run(ctx, b.config.Table, attempt, b.clock)
 	return b.confirmOutcome(ctx, name, confirmID, author, outcome)
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return "", err
 	}
-	err = b.parts.Table.Commit(ctx, bfstore.Transaction{
+	err = b.config.Table.Commit(ctx, bfstore.Transaction{
 		Conditions: []bfstore.Condition{{Key: confirmKey(confirmID)}},
 		Writes:     []bfstore.Write{{Key: confirmKey(confirmID), Value: []byte(staged.ID())}},
 	})
@@ -65,7 +65,7 @@
 // boundChange returns the ID of the change that the confirm is bound to, empty if it is not
 // bound.
 func (b *Backend) boundChange(ctx context.Context, confirmID string) (string, error) {
-	rows, err := b.parts.Table.Get(ctx, confirmKey(confirmID))
+	rows, err := b.config.Table.Get(ctx, confirmKey(confirmID))
 	if err != nil {
 		return "", err
 	}
@@ -106,24 +106,24 @@
 	case bfcommit.NotAccepted:
 		return bfquery.NotAccepted{Reason: o.Reason.Error(), RetryAfter: o.RetryAfter}, nil
 	case bfcommit.Unknown:
-		b.parts.Logger.Emit(bflog.CommitUnknown, slog.String("change", o.ID), bflog.Err(o.Reason))
+		b.config.Logger.Emit(bflog.CommitUnknown, slog.String("change", o.ID), bflog.Err(o.Reason))
 	}
 	return bfquery.Unknown{ChangeID: confirmID}, nil
 }
 
 // afterCommit publishes the version and writes a snapshot if one is due.
 func (b *Backend) afterCommit(ctx context.Context, name, author string, o bfcommit.Committed) {
-	b.parts.Logger.Emit(bflog.VersionCommitted, slog.Uint64("version", uint64(o.Version)),
+	b.config.Logger.Emit(bflog.VersionCommitted, slog.Uint64("version", uint64(o.Version)),
 		slog.String("author", author), slog.String("change", o.Delta.Change().ID()))
 	data, err := o.Delta.Encode()
 	if err == nil {
-		err = b.parts.Control.PublishDelta(ctx, data)
+		err = b.config.Control.PublishDelta(ctx, data)
 	}
 	if err != nil {
 		// The version is in the table: the next node that reads the head publishes it.
-		b.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+		b.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
-	b.parts.Spawn("clean up after commit", func(ctx context.Context) error {
+	b.config.Spawn("clean up after commit", func(ctx context.Context) error {
 		b.freeName(ctx, name, o.Delta.Change().ID())
 		b.snapshot(ctx, o)
 		return nil
@@ -133,26 +133,26 @@
 // freeName removes the name's row if it still refers to the committed change. A row that
 // remains is harmless: its change no longer exists, so the name is free.
 func (b *Backend) freeName(ctx context.Context, name, changeID string) {
-	rows, err := b.parts.Table.Get(ctx, nameKey(name))
+	rows, err := b.config.Table.Get(ctx, nameKey(name))
 	if err != nil || rows[0].Revision == 0 || string(rows[0].Value) != changeID {
 		return
 	}
-	_ = b.parts.Table.Commit(ctx, bfstore.Transaction{
+	_ = b.config.Table.Commit(ctx, bfstore.Transaction{
 		Conditions: []bfstore.Condition{{Key: rows[0].Key, Revision: rows[0].Revision}},
 		Writes:     []bfstore.Write{{Key: rows[0].Key, Remove: true}},
 	})
 }
 
 func (b *Backend) snapshot(ctx context.Context, o bfcommit.Committed) {
-	if !bfcommit.WritesSnapshot(o.Version, b.parts.SnapshotEvery) {
+	if !bfcommit.WritesSnapshot(o.Version, b.config.SnapshotEvery) {
 		return
 	}
 	data, err := o.State.EncodeSnapshot()
 	if err != nil {
-		b.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+		b.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 		return
 	}
-	if err := b.parts.Objects.PutObject(ctx, bfcommit.SnapshotKey(o.Version), data); err != nil {
-		b.parts.Logger.Emit(bflog.SnapshotUnusable, slog.Uint64("version", uint64(o.Version)), bflog.Err(err))
+	if err := b.config.Objects.PutObject(ctx, bfcommit.SnapshotKey(o.Version), data); err != nil {
+		b.config.Logger.Emit(bflog.SnapshotUnusable, slog.Uint64("version", uint64(o.Version)), bflog.Err(err))
 	}
 }
--- a/lib/bfbackend/drain.go
+++ b/lib/bfbackend/drain.go
@@ -19,8 +19,8 @@
 
 type drainReply struct{}
 
-// Methods returns the call by which other nodes drain this node's target.
-func Methods(drain func()) bfpeer.Methods {
+// DrainMethods returns the call by which other nodes drain this node's target.
+func DrainMethods(drain func()) bfpeer.Methods {
 	return bfpeer.Methods{drainMethod: {
 		Purpose: bfpeer.Operators,
 		Handle: func(context.Context, json.RawMessage) (any, error) {
@@ -32,11 +32,11 @@
 
 // Drain makes the target of an instance leave.
 func (b *Backend) Drain(ctx context.Context, instance string) error {
-	member, found := b.parts.Directory.Member(instance)
+	member, found := b.config.Directory.Member(instance)
 	if !found {
 		return &bfquery.NoInstanceError{Instance: instance}
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	return b.parts.Calls.Call(ctx, member.Peer, drainMethod, &drainRequest{}, &drainReply{})
+	return b.config.Calls.Call(ctx, member.Peer, drainMethod, &drainRequest{}, &drainReply{})
 }
--- a/lib/bfbackend/explain.go
+++ b/lib/bfbackend/explain.go
@@ -14,7 +14,7 @@
 
 // Explain returns how a request would be routed and under which policy.
 func (b *Backend) Explain(_ context.Context, request bfquery.ExplainRequest) (bfquery.Explanation, error) {
-	view := b.parts.Control.View()
+	view := b.config.Control.View()
 	if view == nil {
 		return bfquery.Explanation{}, &bfquery.NotStartedError{}
 	}
@@ -67,9 +67,9 @@
 }
 
 func (b *Backend) candidates(service string) []bfquery.Candidate {
-	order := b.parts.Control.Order()
+	order := b.config.Control.Order()
 	var list []bfquery.Candidate
-	for _, member := range b.parts.Directory.Targets(service) {
+	for _, member := range b.config.Directory.Targets(service) {
 		rank, found := order.Rank(member.ID)
 		if !found {
 			continue
--- a/lib/bfbackend/fleet.go
+++ b/lib/bfbackend/fleet.go
@@ -9,7 +9,7 @@
 
 // Members lists the members that the node knows.
 func (b *Backend) Members(context.Context) ([]bfquery.Member, error) {
-	order := b.parts.Control.Order()
+	order := b.config.Control.Order()
 	list := make([]bfquery.Member, 0, order.Len())
 	for rank := range order.Len() {
 		row := order.At(rank).Row()
@@ -23,7 +23,7 @@
 
 // Targets lists the targets that the node knows.
 func (b *Backend) Targets(context.Context) ([]bfquery.Target, error) {
-	order := b.parts.Control.Order()
+	order := b.config.Control.Order()
 	var list []bfquery.Target
 	for rank := range order.Len() {
 		if row := order.At(rank).Row(); row.Target != bfroster.TargetNone {
@@ -38,7 +38,7 @@
 	target := bfquery.Target{
 		Instance: row.ID, Service: row.Service, Domain: row.Domain, State: row.Target.String(), Slots: int(row.Slots),
 	}
-	if chooser := b.parts.Directory.Chooser(row.Service); chooser != nil {
+	if chooser := b.config.Directory.Chooser(row.Service); chooser != nil {
 		if seen, found := chooser.Set().Target(row.ID); found {
 			target.InUse = seen.InFlight()
 		}
@@ -48,11 +48,11 @@
 
 // Nodes lists the nodes with the newest version that each is known to hold.
 func (b *Backend) Nodes(ctx context.Context) ([]bfquery.Node, error) {
-	versions, ages, err := b.parts.Control.KnownVersions(ctx)
+	versions, ages, err := b.config.Control.KnownVersions(ctx)
 	if err != nil {
 		return nil, err
 	}
-	order, self := b.parts.Control.Order(), b.parts.Control.Self()
+	order, self := b.config.Control.Order(), b.config.Control.Self()
 	list := make([]bfquery.Node, 0, order.Len())
 	for rank := range order.Len() {
 		member := order.At(rank)
--- a/lib/bfbackend/quarantine.go
+++ b/lib/bfbackend/quarantine.go
@@ -6,10 +6,10 @@
 )
 
 // Quarantine lists the requests under which targets crashed.
-func (b *Backend) Quarantine() []bfquarantine.Item { return b.parts.Quarantine.List(b.Now()) }
+func (b *Backend) Quarantine() []bfquarantine.Item { return b.config.Quarantine.List(b.Now()) }
 
 // Release permits a quarantined request again; the release is replicated like other records of
 // the book.
 func (b *Backend) Release(content string) error {
-	return bfquery.ReleaseIn(b.parts.Quarantine, content, b.Now())
+	return bfquery.ReleaseIn(b.config.Quarantine, content, b.Now())
 }
--- a/lib/bfbackend/staged.go
+++ b/lib/bfbackend/staged.go
@@ -60,7 +60,7 @@
 	}
 	tx.Conditions = append(tx.Conditions, bfstore.Condition{Key: nameRow.Key, Revision: nameRow.Revision})
 	tx.Writes = append(tx.Writes, bfstore.Write{Key: nameKey(name), Value: []byte(staged.ID())})
-	err = b.parts.Table.Commit(ctx, tx)
+	err = b.config.Table.Commit(ctx, tx)
 	var conflict *bfstore.ConflictError
 	if errors.As(err, &conflict) {
 		return errNameTaken
@@ -77,14 +77,14 @@
 // lookUpName returns the change staged under a name, and the name's row even if there is no
 // change.
 func (b *Backend) lookUpName(ctx context.Context, name string) (bfstore.Row, bfcommit.Staged, error) {
-	rows, err := b.parts.Table.Get(ctx, nameKey(name))
+	rows, err := b.config.Table.Get(ctx, nameKey(name))
 	if err != nil {
 		return bfstore.Row{}, bfcommit.Staged{}, err
 	}
 	if rows[0].Revision == 0 {
 		return rows[0], bfcommit.Staged{}, &bfquery.NotStagedError{Name: name}
 	}
-	stagedRows, err := b.parts.Table.Get(ctx, bfcommit.StagedKey(string(rows[0].Value)))
+	stagedRows, err := b.config.Table.Get(ctx, bfcommit.StagedKey(string(rows[0].Value)))
 	if err != nil {
 		return rows[0], bfcommit.Staged{}, err
 	}
@@ -103,7 +103,7 @@
 
 // StagedList lists the staged changes by name.
 func (b *Backend) StagedList(ctx context.Context) ([]bfquery.StagedChange, error) {
-	names, err := b.parts.Table.Range(ctx, namePrefix, nameEnd, maxStaged)
+	names, err := b.config.Table.Range(ctx, namePrefix, nameEnd, maxStaged)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	for _, row := range names {
 		keys = append(keys, bfcommit.StagedKey(string(row.Value)))
 	}
-	rows, err := b.parts.Table.Get(ctx, keys...)
+	rows, err := b.config.Table.Get(ctx, keys...)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	err = b.parts.Table.Commit(ctx, bfstore.Transaction{
+	err = b.config.Table.Commit(ctx, bfstore.Transaction{
 		Conditions: []bfstore.Condition{{Key: nameRow.Key, Revision: nameRow.Revision}},
 		Writes: []bfstore.Write{
 			{Key: nameRow.Key, Remove: true},
--- a/lib/bfbackend/versions.go
+++ b/lib/bfbackend/versions.go
@@ -16,7 +16,7 @@
 // deltas reads the retained versions from first to last, oldest first.
 func (b *Backend) deltas(ctx context.Context, first, last bfconfig.Version) ([]bfconfig.Delta, error) {
 	from, to := bfcommit.VersionRange(first, last)
-	rows, err := b.parts.Table.Range(ctx, from, to, int(last-first)+1)
+	rows, err := b.config.Table.Range(ctx, from, to, int(last-first)+1)
 	if err != nil {
 		return nil, err
 	}
@@ -32,7 +32,7 @@
 }
 
 func (b *Backend) head(ctx context.Context) (bfconfig.Version, error) {
-	rows, err := b.parts.Table.Get(ctx, bfcommit.HeadKey)
+	rows, err := b.config.Table.Get(ctx, bfcommit.HeadKey)
 	if err != nil {
 		return 0, err
 	}
