--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -71,7 +71,7 @@
 // ApplySpec takes a configuration if it is newer and holds together.
 func (s *state) ApplySpec(spec bftraffic.Spec) { s.takeSpec(spec) }
 
-// takeSpec is TakeSpec; it reports whether the configuration, or a newer one, is in force.
+// takeSpec is ApplySpec; it reports whether the configuration, or a newer one, is in force.
 func (s *state) takeSpec(spec bftraffic.Spec) bool {
 	if spec.Version <= s.traffic.Version() {
 		return true
