--- a/lib/bfemulator/emulator_test.go
+++ b/lib/bfemulator/emulator_test.go
@@ -12,7 +12,7 @@
 	"bilberryflow.org/lib/bfgolden"
 )
 
-// load reads one of the loads that are kept for bftrial.
+// load reads one of the load files of bftrial.
 func load(t *testing.T, name string) Load {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("..", "..", "bftrial", "loads", name+".json"))
@@ -26,8 +26,8 @@
 	return l
 }
 
-// Every caller of every load that is kept has one end, and the same one each time.
-func TestPlaysAreTheSameEachTime(t *testing.T) {
+// Guards against callers that are lost or counted twice, and against simulations that aren't reproducible.
+func TestSimulationsAreReproducible(t *testing.T) {
 	for _, name := range []string{"shedding", "crash", "scarce", "ends-targets", "crashes-of-their-own"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -42,26 +42,25 @@
 	}
 }
 
-// A service sheds a third of what arrives, and look-ups that call it fail. Whatever the
-// nodes repeat, no window of it may have more than the terms allow; and what they allow
-// is used for the calls, not for their parents.
-func TestSheddingStaysWithinTheTerms(t *testing.T) {
+// Guards against retry amplification: while a service sheds requests, the repeats of all nodes
+// stay within the retry budget, and the budget goes to the nested calls, not to their parents.
+func TestRepeatsStayWithinTheBudgetWhileShedding(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(3) {
 		l := load(t, "shedding")
 		l.Seed = seed
 		r := Play(l)
 		t.Log(r.Rows("", ""))
-		is.True(r.Excess("vault") <= 0 && r.Excess("portal") <= 0)
+		is.True(r.BudgetExcess("vault") <= 0 && r.BudgetExcess("portal") <= 0)
 		is.True(r.Repeats("vault") > 4*r.Repeats("portal"))
-		is.True(r.Outcomes("approval").Share() > 0.95) // they call nothing
+		is.True(r.Outcomes("approval").InTimeShare() > 0.95) // approvals make no nested calls
 	}
 }
 
-// Targets crash, and what they ran is lost. Approvals that ran there fail, for none may
-// run twice; look-ups go on elsewhere. Both services are served on meanwhile, and the
-// terms hold.
-func TestCrashesCostWhatRanThere(t *testing.T) {
+// Guards against crashes that affect more than the runs lost with them: approvals that were
+// running fail, since they may run only once; look-ups are repeated elsewhere, within the
+// retry budget.
+func TestCrashesFailOnlyTheirRuns(t *testing.T) {
 	is := is.New(t)
 	failed := 0
 	for seed := range uint64(3) {
@@ -69,27 +68,26 @@
 		l.Seed = seed
 		r := Play(l)
 		t.Log(r.Rows("", ""))
-		is.True(r.Excess("vault") <= 0 && r.Excess("portal") <= 0)
-		is.True(r.Outcomes("look-up").Share() > 0.93)
+		is.True(r.BudgetExcess("vault") <= 0 && r.BudgetExcess("portal") <= 0)
+		is.True(r.Outcomes("look-up").InTimeShare() > 0.93)
 		failed += r.Outcomes("approval").Failed
 		is.Equal(r.Outcomes("look-up").Failed, 0)
 	}
 	is.True(failed > 0 && failed < 3*6*10) // at most one for each slot of the targets that crashed
 }
 
-// Searches fill the few slots of a scarce service by their nested calls, which go first.
-// The requests that go there themselves get what is left: this load is kept to try
-// bounds for parents on, and the test holds what it shows today.
-func TestScarceServiceUnderLastingOverload(t *testing.T) {
+// Records a known limit: under lasting overload, nested calls take precedence over direct
+// requests for the slots of a scarce service.
+func TestNestedCallsTakePrecedenceUnderLastingOverload(t *testing.T) {
 	is := is.New(t)
 	r := Play(load(t, "scarce"))
 	t.Log(r.Rows("", ""))
-	is.True(r.Outcomes("revoke").Share() < r.Outcomes("search").Share())
-	is.True(r.Excess("consent") <= 0)
+	is.True(r.Outcomes("revoke").InTimeShare() < r.Outcomes("search").InTimeShare())
+	is.True(r.BudgetExcess("consent") <= 0)
 }
 
-// A load is written by hand. Each field that is wrong is named, with what is allowed.
-func TestWrongLoadsAreNamed(t *testing.T) {
+// Guards against errors in a load file that don't name the invalid field and the allowed values.
+func TestErrorsNameInvalidFields(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile(filepath.Join("..", "..", "bftrial", "loads", "shedding.json"))
 	is.NoErr(err)
@@ -112,8 +110,8 @@
 	bfgolden.Check(t, "testdata/wrong.golden", report.String())
 }
 
-// A table of plays has a value for each column.
-func TestRowsFitTheirHead(t *testing.T) {
+// Guards against rows that don't match the columns of the header.
+func TestRowsMatchTheHeader(t *testing.T) {
 	is := is.New(t)
 	l := load(t, "crash")
 	l.Length = l.Length / 10
--- a/lib/bfemulator/quarantine.go
+++ b/lib/bfemulator/quarantine.go
@@ -10,11 +10,11 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// tellWay is how long it takes until the other nodes know what one has learned.
-const tellWay = 5 * time.Millisecond
+// propagationDelay is how long a quarantine update takes to reach the other nodes.
+const propagationDelay = 5 * time.Millisecond
 
-// holds refuses a request that its entry knows to be held.
-func (w *world) holds(r *request) bool {
+// refuseQuarantined refuses a request that its entry node has in quarantine; false means that it may proceed.
+func (w *world) refuseQuarantined(r *request) bool {
 	view := r.entry.book.View()
 	if !view.Holds() {
 		return false
@@ -22,87 +22,88 @@
 	if _, held := view.Refuse(r.key, w.agenda.Now()); !held {
 		return false
 	}
-	w.report.classes[r.class].Held++
+	w.report.classes[r.class].Quarantined++
 	w.refuse(r)
 	return true
 }
 
-// takes reports whether a node hands a request to its target, and whether that runs apart.
-func (w *world) takes(r *request, n *node) (apart, taken bool) {
+// admit reports whether a node passes a request on to its target, and whether the request is
+// a suspect, of which a target runs one at a time.
+func (w *world) admit(r *request, n *node) (isolated, admitted bool) {
 	view := n.book.View()
 	if !view.Watches() {
 		return false, true
 	}
 	switch view.Judge(r.key, w.agenda.Now()).(type) {
 	case bfquarantine.Held:
-		w.report.classes[r.class].Held++
+		w.report.classes[r.class].Quarantined++
 		return false, false
 	case bfquarantine.Apart:
-		if n.apart {
+		if n.isolating {
 			return true, false
 		}
-		n.apart = true
+		n.isolating = true
 		return true, true
 	}
 	return false, true
 }
 
-// finished takes the end of a run.
-func (w *world) finished(u *run, served bool) {
-	if u.apart {
-		u.node.apart = false
+// recordFinished updates the node's quarantine state at the end of a run.
+func (w *world) recordFinished(u *run, served bool) {
+	if u.isolated {
+		u.node.isolating = false
 	}
 	if served {
-		u.node.answers.Add(sumOf(u.request.key), w.agenda.Now())
+		u.node.answers.Add(contentSum(u.request.key), w.agenda.Now())
 	}
 	if served && u.node.book.View().Watches() {
 		u.node.book.Answered(u.request.key, w.agenda.Now())
-		w.tell(u.node)
+		w.broadcast(u.node)
 	}
 }
 
-func sumOf(key bfquarantine.Key) uint64 { return binary.BigEndian.Uint64(key.Content[:]) }
+func contentSum(key bfquarantine.Key) uint64 { return binary.BigEndian.Uint64(key.Content[:]) }
 
-// endTarget ends the target of a run, and all else that it works on.
-func (w *world) endTarget(u *run) {
+// crashByRequest crashes the target of a run, and with it all other runs there.
+func (w *world) crashByRequest(u *run) {
 	if u.ended {
 		return
 	}
 	content := u.request.key.Content
-	w.report.ends[content] = append(w.report.ends[content], w.passed())
-	u.node.away = w.agenda.Now().Add(w.load.Restart.Std())
-	w.lose(u.node)
+	w.report.crashTimes[content] = append(w.report.crashTimes[content], w.elapsed())
+	u.node.downUntil = w.agenda.Now().Add(w.load.Restart.Std())
+	w.crashTarget(u.node)
 }
 
-// lose ends all that a target works on; its node notes what ran there.
-func (w *world) lose(n *node) {
+// crashTarget fails all runs of a target; its node records the requests that were running.
+func (w *world) crashTarget(n *node) {
 	w.crashes++
 	var keys []bfquarantine.Key
 	numbers := slices.Sorted(maps.Keys(n.running))
 	for _, number := range numbers {
-		if key := n.running[number].request.key; !n.answers.Has(sumOf(key), w.agenda.Now()) {
+		if key := n.running[number].request.key; !n.answers.Has(contentSum(key), w.agenda.Now()) {
 			keys = append(keys, key)
 		}
 	}
 	n.book.Crashed(bfquarantine.CrashOf(fmt.Sprint(w.crashes)), keys, w.agenda.Now())
-	w.tell(n)
+	w.broadcast(n)
 	for _, number := range numbers {
 		u := n.running[number]
 		u.Fail()
-		w.settle(u)
+		w.endIfDone(u)
 	}
 }
 
-// tell has the other nodes hear of what one has learned.
-func (w *world) tell(from *node) {
-	news := from.book.TakeNews(w.agenda.Now())
-	if len(news) == 0 {
+// broadcast sends a node's quarantine updates to the other nodes.
+func (w *world) broadcast(from *node) {
+	updates := from.book.TakeNews(w.agenda.Now())
+	if len(updates) == 0 {
 		return
 	}
-	w.agenda.After(tellWay, func() {
+	w.agenda.After(propagationDelay, func() {
 		for _, n := range w.nodes {
 			if n != from {
-				n.book.Merge(news, w.agenda.Now())
+				n.book.Merge(updates, w.agenda.Now())
 			}
 		}
 	})
--- a/lib/bfemulator/report.go
+++ b/lib/bfemulator/report.go
@@ -11,40 +11,40 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// longestMicro bounds the times that are told apart.
-const longestMicro = int64(time.Minute / time.Microsecond)
+// maxLatencyMicros is the highest latency that the histograms resolve, in microseconds.
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
-// tick is the span by which requests and repeats are counted.
-const tick = 100 * time.Millisecond
+// countInterval is the width of the intervals in which requests and repeats are counted.
+const countInterval = 100 * time.Millisecond
 
-// Outcomes are what became of the callers of a class.
+// Outcomes counts the results of the callers of a class.
 type Outcomes struct {
-	// Callers came; InTime, Late, Refused and Failed of them were answered within their
-	// objective, after it, not run at all, or failed at a target.
+	// Callers is the number of callers: InTime were answered within their objective, Late
+	// after it, Refused were never run, Failed failed at a target.
 	Callers, InTime, Late, Refused, Failed int
-	// Held is how often one of their requests was refused since targets had ended under it.
-	Held int
-	// Times are those from a caller's first attempt to its answer, in microseconds.
+	// Quarantined is the number of refusals of requests that had crashed targets.
+	Quarantined int
+	// Times holds the latencies from a caller's first attempt to its answer, in microseconds.
 	Times *hdrhistogram.Histogram
 }
 
-// Report is what came of a load.
+// Report holds the results of a simulation.
 type Report struct {
 	load    Load
 	classes []Outcomes
-	// Asks is how often a target was asked, FarAsks how often one of another domain,
-	// Arrivals how many requests reached a target.
-	Asks, FarAsks, Arrivals int
-	// ends are the times at which each content ended a target, from the start.
-	ends map[bfquarantine.Content][]time.Duration
-	// requests and repeats are counted by service and tick.
+	// Attempts is the number of requests sent to a node, CrossDomainAttempts of those to
+	// another failure domain, Arrivals of requests that reached a target.
+	Attempts, CrossDomainAttempts, Arrivals int
+	// crashTimes are the times since the start at which each request content crashed a target.
+	crashTimes map[bfquarantine.Content][]time.Duration
+	// requests and repeats are counts by service and interval.
 	requests, repeats []map[int]int
 }
 
 func newReport(load Load) *Report {
-	r := &Report{load: load, classes: make([]Outcomes, len(load.Classes)), ends: map[bfquarantine.Content][]time.Duration{}}
+	r := &Report{load: load, classes: make([]Outcomes, len(load.Classes)), crashTimes: map[bfquarantine.Content][]time.Duration{}}
 	for i := range r.classes {
-		r.classes[i].Times = hdrhistogram.New(1, longestMicro, 2)
+		r.classes[i].Times = hdrhistogram.New(1, maxLatencyMicros, 2)
 	}
 	for range load.Services {
 		r.requests = append(r.requests, map[int]int{})
@@ -53,12 +53,14 @@
 	return r
 }
 
-func (r *Report) count(in []map[int]int, service int, at time.Duration) { in[service][int(at/tick)]++ }
+func (r *Report) count(counts []map[int]int, service int, at time.Duration) {
+	counts[service][int(at/countInterval)]++
+}
 
-func (r *Report) served(class int, took, objective time.Duration) {
+func (r *Report) recordServed(class int, took, objective time.Duration) {
 	o := &r.classes[class]
-	// The time was clamped to the histogram's range, the one thing it refuses.
-	_ = o.Times.RecordValue(min(max(took.Microseconds(), 1), longestMicro))
+	// RecordValue fails only for values out of range, and this one is clamped.
+	_ = o.Times.RecordValue(min(max(took.Microseconds(), 1), maxLatencyMicros))
 	if took <= objective {
 		o.InTime++
 		return
@@ -66,7 +68,7 @@
 	o.Late++
 }
 
-func (r *Report) gaveUp(class int, failed bool) {
+func (r *Report) recordUnanswered(class int, failed bool) {
 	if failed {
 		r.classes[class].Failed++
 		return
@@ -74,21 +76,21 @@
 	r.classes[class].Refused++
 }
 
-// Ends is how many targets were ended by requests.
-func (r *Report) Ends() (sum int) {
-	for _, times := range r.ends {
+// Crashes is the number of targets that requests crashed.
+func (r *Report) Crashes() (sum int) {
+	for _, times := range r.crashTimes {
 		sum += len(times)
 	}
 	return sum
 }
 
-// LateEnds is the largest number of targets that one request ended later than a time after
-// it had ended as many as crashes.
-func (r *Report) LateEnds(crashes int, after time.Duration) (most int) {
-	for _, times := range r.ends {
+// MaxLateCrashes returns, as the maximum over all request contents, how many targets one
+// content crashed later than grace after its crash number threshold.
+func (r *Report) MaxLateCrashes(threshold int, grace time.Duration) (most int) {
+	for _, times := range r.crashTimes {
 		late := 0
-		for _, at := range times[min(crashes, len(times)):] {
-			if at > times[crashes-1]+after {
+		for _, at := range times[min(threshold, len(times)):] {
+			if at > times[threshold-1]+grace {
 				late++
 			}
 		}
@@ -97,20 +99,20 @@
 	return most
 }
 
-// Outcomes are those of a class.
+// Outcomes returns the outcomes of a class, or zeros for an unknown one.
 func (r *Report) Outcomes(class string) Outcomes {
-	if at := r.load.class(class); at >= 0 {
+	if at := r.load.classIndex(class); at >= 0 {
 		return r.classes[at]
 	}
 	return Outcomes{}
 }
 
-// Share is the part of a class's callers that were answered in time.
-func (o Outcomes) Share() float64 { return float64(o.InTime) / float64(max(o.Callers, 1)) }
+// InTimeShare is the share of callers that were answered in time, from 0 to 1.
+func (o Outcomes) InTimeShare() float64 { return float64(o.InTime) / float64(max(o.Callers, 1)) }
 
-// Repeats is how many repeats a service got.
+// Repeats is the number of repeats that a service received.
 func (r *Report) Repeats(service string) (sum int) {
-	if at := r.load.service(service); at >= 0 {
+	if at := r.load.serviceIndex(service); at >= 0 {
 		for _, n := range r.repeats[at] {
 			sum += n
 		}
@@ -118,16 +120,16 @@
 	return sum
 }
 
-// Excess is by how many repeats the worst window of a service has more than the terms
-// allow, below 0 for less: the requests of the window count, or those of the window
-// before it or half before it, whichever has most.
-func (r *Report) Excess(service string) float64 {
-	at := r.load.service(service)
+// BudgetExcess is the number of repeats above the retry budget in the worst window of a
+// service; negative if every window is within it. The budget is computed from the largest
+// request count of three windows: the same one, the one before, and one half a window earlier.
+func (r *Report) BudgetExcess(service string) float64 {
+	at := r.load.serviceIndex(service)
 	if at < 0 {
 		return 0
 	}
-	length := int(r.load.Repeats.Window.Std() / tick)
-	last := int(r.load.Length.Std()/tick) + length
+	length := int(r.load.Repeats.Window.Std() / countInterval)
+	last := int(r.load.Length.Std()/countInterval) + length
 	worst := -r.load.Repeats.Slack
 	for from := -length; from <= last; from++ {
 		requests := max(r.sum(r.requests[at], from, length), r.sum(r.requests[at], from-length, length), r.sum(r.requests[at], from-length/2, length))
@@ -137,17 +139,17 @@
 	return worst
 }
 
-func (r *Report) sum(ticks map[int]int, from, length int) (sum int) {
+func (r *Report) sum(counts map[int]int, from, length int) (sum int) {
 	for at := from; at < from+length; at++ {
-		sum += ticks[at]
+		sum += counts[at]
 	}
 	return sum
 }
 
-// Head is the row above those of WriteRows, in CSV.
+// Head names the columns of Rows.
 var Head = []string{"field", "value", "seed", "class", "callers", "in_time", "late", "refused", "failed", "p50_ms", "p99_ms", "asks", "far_asks", "repeats", "excess"}
 
-// Rows gives a row for each class whose callers came, as Head has it.
+// Rows returns a row for each class that had callers, with the columns of Head.
 func (r *Report) Rows(field, value string) (rows [][]string) {
 	for i, o := range r.classes {
 		if o.Callers == 0 {
@@ -159,15 +161,15 @@
 		rows = append(rows, []string{
 			field, value, strconv.FormatUint(r.load.Seed, 10), c.Name, strconv.Itoa(o.Callers),
 			share(o.InTime), share(o.Late), share(o.Refused), share(o.Failed), milli(50), milli(99),
-			strconv.Itoa(r.Asks), strconv.Itoa(r.FarAsks), strconv.Itoa(r.Repeats(c.Service)), fmt.Sprintf("%.0f", r.Excess(c.Service)),
+			strconv.Itoa(r.Attempts), strconv.Itoa(r.CrossDomainAttempts), strconv.Itoa(r.Repeats(c.Service)), fmt.Sprintf("%.0f", r.BudgetExcess(c.Service)),
 		})
 	}
 	return rows
 }
 
-// WriteServices writes a line for each service: its repeats, and the worst window of them.
+// WriteServices writes a line for each service: its repeats and its BudgetExcess.
 func (r *Report) WriteServices(out io.Writer) {
 	for _, s := range r.load.Services {
-		fmt.Fprintf(out, "%s: %d repeats, worst window %.0f above what the terms allow\n", s.Name, r.Repeats(s.Name), r.Excess(s.Name))
+		fmt.Fprintf(out, "%s: %d repeats, worst window %.0f above the retry budget\n", s.Name, r.Repeats(s.Name), r.BudgetExcess(s.Name))
 	}
 }
--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -12,114 +12,116 @@
 )
 
 const (
-	// maxSent is how many targets a request is sent to at most.
-	maxSent = 3
-	// nestedPatience is the part of its objective for which a nested call waits for a slot,
-	// as at a node's entry.
-	nestedPatience = 0.5
-	// siblingPause is how long a shed call waits to hear of those made with it, as there.
-	siblingPause = 10 * time.Millisecond
+	// maxSends is the number of targets a request may be sent to.
+	maxSends = 3
+	// nestedPatienceRatio is the share of its objective for which a nested call waits for a
+	// slot, as at a real entry node.
+	nestedPatienceRatio = 0.5
+	// siblingWait is how long a shed call waits for the results of its sibling calls, as at a
+	// real entry node.
+	siblingWait = 10 * time.Millisecond
 )
 
-// request is one request on its way, from an attempt of its caller or a call of a run.
+// request is one attempt of a caller, or one nested call of a run.
 type request struct {
-	class   int
-	entry   *node
-	key     bfquarantine.Key
-	running time.Duration
-	// began is when the caller's first attempt came, attempt when this one did.
-	began, attempt, deadline time.Time
-	retries                  int
-	// parent is the run that makes the request as a call, nil for a caller's.
+	class       int
+	entry       *node
+	key         bfquarantine.Key
+	serviceTime time.Duration
+	// firstAttempt is when the caller's first attempt began, attempt when this one did.
+	firstAttempt, attempt, deadline time.Time
+	retries                         int
+	// parent is the run that makes the nested call, nil for a caller's request.
 	parent *run
 	tried  []*bffleet.Target
-	sent   int
-	// granted says that a repeat was granted that reached no target yet, shed that a
-	// target shed this call.
-	granted, full, shed, failed bool
+	sends  int
+	// repeatGranted is set while a granted repeat has reached no target, foundFull once a
+	// target had no free slot, shed once a target shed this nested call, failed once a run of
+	// it failed.
+	repeatGranted, foundFull, shed, failed bool
 }
 
-// run is a request at a target.
+// run is a request being executed by a target.
 type run struct {
 	*bfbudget.Run
 	number  uint64
 	request *request
-	at      *bffleet.Target
+	target  *bffleet.Target
 	node    *node
-	way     time.Duration
-	began   time.Time
-	// calls is how many calls have not ended; the run ends with the last of them and its
-	// own work. ended says that it has.
+	delay   time.Duration
+	started time.Time
+	// calls counts the nested calls in progress. The run ends when its own work is done and
+	// calls is 0, or when a call fails.
 	calls       int
 	done, ended bool
-	// apart says that it runs apart from others under which targets ended.
-	apart bool
+	// isolated is set for a quarantine suspect, of which a target runs one at a time.
+	isolated bool
 }
 
-// ask has a request go to the next target.
-func (w *world) ask(r *request) {
-	c, e := w.load.Classes[r.class], r.entry
-	if w.holds(r) {
+// tryNextTarget sends a request to the next target, or refuses it if none is left to try.
+func (w *world) tryNextTarget(r *request) {
+	c, entry := w.load.Classes[r.class], r.entry
+	if w.refuseQuarantined(r) {
 		return
 	}
-	left := c.Objective.Std() - w.agenda.Now().Sub(r.began)
+	left := c.Objective.Std() - w.agenda.Now().Sub(r.firstAttempt)
 	demand := bffleet.Demand{
-		Service: c.Service, Bytes: 1500, Usual: e.usual[r.class], Running: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
-		Near: r.full && r.parent == nil && !bfwalk.GoesFar(e.far.Of(c.Service), w.random.Float64()),
+		Service: c.Service, Bytes: 1500, Usual: entry.meanLatency[r.class], Running: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
+		Near: r.foundFull && r.parent == nil && !bfwalk.GoesFar(entry.crossDomain.Of(c.Service), w.random.Float64()),
 	}
-	choice := e.fleet.Pick(demand, w.agenda.Now(), r.tried)
-	chosen := choice.Target()
-	walked := w.agenda.Now().Sub(r.attempt) > bfwalk.Longest(c.Objective.Std(), e.near.Of(c.Service))
-	if chosen == nil || r.full && r.parent == nil && walked || !w.agenda.Now().Before(r.deadline) {
+	choice := entry.fleet.Pick(demand, w.agenda.Now(), r.tried)
+	target := choice.Target()
+	searchExpired := w.agenda.Now().Sub(r.attempt) > bfwalk.Longest(c.Objective.Std(), entry.sameDomain.Of(c.Service))
+	if target == nil || r.foundFull && r.parent == nil && searchExpired || !w.agenda.Now().Before(r.deadline) {
 		w.refuse(r)
 		return
 	}
-	r.tried = append(r.tried, chosen)
-	way := nearWay
-	w.report.Asks++
-	if e.fleet.IsFar(chosen) {
-		way = farWay
-		w.report.FarAsks++
+	r.tried = append(r.tried, target)
+	delay := sameDomainDelay
+	w.report.Attempts++
+	if entry.fleet.IsFar(target) {
+		delay = crossDomainDelay
+		w.report.CrossDomainAttempts++
 	}
-	slot := bfslot.Request{Class: c.Name, Nested: r.parent != nil, Rank: c.Rank, Late: r.parent == nil && left < e.usual[r.class]}
+	slot := bfslot.Request{Class: c.Name, Nested: r.parent != nil, Rank: c.Rank, Late: r.parent == nil && left < entry.meanLatency[r.class]}
 	switch {
 	case r.parent != nil:
-		slot.Patience = time.Duration(nestedPatience * float64(c.Objective))
-	case bfwalk.Waits(choice.Others(), e.near.Of(c.Service)):
-		slot.Patience = bfwalk.Patience(left, e.usual[r.class])
+		slot.Patience = time.Duration(nestedPatienceRatio * float64(c.Objective))
+	case bfwalk.Waits(choice.Others(), entry.sameDomain.Of(c.Service)):
+		slot.Patience = bfwalk.Patience(left, entry.meanLatency[r.class])
 	}
-	chosen.Begin()
-	w.agenda.After(way, func() { w.enter(r, chosen, slot, way) })
+	target.Begin()
+	w.agenda.After(delay, func() { w.requestSlot(r, target, slot, delay) })
 }
 
-// enter has a request ask for a slot.
-func (w *world) enter(r *request, at *bffleet.Target, slot bfslot.Request, way time.Duration) {
-	n := w.byName[at.Member().Inbound]
+// requestSlot requests a slot for a request that has arrived at its target's node.
+func (w *world) requestSlot(r *request, target *bffleet.Target, slot bfslot.Request, delay time.Duration) {
+	n := w.byAddress[target.Member().Inbound]
 	if w.down(n) {
-		w.agenda.After(way+unreachedAfter, func() { w.unreached(r, at) })
+		w.agenda.After(delay+connectFailureDelay, func() { w.onUnreachable(r, target) })
 		return
 	}
 	ticket, err := n.queue.Enter(slot)
 	var full *bfslot.FullError
 	switch {
 	case errors.As(err, &full):
-		w.agenda.After(way, func() { w.turnedAway(r, at) })
+		w.agenda.After(delay, func() { w.onFull(r, target) })
 	case ticket == nil:
-		w.hand(r, at, n, way)
+		w.dispatch(r, target, n, delay)
 	default:
-		n.granted[ticket] = func() { w.hand(r, at, n, way) }
+		n.onGrant[ticket] = func() { w.dispatch(r, target, n, delay) }
 		w.agenda.After(slot.Patience, func() {
 			if n.queue.Leave(ticket) {
-				w.agenda.After(way, func() { w.turnedAway(r, at) })
+				w.agenda.After(delay, func() { w.onFull(r, target) })
 			}
 		})
 	}
 }
 
-// origin is why a request runs, as the budgets count it.
+// origin classifies a request for the retry budget.
 func (r *request) origin() bfbudget.Origin {
 	switch {
-	case r.sent > 0:
+	case r.sends > 0:
 		return bfbudget.Again{}
 	case r.parent != nil && r.parent.IsRepeat():
 		return bfbudget.Inherited{}
@@ -127,74 +129,74 @@
 	return bfbudget.First{}
 }
 
-// hand gives the request to the target of a node.
-func (w *world) hand(r *request, at *bffleet.Target, n *node, way time.Duration) {
+// dispatch passes a request that holds a slot to the target of a node.
+func (w *world) dispatch(r *request, target *bffleet.Target, n *node, delay time.Duration) {
 	c := w.load.Classes[r.class]
-	apart, taken := w.takes(r, n)
-	if !taken {
-		w.release(n, c.Name, 0)
-		w.agenda.After(way, func() { w.turnedAway(r, at) })
+	isolated, admitted := w.admit(r, n)
+	if !admitted {
+		w.releaseSlot(n, c.Name, 0)
+		w.agenda.After(delay, func() { w.onFull(r, target) })
 		return
 	}
-	opened, borne := n.account.Begin(c.Name, r.origin())
-	if !borne {
-		n.apart = n.apart && !apart
-		w.release(n, c.Name, 0)
-		w.agenda.After(way, func() { w.end(r, at, false) })
+	budgeted, granted := n.account.Begin(c.Name, r.origin())
+	if !granted {
+		n.isolating = n.isolating && !isolated
+		w.releaseSlot(n, c.Name, 0)
+		w.agenda.After(delay, func() { w.onEnd(r, target, false) })
 		return
 	}
 	if _, first := r.origin().(bfbudget.First); !first {
-		w.report.count(w.report.repeats, n.service, w.passed())
+		w.report.count(w.report.repeats, n.service, w.elapsed())
 	}
 	w.report.Arrivals++
-	if w.random.Float64() < w.fault(shed, n) {
-		opened.End()
-		n.apart = n.apart && !apart
-		w.release(n, c.Name, 0)
-		w.agenda.After(way, func() { w.wasShed(r, at) })
+	if w.random.Float64() < w.faultFactor(faultShed, n) {
+		budgeted.End()
+		n.isolating = n.isolating && !isolated
+		w.releaseSlot(n, c.Name, 0)
+		w.agenda.After(delay, func() { w.onShed(r, target) })
 		return
 	}
-	slowness := 1.0
-	if x := w.fault(slow, n); x > 0 {
-		slowness = x
+	factor := 1.0
+	if x := w.faultFactor(faultSlow, n); x > 0 {
+		factor = x
 	}
-	w.work(&run{Run: opened, request: r, at: at, node: n, way: way, apart: apart}, slowness)
+	w.execute(&run{Run: budgeted, request: r, target: target, node: n, delay: delay, isolated: isolated}, factor)
 }
 
-// work has the target run a request, and make its calls.
-func (w *world) work(u *run, slowness float64) {
+// execute runs a request at its target and starts its nested calls.
+func (w *world) execute(u *run, factor float64) {
 	n, c := u.node, w.load.Classes[u.request.class]
 	w.runs++
-	u.number, u.began = w.runs, w.agenda.Now()
+	u.number, u.started = w.runs, w.agenda.Now()
 	n.running[u.number] = u
-	length := time.Duration(float64(u.request.running) * n.speed * slowness)
+	length := time.Duration(float64(u.request.serviceTime) * n.speed * factor)
 	for _, call := range c.Calls {
 		if w.random.Float64() >= call.Share {
 			continue
 		}
 		for range call.Times {
 			u.calls++
-			w.call(u, w.load.class(call.Class))
+			w.startCall(u, w.load.classIndex(call.Class))
 		}
 	}
 	if c.EndsTargets {
-		w.agenda.After(length, func() { w.endTarget(u) })
+		w.agenda.After(length, func() { w.crashByRequest(u) })
 		return
 	}
 	w.agenda.After(length, func() {
 		u.done = true
-		w.settle(u)
+		w.endIfDone(u)
 	})
 }
 
-// call has a run make a call.
-func (w *world) call(u *run, class int) {
+// startCall starts a nested call of a run.
+func (w *world) startCall(u *run, class int) {
 	c := w.load.Classes[class]
 	u.Call(c.Service)
 	r := w.newRequest(class, u.node)
 	r.parent, r.retries = u, 0
 	r.deadline = minTime(r.deadline, u.request.deadline)
-	w.ask(r)
+	w.tryNextTarget(r)
 }
 
 func minTime(a, b time.Time) time.Time {
@@ -204,8 +206,8 @@
 	return b
 }
 
-// settle ends a run whose work and calls are done, or one of whose calls failed.
-func (w *world) settle(u *run) {
+// endIfDone ends a run whose work and nested calls are done, or one that has failed.
+func (w *world) endIfDone(u *run) {
 	failed := u.HasFailed()
 	if u.ended || !failed && (!u.done || u.calls > 0) {
 		return
@@ -213,155 +215,159 @@
 	u.ended = true
 	delete(u.node.running, u.number)
 	u.End()
-	w.finished(u, !failed)
-	w.release(u.node, w.load.Classes[u.request.class].Name, w.agenda.Now().Sub(u.began))
-	w.agenda.After(u.way, func() { w.end(u.request, u.at, !failed) })
+	w.recordFinished(u, !failed)
+	w.releaseSlot(u.node, w.load.Classes[u.request.class].Name, w.agenda.Now().Sub(u.started))
+	w.agenda.After(u.delay, func() { w.onEnd(u.request, u.target, !failed) })
 }
 
-// release gives a slot back and starts who is next.
-func (w *world) release(n *node, class string, held time.Duration) {
+// releaseSlot frees a slot and starts the requests that are granted it.
+func (w *world) releaseSlot(n *node, class string, held time.Duration) {
 	for _, ticket := range n.queue.Release(class, held) {
-		start := n.granted[ticket]
-		delete(n.granted, ticket)
+		start := n.onGrant[ticket]
+		delete(n.onGrant, ticket)
 		start()
 	}
 }
 
-// crash ends all that the targets run which a fault befalls.
-func (w *world) crash(fault int) {
+// applyCrash crashes the targets that a fault affects.
+func (w *world) applyCrash(fault int) {
 	for _, n := range w.nodes {
-		if w.load.service(w.load.Faults[fault].Service) == n.service && w.befalls(w.load.Faults[fault], n) {
-			w.lose(n)
+		if w.load.serviceIndex(w.load.Faults[fault].Service) == n.service && w.affects(w.load.Faults[fault], n) {
+			w.crashTarget(n)
 		}
 	}
 }
 
-// hear takes what an answer tells of its target.
-func (w *world) hear(r *request, at *bffleet.Target, took bool) {
-	n := w.byName[at.Member().Inbound]
+// recordAnswer updates the entry node's load, speed and acceptance figures of a target that answered.
+func (w *world) recordAnswer(r *request, target *bffleet.Target, accepted bool) {
+	n := w.byAddress[target.Member().Inbound]
 	used, slots := n.queue.Load()
-	at.Told(used, slots, w.agenda.Now())
-	at.ToldTrack(0, n.speed, w.agenda.Now())
-	at.End()
-	odds := &r.entry.near
-	if r.entry.fleet.IsFar(at) {
-		odds = &r.entry.far
-	}
-	odds.Note(w.load.Classes[r.class].Service, took)
+	target.Told(used, slots, w.agenda.Now())
+	target.ToldTrack(0, n.speed, w.agenda.Now())
+	target.End()
+	acceptance := &r.entry.sameDomain
+	if r.entry.fleet.IsFar(target) {
+		acceptance = &r.entry.crossDomain
+	}
+	acceptance.Note(w.load.Classes[r.class].Service, accepted)
 }
 
-func (w *world) turnedAway(r *request, at *bffleet.Target) {
-	r.full = true
-	w.hear(r, at, false)
-	w.ask(r)
+// onFull handles the answer of a node whose target had no free slot.
+func (w *world) onFull(r *request, target *bffleet.Target) {
+	r.foundFull = true
+	w.recordAnswer(r, target, false)
+	w.tryNextTarget(r)
 }
 
-func (w *world) unreached(r *request, at *bffleet.Target) {
-	at.End()
-	at.SetAside(w.agenda.Now())
-	w.ask(r)
+// onUnreachable handles a failed connection to a target.
+func (w *world) onUnreachable(r *request, target *bffleet.Target) {
+	target.End()
+	target.SetAside(w.agenda.Now())
+	w.tryNextTarget(r)
 }
 
-// wasShed is the target's word that it did not run the request.
-func (w *world) wasShed(r *request, at *bffleet.Target) {
-	w.hear(r, at, true)
-	r.sent++
-	r.granted = false
+// onShed handles a target's answer that it shed the request without running it.
+func (w *world) onShed(r *request, target *bffleet.Target) {
+	w.recordAnswer(r, target, true)
+	r.sends++
+	r.repeatGranted = false
 	if r.parent == nil || r.shed {
-		w.again(r)
+		w.repeat(r)
 		return
 	}
 	r.shed = true
 	if r.parent.Shed(w.load.Classes[r.class].Service) {
-		w.agenda.After(siblingPause, func() { w.again(r) })
+		w.agenda.After(siblingWait, func() { w.repeat(r) })
 		return
 	}
-	w.again(r)
+	w.repeat(r)
 }
 
-// again sends a request once more, if that may be.
-func (w *world) again(r *request) {
+// repeat resends a request if attempts, time and retry budget are left, else refuses it.
+func (w *world) repeat(r *request) {
 	c := w.load.Classes[r.class]
-	may := r.sent < maxSent && w.agenda.Now().Before(r.deadline)
+	allowed := r.sends < maxSends && w.agenda.Now().Before(r.deadline)
 	switch {
-	case !may:
+	case !allowed:
 	case r.parent != nil:
-		may = r.parent.Take(c.Service)
+		allowed = r.parent.Take(c.Service)
 	default:
-		may = r.entry.account.Take(c.Service)
+		allowed = r.entry.account.Take(c.Service)
 	}
-	if !may {
+	if !allowed {
 		w.refuse(r)
 		return
 	}
-	r.granted = true
-	w.ask(r)
+	r.repeatGranted = true
+	w.tryNextTarget(r)
 }
 
-// end is that of a sending that ran, or was refused where its calls are paid.
-func (w *world) end(r *request, at *bffleet.Target, served bool) {
-	w.hear(r, at, true)
+// onEnd handles the end of a send: the run was served or failed, or the target's node refused
+// it for lack of retry budget.
+func (w *world) onEnd(r *request, target *bffleet.Target, served bool) {
+	w.recordAnswer(r, target, true)
 	c := w.load.Classes[r.class]
 	if served {
-		r.granted = false
-		const learnShare = 10
-		r.entry.usual[r.class] += (w.agenda.Now().Sub(r.attempt) - r.entry.usual[r.class]) / learnShare
-		w.served(r)
+		r.repeatGranted = false
+		const averagingDivisor = 10
+		r.entry.meanLatency[r.class] += (w.agenda.Now().Sub(r.attempt) - r.entry.meanLatency[r.class]) / averagingDivisor
+		w.complete(r)
 		return
 	}
-	r.sent++
+	r.sends++
 	r.failed = true
 	if c.Once {
 		w.refuse(r)
 		return
 	}
-	r.granted = false
-	w.again(r)
+	r.repeatGranted = false
+	w.repeat(r)
 }
 
-func (w *world) served(r *request) {
+// complete ends a request that was served.
+func (w *world) complete(r *request) {
 	if r.parent != nil {
-		w.returned(r, true)
+		w.endCall(r, true)
 		return
 	}
-	w.report.served(r.class, w.agenda.Now().Sub(r.began), w.load.Classes[r.class].Objective.Std())
+	w.report.recordServed(r.class, w.agenda.Now().Sub(r.firstAttempt), w.load.Classes[r.class].Objective.Std())
 }
 
-// returned tells the run that made a call how that ended.
-func (w *world) returned(r *request, served bool) {
+// endCall reports the end of a nested call to the run that made it.
+func (w *world) endCall(r *request, served bool) {
 	u := r.parent
 	u.EndCall(r.shed)
 	if !served {
 		u.Fail()
 	}
 	u.calls--
-	w.settle(u)
+	w.endIfDone(u)
 }
 
-// refuse gives a request up: a caller is told when to come back, if it has time left and
-// the request did not run.
+// refuse ends a request without an answer. A caller with retries and time left retries after
+// a pause, except that a class that may run only once isn't retried after a failed run.
 func (w *world) refuse(r *request) {
 	c := w.load.Classes[r.class]
-	if r.granted {
+	if r.repeatGranted {
 		r.entry.account.Return(c.Service)
 	}
 	if r.parent != nil {
-		w.returned(r, false)
+		w.endCall(r, false)
 		return
 	}
-	refused := bfwalk.Refused{Objective: c.Objective.Std(), Used: r.attempt.Sub(r.began), Left: r.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(r.entry.near.Of(c.Service), w.random.Float64())
+	refused := bfwalk.Refused{Objective: c.Objective.Std(), Used: r.attempt.Sub(r.firstAttempt), Left: r.deadline.Sub(w.agenda.Now())}
+	pause := refused.ComeBack(r.entry.sameDomain.Of(c.Service), w.random.Float64())
 	if r.failed {
-		pause = unreachedAfter
+		pause = connectFailureDelay
 	}
 	if r.retries == 0 || r.failed && c.Once || !w.agenda.Now().Add(pause).Before(r.deadline) {
-		w.report.gaveUp(r.class, r.failed)
+		w.report.recordUnanswered(r.class, r.failed)
 		return
 	}
 	w.agenda.After(pause, func() {
-		again := w.newCaller(r.class, r.entry)
-		again.key = r.key
-		again.running, again.began, again.deadline, again.retries = r.running, r.began, r.deadline, r.retries-1
-		w.ask(again)
+		retry := w.newCallerRequest(r.class, r.entry)
+		retry.key = r.key
+		retry.serviceTime, retry.firstAttempt, retry.deadline, retry.retries = r.serviceTime, r.firstAttempt, r.deadline, r.retries-1
+		w.tryNextTarget(retry)
 	})
 }
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -15,66 +15,68 @@
 )
 
 const (
-	// nearWay and farWay are how long a message takes within a domain and to another one.
-	nearWay = 200 * time.Microsecond
-	farWay  = 700 * time.Microsecond
-	// unreachedAfter is how long a connection to a target that crashed takes to fail.
-	unreachedAfter = time.Millisecond
+	// sameDomainDelay and crossDomainDelay are the one-way network delays within a failure
+	// domain and between two.
+	sameDomainDelay  = 200 * time.Microsecond
+	crossDomainDelay = 700 * time.Microsecond
+	// connectFailureDelay is how long a connection attempt to a crashed target takes to fail.
+	connectFailureDelay = time.Millisecond
 )
 
-// world is one play of a load.
+// world is the state of one simulation.
 type world struct {
 	load   Load
 	begin  time.Time
 	agenda *bfagenda.Agenda
 	nodes  []*node
-	// byName finds a node by the inbound address of its member.
-	byName map[string]*node
-	report *Report
-	// runs counts the runs that have begun, callers the requests.
-	runs, callers uint64
-	// crashes counts the ends of targets.
+	// byAddress indexes nodes by the inbound address of their member.
+	byAddress map[string]*node
+	report    *Report
+	// runs counts the started runs, requests the created requests.
+	runs, requests uint64
+	// crashes counts the crashes of targets.
 	crashes uint64
-	// random is drawn from in the order of events, which is the same each time.
+	// random is used in the order of events only, which keeps simulations reproducible.
 	random *rand.Rand
 }
 
-// node is a node and the target beside it.
+// node is a node and its local target.
 type node struct {
 	service int
 	speed   float64
-	// place is its number among the targets of its service.
-	place   int
+	// index is its position among the targets of its service.
+	index   int
 	domain  int
 	fleet   *bffleet.Fleet
 	account *bfbudget.Account
 	queue   *bfslot.Queue
-	granted map[*bfslot.Ticket]func()
-	// near and far are how often targets took what this node asked them for.
-	near, far bfwalk.Odds
-	// usual is the mean time of each class from its sending to its answer.
-	usual map[int]time.Duration
-	// running are those that the target works on, by their number.
+	onGrant map[*bfslot.Ticket]func()
+	// sameDomain and crossDomain are the observed acceptance rates of targets in this node's
+	// failure domain and in others.
+	sameDomain, crossDomain bfwalk.Odds
+	// meanLatency is the moving average, by class, of the time from attempt to answer.
+	meanLatency map[int]time.Duration
+	// running holds the target's current runs by number.
 	running map[uint64]*run
-	// book is what the node knows of requests under which targets end, apart whether its
-	// target runs one that has to run apart; until then the target that one ended is away.
-	book    *bfquarantine.Book
-	answers bfquarantine.Answers
-	apart   bool
-	away    time.Time
+	// book tracks requests that were running when targets crashed, isolating is set while
+	// the target runs one of them, and downUntil is when a target that one crashed is up again.
+	book      *bfquarantine.Book
+	answers   bfquarantine.Answers
+	isolating bool
+	downUntil time.Time
 }
 
-// Play plays a load.
+// Play runs a load to its end and reports the outcomes.
 func Play(load Load) *Report {
 	w := newWorld(load)
 	for class, c := range load.Classes {
 		if c.PerSecond > 0 {
-			w.arrive(class)
+			w.scheduleArrival(class)
 		}
 	}
 	for i, f := range load.Faults {
-		if f.Kind == crash {
-			w.agenda.After(f.From.Std(), func() { w.crash(i) })
+		if f.Kind == faultCrash {
+			w.agenda.After(f.From.Std(), func() { w.applyCrash(i) })
 		}
 	}
 	w.agenda.Run()
@@ -84,7 +86,7 @@
 func newWorld(load Load) *world {
 	begin := time.Unix(0, 0)
 	w := &world{
-		load: load, begin: begin, agenda: bfagenda.New(begin), byName: map[string]*node{}, report: newReport(load),
+		load: load, begin: begin, agenda: bfagenda.New(begin), byAddress: map[string]*node{}, report: newReport(load),
 		random: rand.New(rand.NewPCG(load.Seed, ^load.Seed)),
 	}
 	var members []bffleet.Member
@@ -96,12 +98,12 @@
 					Domain: fmt.Sprint("domain-", domain), Slots: service.Slots,
 				}
 				members = append(members, m)
-				w.byName[m.Inbound] = w.addNode(s, at, domain, service)
+				w.byAddress[m.Inbound] = w.addNode(s, at, domain, service)
 			}
 		}
 	}
 	for _, m := range members {
-		n := w.byName[m.Inbound]
+		n := w.byAddress[m.Inbound]
 		n.fleet = bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		n.fleet.Replace(members)
 	}
@@ -110,8 +112,8 @@
 
 func (w *world) addNode(service, at, domain int, s Service) *node {
 	n := &node{
-		service: service, speed: s.Speeds[at%len(s.Speeds)], place: domain*s.Targets + at, domain: domain, queue: bfslot.NewQueue(s.Slots),
-		granted: map[*bfslot.Ticket]func(){}, usual: map[int]time.Duration{}, running: map[uint64]*run{},
+		service: service, speed: s.Speeds[at%len(s.Speeds)], index: domain*s.Targets + at, domain: domain, queue: bfslot.NewQueue(s.Slots),
+		onGrant: map[*bfslot.Ticket]func(){}, meanLatency: map[int]time.Duration{}, running: map[uint64]*run{},
 		book: bfquarantine.New(fmt.Sprint(service, domain, at)),
 	}
 	n.account = bfbudget.New(bfbudget.Options{
@@ -122,78 +124,80 @@
 	return n
 }
 
-// passed is the time since the start.
-func (w *world) passed() time.Duration { return w.agenda.Now().Sub(w.begin) }
+// elapsed is the simulated time since the start.
+func (w *world) elapsed() time.Duration { return w.agenda.Now().Sub(w.begin) }
 
-// fault is the strongest x of the faults of a kind that a node's target has now, 0 for none.
-func (w *world) fault(kind string, n *node) (x float64) {
+// faultFactor returns the largest X of the active faults of a kind that affect a node's
+// target, or 0 for none.
+func (w *world) faultFactor(kind string, n *node) (x float64) {
 	for _, f := range w.load.Faults {
-		if f.Kind != kind || !f.holds(w.passed()) {
+		if f.Kind != kind || !f.activeAt(w.elapsed()) {
 			continue
 		}
-		if kind == burst || w.load.service(f.Service) == n.service && w.befalls(f, n) {
+		if kind == faultBurst || w.load.serviceIndex(f.Service) == n.service && w.affects(f, n) {
 			x = max(x, f.X)
 		}
 	}
 	return x
 }
 
-// befalls reports whether a fault meets a node's target: an equal part of each domain.
-func (w *world) befalls(f Fault, n *node) bool {
+// affects reports whether a fault affects a node's target. It selects an equal share of each
+// failure domain.
+func (w *world) affects(f Fault, n *node) bool {
 	all := w.load.Services[n.service].Targets * w.load.Domains
-	// Each step of a golden ratio lands in another part, so that domains and speeds are met alike.
-	_, part := math.Modf(float64(n.place) * math.Phi)
+	// Multiples of the golden ratio spread evenly over [0, 1), and so over domains and speeds.
+	_, part := math.Modf(float64(n.index) * math.Phi)
 	return part < f.Share || f.Share*float64(all) >= float64(all)
 }
 
-// down reports whether a node's target has crashed and is not back.
+// down reports whether a node's target is down after a crash.
 func (w *world) down(n *node) bool {
-	if w.agenda.Now().Before(n.away) {
+	if w.agenda.Now().Before(n.downUntil) {
 		return true
 	}
 	for _, f := range w.load.Faults {
-		if f.Kind == crash && f.holds(w.passed()) && w.load.service(f.Service) == n.service && w.befalls(f, n) {
+		if f.Kind == faultCrash && f.activeAt(w.elapsed()) && w.load.serviceIndex(f.Service) == n.service && w.affects(f, n) {
 			return true
 		}
 	}
 	return false
 }
 
-// arrive has the next caller of a class come, and the one after it.
-func (w *world) arrive(class int) {
+// scheduleArrival schedules the next caller of a class, whose arrival schedules the one after it.
+func (w *world) scheduleArrival(class int) {
 	c := w.load.Classes[class]
-	rate := c.PerSecond * max(w.fault(burst, nil), 1)
+	rate := c.PerSecond * max(w.faultFactor(faultBurst, nil), 1)
 	w.agenda.After(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.passed() > w.load.Length.Std() {
+		if w.elapsed() > w.load.Length.Std() {
 			return
 		}
-		w.arrive(class)
+		w.scheduleArrival(class)
 		w.report.classes[class].Callers++
-		w.ask(w.newCaller(class, w.nodes[w.random.IntN(len(w.nodes))]))
+		w.tryNextTarget(w.newCallerRequest(class, w.nodes[w.random.IntN(len(w.nodes))]))
 	})
 }
 
-// newCaller draws a caller's request that begins at a node.
-func (w *world) newCaller(class int, entry *node) *request {
+// newCallerRequest creates a caller's request at an entry node and counts it in the retry budget.
+func (w *world) newCallerRequest(class int, entry *node) *request {
 	entry.account.Sent(w.load.Classes[class].Service)
 	return w.newRequest(class, entry)
 }
 
-// newRequest draws a request that begins at a node.
+// newRequest creates a request with a random service time and content at an entry node.
 func (w *world) newRequest(class int, entry *node) *request {
 	c := w.load.Classes[class]
-	// The mean of a lognormal time is that of its logarithm and half its variance.
-	length := float64(c.Running) * math.Exp(c.Spread*w.random.NormFloat64()-c.Spread*c.Spread/2)
+	// The mean of a lognormal distribution is exp(mu + sigma^2/2); this sets it to Running.
+	serviceTime := float64(c.Running) * math.Exp(c.Spread*w.random.NormFloat64()-c.Spread*c.Spread/2)
 	r := &request{
-		class: class, entry: entry, running: time.Duration(length), began: w.agenda.Now(), attempt: w.agenda.Now(),
+		class: class, entry: entry, serviceTime: time.Duration(serviceTime), firstAttempt: w.agenda.Now(), attempt: w.agenda.Now(),
 		deadline: w.agenda.Now().Add(c.Deadline.Std()), retries: c.Retries,
 	}
-	w.callers++
-	content := w.callers
+	w.requests++
+	content := w.requests
 	if c.Contents > 0 {
 		content = w.random.Uint64N(uint64(c.Contents))
 	}
 	r.key = bfquarantine.KeyOf(bfquarantine.Request{Host: c.Name, Target: fmt.Sprint(content)})
-	w.report.count(w.report.requests, w.load.service(c.Service), w.passed())
+	w.report.count(w.report.requests, w.load.serviceIndex(c.Service), w.elapsed())
 	return r
 }
