--- a/lib/bfreplay/load.go
+++ b/lib/bfreplay/load.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Load is what is replayed: one service, its targets, and the requests for it.
+// Load describes a simulation: one service, its targets, and its requests.
 type Load struct {
 	Seed uint64
 	// Domains is the number of failure domains, each with a target for each speed.
 	Domains int
-	// Speeds are how long the targets of a domain run a request, in parts of its mean.
+	// Speeds are the service times of the targets of a domain, relative to the mean.
 	Speeds []float64
-	// Slots is how many requests a target runs at once.
+	// Slots is the number of requests a target runs concurrently.
 	Slots int
-	// PerSecond is how many requests come in a second, Burst by how much more of them
-	// in the middle third of the time.
+	// PerSecond is the arrival rate; Burst multiplies it in the middle third of Length
+	// where it is above 0.
 	PerSecond float64
 	Burst     float64
-	// Running is the mean time of a request, Spread the deviation of its logarithm.
+	// Running is the mean service time, Spread the standard deviation of its logarithm.
 	Running time.Duration
 	Spread  float64
-	// Objective and Deadline are the caller's, Length is how long callers come.
+	// Objective and Deadline are those of each caller; callers arrive for Length.
 	Objective, Deadline, Length time.Duration
-	// Retries is how often a refused caller comes back.
+	// Retries is how often a refused caller retries.
 	Retries int
 }
 
-// Ways are those in which requests may be treated; the zero value is the earlier one:
-// nobody waits, and a walk ends after a tenth of the objective whatever was observed.
+// Ways selects how requests are handled. With the zero value, no request waits for a slot
+// and a search for a target ends after a fixed share of the objective.
 type Ways struct {
-	// Wait has requests wait at the chosen target by what drains until their turn.
+	// Wait lets requests queue for a slot of the selected target.
 	Wait bool
-	// ByOdds has walks, and times to come back, follow how often targets take requests.
+	// ByOdds derives search times and retry pauses from the observed acceptance rate of targets.
 	ByOdds bool
 }
 
-// arrival is one caller.
+// arrival is the arrival of one caller.
 type arrival struct {
-	at      time.Duration
-	running time.Duration
-	domain  int
+	at          time.Duration
+	serviceTime time.Duration
+	domain      int
 }
 
-// arrivals draws the callers of a load; a load with the same seed has the same.
+// arrivals generates the callers of a load, the same for the same seed.
 func (l Load) arrivals() []arrival {
 	random := rand.New(rand.NewPCG(l.Seed, l.Seed))
 	var all []arrival
@@ -54,9 +54,9 @@
 			rate *= l.Burst
 		}
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		// The mean of a lognormal time is that of its logarithm and half its variance.
-		length := float64(l.Running) * math.Exp(l.Spread*random.NormFloat64()-l.Spread*l.Spread/2)
-		all = append(all, arrival{at: at, running: time.Duration(length), domain: random.IntN(l.Domains)})
+		// The mean of a lognormal distribution is exp(mu + sigma^2/2); this sets it to Running.
+		serviceTime := float64(l.Running) * math.Exp(l.Spread*random.NormFloat64()-l.Spread*l.Spread/2)
+		all = append(all, arrival{at: at, serviceTime: time.Duration(serviceTime), domain: random.IntN(l.Domains)})
 	}
 	return all
 }
--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -14,40 +14,41 @@
 	"bilberryflow.org/lib/bfwalk"
 )
 
-// Report is what became of the callers of a load.
+// Report holds the results of a simulation.
 type Report struct {
-	// Callers came; InTime, Late and Refused of them were answered within their
-	// objective, after it, or not at all.
+	// Callers is the number of callers: InTime were answered within their objective, Late
+	// after it, Refused not at all.
 	Callers, InTime, Late, Refused int
-	// Asks is how often a target was asked, FarAsks how often one of another domain.
+	// Asks is the number of requests sent to a target, FarAsks of those to another failure domain.
 	Asks, FarAsks int
-	// Times are those from a caller's first attempt to its answer, in microseconds.
+	// Times holds the latencies from a caller's first attempt to its answer, in microseconds.
 	Times *hdrhistogram.Histogram
 }
 
 const (
 	service = "service"
-	// nearWay and farWay are how long a message takes within a domain and to another one.
-	nearWay = 200 * time.Microsecond
-	farWay  = 700 * time.Microsecond
-	// longestMicro bounds the times that are told apart.
-	longestMicro = int64(time.Minute / time.Microsecond)
+	// sameDomainDelay and crossDomainDelay are the one-way network delays within a failure
+	// domain and between two.
+	sameDomainDelay  = 200 * time.Microsecond
+	crossDomainDelay = 700 * time.Microsecond
+	// maxLatencyMicros is the highest latency that the histogram resolves, in microseconds.
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
-// Run replays a load.
+// Run simulates a load to its end and reports the outcomes.
 func Run(load Load, ways Ways) Report {
 	w := newWorld(load, ways)
 	for _, a := range load.arrivals() {
 		w.report.Callers++
 		w.agenda.After(a.at, func() {
-			w.ask(&caller{arrival: a, began: w.agenda.Now(), deadline: w.agenda.Now().Add(load.Deadline), retries: load.Retries, attempt: w.agenda.Now()})
+			w.tryNextTarget(&caller{arrival: a, firstAttempt: w.agenda.Now(), deadline: w.agenda.Now().Add(load.Deadline), retries: load.Retries, attempt: w.agenda.Now()})
 		})
 	}
 	w.agenda.Run()
 	return w.report
 }
 
-// world is one replay.
+// world is the state of one simulation.
 type world struct {
 	load    Load
 	ways    Ways
@@ -55,47 +56,48 @@
 	entries []*entry
 	targets map[string]*target
 	report  Report
-	// random is drawn from in the order of events, which is the same each time.
+	// random is used in the order of events only, which keeps simulations reproducible.
 	random *rand.Rand
 }
 
-// entry is a node that callers come to; there is one beside each target.
+// entry is a node that callers connect to; there is one beside each target.
 type entry struct {
-	fleet *bffleet.Fleet
-	odds  bfwalk.Odds
-	far   bfwalk.Odds
-	// usual is the mean time from a sending to its answer.
-	usual time.Duration
+	fleet       *bffleet.Fleet
+	sameDomain  bfwalk.Odds
+	crossDomain bfwalk.Odds
+	// meanLatency is the moving average of the time from attempt to answer.
+	meanLatency time.Duration
 }
 
 // target is a target with the queue of its node.
 type target struct {
 	speed float64
 	queue *bfslot.Queue
-	// granted starts those that got a slot.
-	granted map[*bfslot.Ticket]func()
+	// onGrant holds, by ticket, what to run once the slot is granted.
+	onGrant map[*bfslot.Ticket]func()
 }
 
-// caller is one caller in one of its attempts.
+// caller is one attempt of a caller.
 type caller struct {
 	arrival
-	began, deadline time.Time
-	retries         int
-	// attempt is when this attempt began, tried the targets that it asked.
-	attempt time.Time
-	tried   []*bffleet.Target
-	full    bool
+	firstAttempt, deadline time.Time
+	retries                int
+	// attempt is when this attempt began, tried the targets it was sent to, and foundFull is
+	// set once one of them had no free slot.
+	attempt   time.Time
+	tried     []*bffleet.Target
+	foundFull bool
 }
 
 func newWorld(load Load, ways Ways) *world {
 	w := &world{load: load, ways: ways, agenda: bfagenda.New(time.Unix(0, 0)), targets: map[string]*target{}, random: rand.New(rand.NewPCG(load.Seed, ^load.Seed))}
-	w.report.Times = hdrhistogram.New(1, longestMicro, 2)
+	w.report.Times = hdrhistogram.New(1, maxLatencyMicros, 2)
 	var members []bffleet.Member
 	for domain := range load.Domains {
 		for at, speed := range load.Speeds {
 			inbound := fmt.Sprintf("10.0.%d.%d:1", domain, at+1)
 			members = append(members, bffleet.Member{Inbound: inbound, Service: service, Domain: fmt.Sprint("domain-", domain), Slots: load.Slots})
-			w.targets[inbound] = &target{speed: speed, queue: bfslot.NewQueue(load.Slots), granted: map[*bfslot.Ticket]func(){}}
+			w.targets[inbound] = &target{speed: speed, queue: bfslot.NewQueue(load.Slots), onGrant: map[*bfslot.Ticket]func(){}}
 		}
 	}
 	for _, m := range members {
@@ -106,111 +108,113 @@
 	return w
 }
 
-// entryOf is the node that a caller comes to.
+// entryOf returns the node that a caller connects to.
 func (w *world) entryOf(c *caller) *entry {
 	perDomain := len(w.load.Speeds)
-	return w.entries[c.domain*perDomain+int(c.running)%perDomain]
+	return w.entries[c.domain*perDomain+int(c.serviceTime)%perDomain]
 }
 
-// ask has a caller's request go to the next target.
-func (w *world) ask(c *caller) {
+// tryNextTarget sends a caller's request to the next target, or refuses it if none is left to try.
+func (w *world) tryNextTarget(c *caller) {
 	e := w.entryOf(c)
-	left := w.load.Objective - w.agenda.Now().Sub(c.began)
+	left := w.load.Objective - w.agenda.Now().Sub(c.firstAttempt)
 	demand := bffleet.Demand{
-		Service: service, Bytes: 1500, Usual: e.usual, Running: w.load.Running, Objective: w.load.Objective, Left: left,
-		Near: c.full && w.ways.ByOdds && !bfwalk.GoesFar(e.far.Of(service), w.random.Float64()),
+		Service: service, Bytes: 1500, Usual: e.meanLatency, Running: w.load.Running, Objective: w.load.Objective, Left: left,
+		Near: c.foundFull && w.ways.ByOdds && !bfwalk.GoesFar(e.crossDomain.Of(service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), c.tried)
-	chosen := choice.Target()
-	if chosen == nil || c.full && w.isDone(e, c) {
+	selected := choice.Target()
+	if selected == nil || c.foundFull && w.searchExpired(e, c) {
 		w.refuse(e, c)
 		return
 	}
-	c.tried = append(c.tried, chosen)
-	way := nearWay
+	c.tried = append(c.tried, selected)
+	delay := sameDomainDelay
 	w.report.Asks++
-	if e.fleet.IsFar(chosen) {
-		way = farWay
+	if e.fleet.IsFar(selected) {
+		delay = crossDomainDelay
 		w.report.FarAsks++
 	}
-	request := bfslot.Request{Late: left < e.usual}
-	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.Waits(choice.Others(), e.odds.Of(service))) {
-		request.Patience = bfwalk.Patience(left, e.usual)
+	request := bfslot.Request{Late: left < e.meanLatency}
+	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.Waits(choice.Others(), e.sameDomain.Of(service))) {
+		request.Patience = bfwalk.Patience(left, e.meanLatency)
 	}
-	chosen.Begin()
-	w.agenda.After(way, func() { w.enter(c, chosen, request, way) })
+	selected.Begin()
+	w.agenda.After(delay, func() { w.requestSlot(c, selected, request, delay) })
 }
 
-// isDone reports whether a request that was refused asks nobody else.
-func (w *world) isDone(e *entry, c *caller) bool {
+// searchExpired reports whether a request that found a full target may try no other.
+func (w *world) searchExpired(e *entry, c *caller) bool {
 	odds := 0.0
 	if w.ways.ByOdds {
-		odds = e.odds.Of(service)
+		odds = e.sameDomain.Of(service)
 	}
 	return w.agenda.Now().Sub(c.attempt) > bfwalk.Longest(w.load.Objective, odds)
 }
 
-// enter has a request ask for a slot.
-func (w *world) enter(c *caller, at *bffleet.Target, request bfslot.Request, way time.Duration) {
-	t := w.targets[at.Member().Inbound]
+// requestSlot requests a slot for a request that has arrived at its target's node.
+func (w *world) requestSlot(c *caller, selected *bffleet.Target, request bfslot.Request, delay time.Duration) {
+	t := w.targets[selected.Member().Inbound]
 	ticket, err := t.queue.Enter(request)
 	var full *bfslot.FullError
 	switch {
 	case errors.As(err, &full):
-		w.agenda.After(way, func() { w.turnedAway(c, at) })
+		w.agenda.After(delay, func() { w.onFull(c, selected) })
 	case ticket == nil:
-		w.run(c, at, way)
+		w.run(c, selected, delay)
 	default:
-		t.granted[ticket] = func() { w.run(c, at, way) }
+		t.onGrant[ticket] = func() { w.run(c, selected, delay) }
 		w.agenda.After(request.Patience, func() {
 			if t.queue.Leave(ticket) {
-				w.agenda.After(way, func() { w.turnedAway(c, at) })
+				w.agenda.After(delay, func() { w.onFull(c, selected) })
 			}
 		})
 	}
 }
 
-// run has the target run a request.
-func (w *world) run(c *caller, at *bffleet.Target, way time.Duration) {
-	t := w.targets[at.Member().Inbound]
-	length := time.Duration(float64(c.running) * t.speed)
+// run executes a request that holds a slot, then releases the slot.
+func (w *world) run(c *caller, selected *bffleet.Target, delay time.Duration) {
+	t := w.targets[selected.Member().Inbound]
+	length := time.Duration(float64(c.serviceTime) * t.speed)
 	w.agenda.After(length, func() {
 		for _, ticket := range t.queue.Release(service, length) {
-			t.granted[ticket]()
-			delete(t.granted, ticket)
+			t.onGrant[ticket]()
+			delete(t.onGrant, ticket)
 		}
-		w.agenda.After(way, func() { w.answered(c, at) })
+		w.agenda.After(delay, func() { w.onServed(c, selected) })
 	})
 }
 
-// hear takes what an answer tells of its target.
-func (w *world) hear(e *entry, at *bffleet.Target, took bool) {
-	t := w.targets[at.Member().Inbound]
+// recordAnswer updates the entry node's load, speed and acceptance figures of a target that answered.
+func (w *world) recordAnswer(e *entry, answering *bffleet.Target, accepted bool) {
+	t := w.targets[answering.Member().Inbound]
 	used, slots := t.queue.Load()
-	at.Told(used, slots, w.agenda.Now())
-	at.ToldTrack(0, t.speed, w.agenda.Now())
-	at.End()
-	odds := &e.odds
-	if e.fleet.IsFar(at) {
-		odds = &e.far
+	answering.Told(used, slots, w.agenda.Now())
+	answering.ToldTrack(0, t.speed, w.agenda.Now())
+	answering.End()
+	acceptance := &e.sameDomain
+	if e.fleet.IsFar(answering) {
+		acceptance = &e.crossDomain
 	}
-	odds.Note(service, took)
+	acceptance.Note(service, accepted)
 }
 
-func (w *world) turnedAway(c *caller, at *bffleet.Target) {
-	c.full = true
-	w.hear(w.entryOf(c), at, false)
-	w.ask(c)
+// onFull handles the answer of a node whose target had no free slot.
+func (w *world) onFull(c *caller, answering *bffleet.Target) {
+	c.foundFull = true
+	w.recordAnswer(w.entryOf(c), answering, false)
+	w.tryNextTarget(c)
 }
 
-func (w *world) answered(c *caller, at *bffleet.Target) {
+// onServed records the result of a request that was served.
+func (w *world) onServed(c *caller, answering *bffleet.Target) {
 	e := w.entryOf(c)
-	w.hear(e, at, true)
-	const learnShare = 10
-	e.usual += (w.agenda.Now().Sub(c.attempt) - e.usual) / learnShare
-	took := w.agenda.Now().Sub(c.began)
-	// The time was clamped to the histogram's range, the one thing it refuses.
-	_ = w.report.Times.RecordValue(min(max(took.Microseconds(), 1), longestMicro))
+	w.recordAnswer(e, answering, true)
+	const averagingDivisor = 10
+	e.meanLatency += (w.agenda.Now().Sub(c.attempt) - e.meanLatency) / averagingDivisor
+	took := w.agenda.Now().Sub(c.firstAttempt)
+	// RecordValue fails only for values out of range, and this one is clamped.
+	_ = w.report.Times.RecordValue(min(max(took.Microseconds(), 1), maxLatencyMicros))
 	if took <= w.load.Objective {
 		w.report.InTime++
 		return
@@ -218,20 +222,20 @@
 	w.report.Late++
 }
 
-// refuse tells the caller when to come back; one that has no more time does not.
+// refuse schedules the caller's retry, or counts it as refused if it has no retries or time left.
 func (w *world) refuse(e *entry, c *caller) {
 	odds := 0.0
 	if w.ways.ByOdds {
-		odds = e.odds.Of(service)
+		odds = e.sameDomain.Of(service)
 	}
-	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.began), Left: c.deadline.Sub(w.agenda.Now())}
+	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.firstAttempt), Left: c.deadline.Sub(w.agenda.Now())}
 	pause := refused.ComeBack(odds, w.random.Float64())
 	if c.retries == 0 || w.agenda.Now().Add(pause).After(c.deadline) {
 		w.report.Refused++
 		return
 	}
 	w.agenda.After(pause, func() {
-		again := &caller{arrival: c.arrival, began: c.began, deadline: c.deadline, retries: c.retries - 1, attempt: w.agenda.Now()}
-		w.ask(again)
+		retry := &caller{arrival: c.arrival, firstAttempt: c.firstAttempt, deadline: c.deadline, retries: c.retries - 1, attempt: w.agenda.Now()}
+		w.tryNextTarget(retry)
 	})
 }
--- a/lib/bfreplay/replay_test.go
+++ b/lib/bfreplay/replay_test.go
@@ -7,8 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// small is a service of four targets in four domains, one of them slow, that bears
-// the load with a tenth to spare; large has seven in each.
+// small is a service with one target in each of four failure domains and little spare capacity.
 func small(seed uint64) Load {
 	return Load{
 		Seed: seed, Domains: 4, Speeds: []float64{1.1}, Slots: 9, PerSecond: 160, Running: 200 * time.Millisecond, Spread: 0.8,
@@ -16,6 +15,7 @@
 	}
 }
 
+// large is a service with seven targets of mixed speed in each of four failure domains.
 func large(seed uint64) Load {
 	l := small(seed)
 	l.Speeds = []float64{0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7}
@@ -28,9 +28,8 @@
 
 const seeds = 3
 
-// A fleet bears its load with little to spare, and all of a target's slots are in use
-// for moments. Refused in such a moment, callers come back late or in vain; those that
-// wait for the next slot are answered in time, and no caller waits past its objective.
+// Guards against refusing requests while all slots of a target are only briefly in use:
+// waiting for the next slot must answer more callers in time than refusing them.
 func TestWaitingForTheNextSlotServesMore(t *testing.T) {
 	is := is.New(t)
 	gain := 0.0
@@ -50,9 +49,8 @@
 	is.True(gain > 0.01)
 }
 
-// The same load comes out the same each time, so that two ways can be held against each
-// other by their figures.
-func TestReplaysAreTheSameEachTime(t *testing.T) {
+// Guards against simulations that aren't reproducible.
+func TestSimulationsAreReproducible(t *testing.T) {
 	is := is.New(t)
 	load := large(1)
 	load.Length = 2 * time.Second
@@ -61,10 +59,9 @@
 		[]int{second.InTime, second.Late, second.Refused, second.Asks, second.FarAsks})
 }
 
-// Twice as many callers come as the fleet can serve, for a third of the time. Waiting
-// must not feed the burst: as many are in time as without, and once it has passed the
-// fleet is not late for longer.
-func TestWaitingHoldsInABurst(t *testing.T) {
+// Guards against a queue that prolongs an overload: in a burst at twice the capacity, waiting
+// must serve as many callers in time as refusing does, and make few more of them late.
+func TestWaitingDoesNotProlongABurst(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(seeds) {
 		load := small(seed)
@@ -77,11 +74,10 @@
 	}
 }
 
-// Each node of a large fleet hears of each target once in a second, and what it knows
-// is old. While there is room, a refusal is chance: requests that go on to the next
-// target are in time, where those that wait at their first one are late, and hardly any
-// goes to another domain for it.
-func TestChanceRefusalsCostLittle(t *testing.T) {
+// Guards against waiting at a target that is full by chance: in a large fleet with stale load
+// information and spare capacity, trying the next target must answer more callers in time
+// and send fewer requests to other failure domains.
+func TestSearchingPassesTargetsFullByChance(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(seeds) {
 		load := large(seed)
@@ -94,10 +90,10 @@
 	}
 }
 
-// Half more comes to a large fleet than it can serve, for all the time. Walks over full
-// targets serve nobody more: with the odds observed, fewer other domains are asked for
-// as many answers in time.
-func TestPointlessWalksEnd(t *testing.T) {
+// Guards against fruitless searches over full targets: under lasting overload, searches bounded
+// by the observed acceptance rate must reach fewer other failure domains and serve as many
+// callers in time.
+func TestFruitlessSearchesEnd(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(seeds) {
 		load := large(seed)
