--- a/lib/bfevent/decision.go
+++ b/lib/bfevent/decision.go
@@ -7,7 +7,7 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Decision is the policy one node found in force for a request.
+// Decision is the policy that a node determined for a request.
 type Decision struct {
 	policy  bfconfig.PolicySpec
 	version bfconfig.Version
@@ -19,16 +19,16 @@
 // Policy is the policy in force.
 func (d Decision) Policy() bfconfig.PolicySpec { return d.policy }
 
-// Version is the version the decision was made by.
+// Version is the configuration version the decision is based on.
 func (d Decision) Version() bfconfig.Version { return d.version }
 
-// Event names the event that put the policy in force, empty for the route's own policy.
+// Event names the event whose override applies; empty for the route's own policy.
 func (d Decision) Event() string { return d.event }
 
-// Edge is the start or end of an event that last changed the route's policy, zero if none has.
+// Edge is when an event last started or ended for the route; zero if none has.
 func (d Decision) Edge() time.Time { return d.edge }
 
-// Stamp is the decision as it travels with the request.
+// Stamp returns the decision in the form that is sent with the request.
 func (d Decision) Stamp() Stamp {
 	return Stamp{
 		Policy: d.policy.Name, Version: d.version, Event: d.event, Edge: d.edge, At: d.at,
@@ -36,10 +36,10 @@
 	}
 }
 
-// Stamp is the entry node's decision on a request, which every later node keeps to.
+// Stamp is the entry node's decision on a request, which is binding for every later node.
 //
-// It carries the treatment itself beside the policy's name, since the target's
-// node may hold a version in which that name means something else or nothing.
+// It carries the treatment in addition to the policy's name, since the target's node may hold
+// a version in which that name is defined differently or not at all.
 type Stamp struct {
 	Policy      string           `json:"policy"`
 	Version     bfconfig.Version `json:"version"`
@@ -51,7 +51,7 @@
 	DurableKeys bool             `json:"durableKeys,omitempty"`
 }
 
-// Limits are the admission limits of the target's node for a request.
+// Limits are the admission limits that the target's node applies to a request.
 type Limits struct {
 	class       string
 	priority    int
@@ -60,41 +60,41 @@
 	tenantLimit int
 }
 
-// Class is the class in which the request takes its place at the target.
+// Class is the class in which the request is admitted at the target.
 func (l Limits) Class() string { return l.class }
 
-// Priority orders the class at a full target.
+// Priority is the class's precedence at a full target.
 func (l Limits) Priority() int { return l.priority }
 
-// Queue is how many of the class may wait.
+// Queue is the number of requests of the class that may wait.
 func (l Limits) Queue() int { return l.queue }
 
-// Concurrency caps the class's slots; 0 means no cap.
+// Concurrency is the maximum number of slots of the class; 0 means unlimited.
 func (l Limits) Concurrency() int { return l.concurrency }
 
-// TenantLimit caps one tenant's slots; 0 means no cap.
+// TenantLimit is the maximum number of slots of one tenant; 0 means unlimited.
 func (l Limits) TenantLimit() int { return l.tenantLimit }
 
-// SkewError reports a request stamped further in the future than MaxClockError explains.
+// SkewError reports a request stamped more than MaxClockError in the future.
 type SkewError struct {
 	Stamped, Now time.Time
 }
 
-// Error gives both times.
+// Error states by how much the stamp is ahead.
 func (e *SkewError) Error() string {
 	return fmt.Sprintf("request stamped %v ahead of this node's clock, more than %v",
 		e.Stamped.Sub(e.Now), MaxClockError)
 }
 
-// Reconcile gives the limits under which the target's node admits a stamped request.
+// Reconcile returns the limits under which the target's node admits a stamped request.
 //
-// They are those of the policy in force here and now, so that all requests of
-// a route meet one set of limits. A node that does not know the route yet lets
-// it run on a free slot but not wait. The treatment stays the stamp's in every
-// case: were a node with a slower clock to apply its own, a request entered as
-// idempotent could be refused for want of a key, or one that was promised a
-// key could run without a claim. The error is a report of a bad clock only; the
-// limits hold beside it, since refusing would turn a clock fault into an outage.
+// The limits are those of the policy that this node's schedule has at now, so that the same
+// limits apply to all requests of a route. If the node doesn't have the route yet, the
+// request may use a free slot but not wait for one. The treatment is always that of the
+// stamp: if a node with a slower clock applied its own, a request that entered as idempotent
+// could be refused for lack of a key, or one that needs a claimed key could run without it.
+// A SkewError only reports clock skew; the returned limits are valid, since refusing the
+// request would turn a clock fault into an outage.
 func (s *Schedule) Reconcile(stamp Stamp, route string, now time.Time) (Limits, error) {
 	limits := Limits{class: stamp.Class}
 	if decision, found := s.InForce(route, now); found {
--- a/lib/bfevent/doc.go
+++ b/lib/bfevent/doc.go
@@ -1,10 +1,10 @@
-// Package bfevent says which policy a route is under at a moment, from the
-// fixed starts and ends of events that were spread long before.
+// Package bfevent determines which policy applies to a route at a given time, from the
+// scheduled starts and ends of events, which are distributed to all nodes in advance.
 //
-// The clocks of two nodes differ by up to MaxClockError, so for that long
-// around an edge two nodes are under different policies. One request must not
-// be: the entry node decides, its Stamp travels with the request, and the
-// target's node takes the request's treatment (idempotent or not, durable keys)
-// from the Stamp alone. Its own view gives only the limits of admission, which
-// protect its own target and change nothing in what the caller was promised.
+// The clocks of two nodes differ by up to MaxClockError, so for that long around the start
+// or end of an event two nodes apply different policies. A request must not be treated by
+// both: the entry node decides, its Stamp travels with the request, and the target's node
+// takes the treatment (idempotent or not, durable keys) from the Stamp alone. Its own
+// schedule determines only the admission limits, which protect its target and don't change
+// what the caller was promised.
 package bfevent
--- a/lib/bfevent/schedule.go
+++ b/lib/bfevent/schedule.go
@@ -8,52 +8,52 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// MaxClockError is the most by which the clocks of two nodes may differ.
+// MaxClockError is the maximum difference between the clocks of two nodes.
 const MaxClockError = time.Second
 
-// span is one event's hold on one route: start <= now < end.
+// span is the time in which an event overrides a route's policy: start <= now < end.
 type span struct {
 	start, end time.Time
 	event      string
 	policy     bfconfig.PolicySpec
 }
 
-// standing is what the configuration says of one route at every moment.
-type standing struct {
+// routePolicies holds the policies of one route over time.
+type routePolicies struct {
 	base bfconfig.PolicySpec
-	// spans are ordered by start and do not overlap: bfconfig refuses two
-	// events that hold one route at the same time.
+	// spans are ordered by start and don't overlap: bfconfig refuses two events that
+	// override the same route at the same time.
 	spans []span
 }
 
-// warmUp is the time before an event in which its services are warmed.
+// warmUp is the time before an event in which connections to its services are opened.
 type warmUp struct {
 	from, until time.Time
 	services    []string
 }
 
-// Schedule is what one version says of every route at every moment; it never changes once made.
+// Schedule holds the policies of all routes over time for one configuration version. It is immutable.
 type Schedule struct {
 	version bfconfig.Version
-	routes  map[string]standing
+	routes  map[string]routePolicies
 	warmUps []warmUp
-	// edges are all times at which an answer of the schedule changes, ordered.
+	// edges are the times, ordered, at which the result of InForce or WarmUps changes.
 	edges []time.Time
 }
 
 // NewSchedule builds the schedule of state.
 //
-// An error means that state is not closed, which bfconfig rules out; it is
-// returned so that a fault there keeps the older version in force.
+// It fails with a DanglingError if state refers to a missing object, which bfconfig rules out.
+// The error keeps the older version in force if bfconfig has a fault.
 func NewSchedule(state *bfconfig.State) (*Schedule, error) {
-	s := &Schedule{version: state.Version(), routes: make(map[string]standing, state.Len())}
+	s := &Schedule{version: state.Version(), routes: make(map[string]routePolicies, state.Len())}
 	for object := range state.All(bfconfig.KindRoute) {
 		route := object.(bfconfig.RouteSpec)
 		policy, err := policyOf(state, route.Ref(), route.Policy)
 		if err != nil {
 			return nil, err
 		}
-		s.routes[route.Name] = standing{base: policy}
+		s.routes[route.Name] = routePolicies{base: policy}
 	}
 	for _, object := range state.Objects(bfconfig.KindEvent) {
 		if err := s.addEvent(state, object.(bfconfig.EventSpec)); err != nil {
@@ -70,14 +70,14 @@
 
 func policyOf(state *bfconfig.State, from bfconfig.Ref, name string) (bfconfig.PolicySpec, error) {
 	ref := bfconfig.Ref{Kind: bfconfig.KindPolicy, Name: name}
-	policy, found := lookUp[bfconfig.PolicySpec](state, ref)
+	policy, found := lookup[bfconfig.PolicySpec](state, ref)
 	if !found {
 		return bfconfig.PolicySpec{}, &bfconfig.DanglingError{From: from, Missing: ref}
 	}
 	return policy, nil
 }
 
-func lookUp[T bfconfig.Object](state *bfconfig.State, ref bfconfig.Ref) (T, bool) {
+func lookup[T bfconfig.Object](state *bfconfig.State, ref bfconfig.Ref) (T, bool) {
 	object, _ := state.Object(ref)
 	typed, found := object.(T)
 	return typed, found
@@ -87,7 +87,7 @@
 	warm := warmUp{from: event.Start.Add(-event.WarmUp), until: event.Start}
 	for _, override := range event.Overrides {
 		ref := bfconfig.Ref{Kind: bfconfig.KindRoute, Name: override.Route}
-		route, found := lookUp[bfconfig.RouteSpec](state, ref)
+		route, found := lookup[bfconfig.RouteSpec](state, ref)
 		if !found {
 			return &bfconfig.DanglingError{From: event.Ref(), Missing: ref}
 		}
@@ -95,9 +95,9 @@
 		if err != nil {
 			return err
 		}
-		held := s.routes[route.Name]
-		held.spans = append(held.spans, span{start: event.Start, end: event.End, event: event.Name, policy: policy})
-		s.routes[route.Name] = held
+		policies := s.routes[route.Name]
+		policies.spans = append(policies.spans, span{start: event.Start, end: event.End, event: event.Name, policy: policy})
+		s.routes[route.Name] = policies
 		warm.services = append(warm.services, route.Service)
 	}
 	s.warmUps = append(s.warmUps, warm)
@@ -108,18 +108,18 @@
 // Version is the version the schedule was built from.
 func (s *Schedule) Version() bfconfig.Version { return s.version }
 
-// InForce is the policy that route is under at now; false means that there is no such route.
+// InForce returns the policy of route at now, or false if there is no such route.
 func (s *Schedule) InForce(route string, now time.Time) (Decision, bool) {
-	held, found := s.routes[route]
+	policies, found := s.routes[route]
 	if !found {
 		return Decision{}, false
 	}
-	decision := Decision{policy: held.base, version: s.version, at: now}
-	begun := sort.Search(len(held.spans), func(i int) bool { return held.spans[i].start.After(now) })
+	decision := Decision{policy: policies.base, version: s.version, at: now}
+	begun := sort.Search(len(policies.spans), func(i int) bool { return policies.spans[i].start.After(now) })
 	if begun == 0 {
 		return decision, true
 	}
-	last := &held.spans[begun-1]
+	last := &policies.spans[begun-1]
 	if !now.Before(last.end) {
 		decision.edge = last.end
 		return decision, true
@@ -128,7 +128,8 @@
 	return decision, true
 }
 
-// NextEdge is the first time after now at which InForce or WarmUps answers differently; false means never.
+// NextEdge returns the first time after now at which the result of InForce or WarmUps may
+// change, or false if there is none.
 func (s *Schedule) NextEdge(now time.Time) (time.Time, bool) {
 	next := sort.Search(len(s.edges), func(i int) bool { return s.edges[i].After(now) })
 	if next == len(s.edges) {
@@ -137,7 +138,7 @@
 	return s.edges[next], true
 }
 
-// WarmUps lists, by name, the services to which connections should be opened at now.
+// WarmUps returns the sorted names of the services to which connections should be opened at now.
 func (s *Schedule) WarmUps(now time.Time) []string {
 	var services []string
 	for _, warm := range s.warmUps {
--- a/lib/bfevent/schedule_test.go
+++ b/lib/bfevent/schedule_test.go
@@ -15,7 +15,7 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// TestMain fixes rapid's seed so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -43,7 +43,7 @@
 	}
 }
 
-// The naive version asks every event in turn at every second.
+// Compares the schedule, second by second, with a naive scan over all events.
 func TestScheduleAgreesWithNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		objects := []bfconfig.Object{policy("usual", 1, true), policy("rush", 2, false)}
@@ -52,7 +52,7 @@
 			objects = append(objects, bfconfig.ServiceSpec{Name: "s-" + name},
 				bfconfig.RouteSpec{Name: name, Prefix: "/" + name, Service: "s-" + name, Policy: "usual"})
 		}
-		// Events of one route follow each other, some without a gap.
+		// Events of one route don't overlap; some follow each other without a gap.
 		var events []bfconfig.EventSpec
 		ends := []int{20, 20, 20}
 		for e := range rapid.IntRange(0, 8).Draw(t, "events") {
@@ -80,7 +80,7 @@
 				t.Fatalf("at %v got %s, naive %s", now, got, answers)
 			}
 			if before != "" && answers != before && (!more || !now.Equal(expected)) {
-				t.Fatalf("answers changed at %v, NextEdge said %v %v", now, expected, more)
+				t.Fatalf("answers changed at %v, NextEdge returned %v %v", now, expected, more)
 			}
 			before = answers
 			expected, more = schedule.NextEdge(now)
@@ -120,13 +120,9 @@
 	return answers, schedule.WarmUps(now)
 }
 
-// CASE 17. The window for approvals opens; from then on they need a durable
-// key. The entry node's clock and the target's node's differ by a second, so a
-// request enters under the one policy and reaches a node that is under the
-// other. The caller must get the treatment its entry node promised: were the
-// target's node to apply its own, an approval entered before the start would
-// be refused for want of a key, or one that has a key would run unclaimed.
-func TestTreatmentIsTheEntryNodesAcrossAnEdge(t *testing.T) {
+// Guards against a request that is treated by two policies around the start of an event, while
+// the clocks of its entry node and its target's node differ by up to MaxClockError.
+func TestTreatmentFollowsTheEntryNodeAroundAnEventStart(t *testing.T) {
 	is := is.New(t)
 	start := base.Add(time.Minute)
 	schedule, err := NewSchedule(build(t,
@@ -144,18 +140,18 @@
 			decision, _ := schedule.InForce("approvals", entered)
 			stamp := decision.Stamp()
 			limits, err := schedule.Reconcile(stamp, "approvals", entered.Add(skew))
-			is.NoErr(err) // within the bound no clock is reported
+			is.NoErr(err) // no skew is reported within MaxClockError
 			is.Equal(stamp.DurableKeys, !entered.Before(start))
 			is.Equal(stamp.Idempotent, entered.Before(start))
 			atTarget := map[bool]int{true: 100, false: 5}[entered.Add(skew).Before(start)]
-			is.Equal(limits.Queue(), atTarget) // the target's node protects its target by its own view
+			is.Equal(limits.Queue(), atTarget) // the limits are those of the target's node
 			if (limits.Queue() == 5) != stamp.DurableKeys {
 				split++
 				is.True(offset.Abs() <= MaxClockError)
 			}
 		}
 	}
-	is.Equal(split, 20) // ten of a tenth of a second on each side; else the test tests nothing
+	is.Equal(split, 20) // the nodes disagree in ten steps on each side of the start
 	decision, _ := schedule.InForce("approvals", start)
 	_, err = schedule.Reconcile(decision.Stamp(), "approvals", start.Add(-MaxClockError-time.Millisecond))
 	var skewed *SkewError
