--- a/lib/bflog/doc.go
+++ b/lib/bflog/doc.go
@@ -1,3 +1,3 @@
-// Package bflog declares the numbered log events of the system and writes them
-// through log/slog. docs/EVENTS.md is made from the declarations.
+// Package bflog declares the numbered log events of all programs and writes them through
+// log/slog. docs/EVENTS.md is generated from the declarations.
 package bflog
--- a/lib/bflog/log.go
+++ b/lib/bflog/log.go
@@ -12,7 +12,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Event is one kind of log line; its number never changes its meaning.
+// Event is a kind of log line. A number is never reused with another meaning.
 type Event struct {
 	number  int
 	level   slog.Level
@@ -20,7 +20,7 @@
 	advice  string
 }
 
-// Number is the event's number in the catalogue.
+// Number is the event's number in docs/EVENTS.md.
 func (e Event) Number() int { return e.number }
 
 // Message is the fixed text of the event.
@@ -28,8 +28,8 @@
 
 var catalogue = map[int]Event{}
 
-// declare panics on a number declared twice: two meanings under one number is
-// a fault of the source that must not get past the first start.
+// declare registers an event. It panics on a duplicate number, so that the fault shows
+// whenever the package is loaded.
 func declare(number int, level slog.Level, message, advice string) Event {
 	if earlier, found := catalogue[number]; found {
 		panic(fmt.Sprintf("log event %d declared twice: %q and %q", number, earlier.message, message))
@@ -42,44 +42,43 @@
 // Logger writes events for one process.
 type Logger struct {
 	slog *slog.Logger
-	// urgent takes warnings and errors; it is slog where lines are not queued.
+	// urgent writes warnings and errors; it equals slog if lines are not queued.
 	urgent     *slog.Logger
 	limits     map[int]*limit
 	background *background
-	// lost counts the lines that summarize told of.
-	lost atomic.Int64
+	// reportedDrops counts the dropped lines that summarize has reported.
+	reportedDrops atomic.Int64
 }
 
-// limit bounds the lines of one event.
+// limit is the rate limit of one event.
 type limit struct {
 	limiter *rate.Limiter
 	dropped atomic.Int64
 }
 
 const (
-	// linesPerSecond is how many lines of one event are written a second, and
-	// lineBurst how many at once. A node in a spike refuses hundreds of requests a
-	// second for the same reason; the first tell it.
+	// linesPerSecond and lineBurst limit the lines of one event. An overloaded node refuses
+	// hundreds of requests per second for the same reason.
 	linesPerSecond = 20
 	lineBurst      = 100
 )
 
-// New makes a logger that writes JSON lines to w, each with the instance's name.
+// New returns a logger that writes JSON lines to w, each with the instance's name.
 func New(w io.Writer, instance string, level slog.Level) *Logger {
-	one := newSlog(w, instance, level)
-	return &Logger{slog: one, urgent: one}
+	shared := newSlog(w, instance, level)
+	return &Logger{slog: shared, urgent: shared}
 }
 
-// NewSpooled makes a logger that never waits for w: lines are queued, bounded by
-// event and in all, and what was dropped is summed up in a line of its own.
+// NewSpooled returns a logger that never blocks on w: lines are queued, with a rate limit for
+// each event and a bounded queue, and dropped lines are reported in summary lines.
 func NewSpooled(w io.Writer, instance string, level slog.Level) *Logger {
 	l := &Logger{limits: map[int]*limit{}}
 	for number := range catalogue {
 		l.limits[number] = &limit{limiter: rate.NewLimiter(linesPerSecond, lineBurst)}
 	}
 	l.start(w)
-	l.slog = newSlog(urgency{l.background.spool, false}, instance, level)
-	l.urgent = newSlog(urgency{l.background.spool, true}, instance, level)
+	l.slog = newSlog(queueWriter{l.background.spool, false}, instance, level)
+	l.urgent = newSlog(queueWriter{l.background.spool, true}, instance, level)
 	return l
 }
 
@@ -87,7 +86,7 @@
 	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})).With("instance", instance)
 }
 
-// Discard makes a logger that writes nothing.
+// Discard returns a logger that writes nothing.
 func Discard() *Logger {
 	nothing := slog.New(slog.DiscardHandler)
 	return &Logger{slog: nothing, urgent: nothing}
@@ -111,28 +110,28 @@
 	to.LogAttrs(ctx, event.level, event.message, all...)
 }
 
-// summarize writes how many lines of which events were dropped since the last
-// time, so that no reader takes silence for calm.
+// summarize logs how many lines of each event were dropped since its last call, so that
+// missing lines are not mistaken for missing events.
 func (l *Logger) summarize() {
 	for number, bound := range l.limits {
 		if count := bound.dropped.Swap(0); count > 0 {
-			l.lost.Add(count)
-			l.Emit(LinesDropped, slog.Int("of_event", number), slog.Int64("count", count), slog.String("reason", "too many a second"))
+			l.reportedDrops.Add(count)
+			l.Emit(LinesDropped, slog.Int("of_event", number), slog.Int64("count", count), slog.String("reason", "rate limit"))
 		}
 	}
 	if count := l.background.spool.dropped.Swap(0); count > 0 {
-		l.lost.Add(count)
-		l.Emit(LinesDropped, slog.Int64("count", count), slog.String("reason", "nobody reads"))
+		l.reportedDrops.Add(count)
+		l.Emit(LinesDropped, slog.Int64("count", count), slog.String("reason", "queue full"))
 	}
 }
 
-// Dropped is how many lines were dropped, as of the last summary.
-func (l *Logger) Dropped() int64 { return l.lost.Load() }
+// Dropped is the number of dropped lines as of the last summary.
+func (l *Logger) Dropped() int64 { return l.reportedDrops.Load() }
 
-// Err is the attribute for an error.
+// Err returns the attribute "error" for an error.
 func Err(err error) slog.Attr { return slog.String("error", fmt.Sprint(err)) }
 
-// Catalogue renders every declared event as the page docs/EVENTS.md.
+// Catalogue renders the declared events as the Markdown page docs/EVENTS.md.
 func Catalogue() string {
 	numbers := make([]int, 0, len(catalogue))
 	for number := range catalogue {
@@ -140,7 +139,7 @@
 	}
 	sort.Ints(numbers)
 	var page strings.Builder
-	page.WriteString("# Log events\n\nMade from `lib/bflog/events.go` by `make docs`; a test holds it to the code.\n\n")
+	page.WriteString("# Log events\n\nGenerated from `lib/bflog/events.go` by `make docs`; a test checks that it is current.\n\n")
 	page.WriteString("| event | level | message | what to do |\n|---|---|---|---|\n")
 	for _, number := range numbers {
 		event := catalogue[number]
--- a/lib/bflog/spool.go
+++ b/lib/bflog/spool.go
@@ -11,41 +11,39 @@
 )
 
 const (
-	// spoolLines is how many lines of each urgency wait for a reader. A node under
-	// load writes some tens a second, so they bridge seconds; at about 500 bytes
-	// a line they hold a megabyte at most.
+	// spoolLines is the capacity of each of the two queues, in lines. It bridges a reader
+	// that stalls for seconds and holds about a megabyte at most.
 	spoolLines = 1000
-	// flushTimeout bounds the wait for a reader at the end of the process.
+	// flushTimeout limits how long Close waits for queued lines to be read.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// spool hands lines to one writer without ever waiting for it.
+// spool passes lines to one writer without blocking the caller.
 //
-// Standard output is a pipe. When nobody reads it, a write waits for ever, and
-// with it every request that has something to log. Lines are therefore put into
-// a bounded queue, and dropped and counted where it is full; warnings and errors
-// have a queue of their own and go first.
+// Standard output may be a pipe that is not read, on which a write blocks forever, and with it
+// every request that logs. Lines are therefore put into a bounded queue, and dropped and
+// counted if it is full. Warnings and errors have their own queue, which is written first.
 type spool struct {
 	out     io.Writer
 	urgent  chan line
-	usual   chan line
+	normal  chan line
 	dropped atomic.Int64
 }
 
-// line is one line, or the mark behind the last one.
+// line is a log line, or a marker that Close appends to detect that the queue is written.
 type line struct {
 	text []byte
-	// reached is closed when the writer comes to the mark; nil for a line.
+	// reached is closed when the writer reaches the marker; nil for a log line.
 	reached chan struct{}
 }
 
 func newSpool(out io.Writer) *spool {
-	return &spool{out: out, urgent: make(chan line, spoolLines), usual: make(chan line, spoolLines)}
+	return &spool{out: out, urgent: make(chan line, spoolLines), normal: make(chan line, spoolLines)}
 }
 
 // put queues a line or drops it.
 func (s *spool) put(text []byte, urgent bool) {
-	queue := s.usual
+	queue := s.normal
 	if urgent {
 		queue = s.urgent
 	}
@@ -56,7 +54,7 @@
 	}
 }
 
-// run writes lines until ctx ends.
+// run writes lines until ctx is done.
 func (s *spool) run(ctx context.Context) error {
 	for {
 		next, ok := s.next(ctx)
@@ -67,7 +65,7 @@
 			close(next.reached)
 			continue
 		}
-		// There is no other place to report a broken standard output to.
+		// An error can't be reported: this is the log output.
 		_, _ = s.out.Write(next.text)
 	}
 }
@@ -81,33 +79,33 @@
 	select {
 	case next := <-s.urgent:
 		return next, true
-	case next := <-s.usual:
+	case next := <-s.normal:
 		return next, true
 	case <-ctx.Done():
 		return line{}, false
 	}
 }
 
-// urgency is a spool's writer for lines of one urgency.
-type urgency struct {
+// queueWriter is an io.Writer that puts lines into one of a spool's queues.
+type queueWriter struct {
 	spool  *spool
 	urgent bool
 }
 
-// Write queues one line; slog writes each with one call.
-func (u urgency) Write(p []byte) (int, error) {
+// Write queues one line; slog calls it once for each line.
+func (u queueWriter) Write(p []byte) (int, error) {
 	u.spool.put(append([]byte(nil), p...), u.urgent)
 	return len(p), nil
 }
 
-// background runs a spool's writer and the summary of dropped lines.
+// background runs the goroutines that write the spool and summarize dropped lines.
 type background struct {
 	group *bfgroup.Group
 	timer *bftimer.Service
 	spool *spool
 }
 
-// summaryInterval is how often dropped lines are summed up.
+// summaryInterval is the interval of the reports on dropped lines.
 const summaryInterval = 5 * time.Second
 
 func (l *Logger) start(out io.Writer) {
@@ -118,23 +116,23 @@
 	l.background.timer.Every(func() time.Duration { return summaryInterval }, func(time.Time) { l.summarize() })
 }
 
-// Close writes what is queued, as far as somebody reads it.
+// Close writes the queued lines, for up to flushTimeout if the output is not read.
 func (l *Logger) Close() {
 	if l.background == nil {
 		return
 	}
 	l.summarize()
-	over := l.background.timer.After(flushTimeout, func(time.Time) { l.background.group.Cancel() })
-	defer over.Stop()
-	given := l.background.group.Context().Done()
-	mark := line{reached: make(chan struct{})}
+	timeout := l.background.timer.After(flushTimeout, func(time.Time) { l.background.group.Cancel() })
+	defer timeout.Stop()
+	timedOut := l.background.group.Context().Done()
+	marker := line{reached: make(chan struct{})}
 	select {
-	case l.background.spool.usual <- mark:
-	case <-given:
+	case l.background.spool.normal <- marker:
+	case <-timedOut:
 		return
 	}
 	select {
-	case <-mark.reached:
-	case <-given:
+	case <-marker.reached:
+	case <-timedOut:
 	}
 }
--- a/lib/bflog/spool_test.go
+++ b/lib/bflog/spool_test.go
@@ -13,29 +13,28 @@
 	"github.com/matryer/is"
 )
 
-// guarded is a buffer for concurrent use.
-type guarded struct {
+// lockedBuffer is a buffer that is safe for concurrent use.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	data bytes.Buffer
 }
 
-func (g *guarded) Write(p []byte) (int, error) {
+func (g *lockedBuffer) Write(p []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.data.Write(p)
 }
 
-func (g *guarded) lines() []string {
+func (g *lockedBuffer) lines() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return strings.Split(strings.TrimSpace(g.data.String()), "\n")
 }
 
-// Whoever read the process's output stops reading. Requests that log must not
-// wait for it: a pipe holds 64 KiB, and every write after that would block.
-func TestNobodyReads(t *testing.T) {
+// Guards against requests that block on logging because the process's output is not read.
+func TestEmitDoesNotBlockOnUnreadOutput(t *testing.T) {
 	is := is.New(t)
-	reader, writer := io.Pipe() // holds nothing at all
+	reader, writer := io.Pipe() // unbuffered
 	l := NewSpooled(writer, "a", slog.LevelInfo)
 	began := time.Now()
 	for range 10_000 {
@@ -43,16 +42,16 @@
 		l.Emit(TargetLeaving)
 	}
 	is.True(time.Since(began) < time.Second)
-	l.Close() // and the process ends
+	l.Close()
 	is.True(time.Since(began) < 2*time.Second)
 	reader.Close()
 }
 
-// A spike refuses thousands of requests. The first lines are written, the rest
-// are counted in one line by event, and other events are not cut short.
-func TestLinesOfOneEventAreBounded(t *testing.T) {
+// Guards against one event flooding the log: lines above its rate limit are counted, and other
+// events are still written.
+func TestLinesOfOneEventAreRateLimited(t *testing.T) {
 	is := is.New(t)
-	var out guarded
+	var out lockedBuffer
 	l := NewSpooled(&out, "a", slog.LevelInfo)
 	const emitted = 5000
 	for range emitted {
@@ -83,8 +82,8 @@
 	is.Equal(other, 1)
 }
 
-// While the queue is full of usual lines, a warning must still get through.
-func TestWarningsHaveAQueueOfTheirOwn(t *testing.T) {
+// Guards against warnings that are dropped because the queue is full of other lines.
+func TestWarningsHaveTheirOwnQueue(t *testing.T) {
 	is := is.New(t)
 	s := newSpool(io.Discard)
 	for range 2 * spoolLines {
