--- a/lib/bfmetric/doc.go
+++ b/lib/bfmetric/doc.go
@@ -1,4 +1,3 @@
-// Package bfmetric keeps the counters and latency histograms of a process and
-// publishes them by expvar, with a histogram for each label such as a tenant
-// or a class.
+// Package bfmetric keeps the counters, gauges and latency histograms of a process and
+// publishes them through expvar. Histograms have a label, such as a tenant or a class.
 package bfmetric
--- a/lib/bfmetric/metric.go
+++ b/lib/bfmetric/metric.go
@@ -18,7 +18,7 @@
 	histograms map[string]*Family
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{
 		counters:   map[string]*Counter{},
@@ -27,19 +27,19 @@
 	}
 }
 
-// Publish shows the registry under name at /debug/vars; expvar allows each name once a process.
+// Publish exposes the registry under name at /debug/vars. It panics if name is already published.
 func (r *Registry) Publish(name string) { expvar.Publish(name, expvar.Func(r.snapshot)) }
 
-// Counter is a count that only grows.
+// Counter is a monotonic counter.
 type Counter struct{ value atomic.Int64 }
 
-// Add adds n.
+// Add increments the counter by n.
 func (c *Counter) Add(n int64) { c.value.Add(n) }
 
-// Value is the count so far.
+// Value returns the current count.
 func (c *Counter) Value() int64 { return c.value.Load() }
 
-// Counter returns the counter of that name, made at first use.
+// Counter returns the counter called name, and creates it on first use.
 func (r *Registry) Counter(name string) *Counter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,20 +51,20 @@
 	return counter
 }
 
-// Gauge shows read's answer under name.
+// Gauge registers a gauge called name, whose value is read at each snapshot.
 func (r *Registry) Gauge(name string, read func() int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gauges[name] = read
 }
 
-// Family is one measured time, with a histogram for each label.
+// Family is a set of latency histograms, one for each label.
 type Family struct {
 	mu     sync.Mutex
 	labels map[string]*hdrhistogram.Histogram
 }
 
-// Family returns the histograms of that name, made at first use.
+// Family returns the histogram family called name, and creates it on first use.
 func (r *Registry) Family(name string) *Family {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,17 +77,16 @@
 }
 
 const (
-	// maxLabels bounds what callers can make a node keep: a tenant's name comes
-	// from a request, and a stream of new names would grow the node's memory
-	// until it is killed. Later names share the label "other".
-	maxLabels    = 200
-	otherLabel   = "other"
-	longestMicro = int64(time.Hour / time.Microsecond)
+	// maxLabels limits memory: labels such as tenant names come from requests, and a client
+	// could send ever new ones. Labels above the limit share the label "other".
+	maxLabels  = 200
+	otherLabel = "other"
+	maxMicros  = int64(time.Hour / time.Microsecond)
 )
 
-// Observe records one duration under label.
+// Observe records a duration under label, clamped to between 1 µs and 1 h.
 func (f *Family) Observe(label string, d time.Duration) {
-	micro := min(max(d.Microseconds(), 1), longestMicro)
+	micro := min(max(d.Microseconds(), 1), maxMicros)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	histogram, found := f.labels[label]
@@ -96,15 +95,15 @@
 			label = otherLabel
 		}
 		if histogram = f.labels[label]; histogram == nil {
-			histogram = hdrhistogram.New(1, longestMicro, 2)
+			histogram = hdrhistogram.New(1, maxMicros, 2)
 			f.labels[label] = histogram
 		}
 	}
-	// The value was clamped to the histogram's range, the one thing it refuses.
+	// RecordValue fails only for values out of range, and this one is clamped.
 	_ = histogram.RecordValue(micro)
 }
 
-// Quantile is the duration below which share q (0 to 1) of label's observations lie.
+// Quantile returns the q-quantile (0 to 1) of label's observations, or 0 for an unknown label.
 func (f *Family) Quantile(label string, q float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,7 +113,7 @@
 	return 0
 }
 
-// summary is the form of one histogram at /debug/vars; times are microseconds.
+// summary is the JSON form of a histogram at /debug/vars; times are in microseconds.
 type summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -152,5 +151,5 @@
 	return values
 }
 
-// MarshalJSON gives what /debug/vars shows.
+// MarshalJSON returns the same JSON that Publish exposes.
 func (r *Registry) MarshalJSON() ([]byte, error) { return json.Marshal(r.snapshot()) }
--- a/lib/bfmetric/metric_test.go
+++ b/lib/bfmetric/metric_test.go
@@ -10,9 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Callers send a new tenant's name with each request. What a node keeps must stay
-// bounded, the tenants known before keep their own histograms, and no
-// observation gets lost: the rest is counted together.
+// Guards against memory growth by clients that send ever new tenant names, and against
+// observations lost to the label limit.
 func TestLabelsAreBounded(t *testing.T) {
 	is := is.New(t)
 	family := New().Family("latency")
@@ -31,8 +30,8 @@
 	is.Equal(total, int64(tenants+1))
 }
 
-// Times beyond what a histogram holds, and none at all, are counted at its ends.
-func TestObserveTakesEveryDuration(t *testing.T) {
+// Guards against durations out of a histogram's range being dropped instead of clamped.
+func TestObserveClampsDurations(t *testing.T) {
 	is := is.New(t)
 	family := New().Family("latency")
 	for _, d := range []time.Duration{-time.Hour, 0, time.Nanosecond, 24 * time.Hour, 1<<63 - 1} {
@@ -44,8 +43,8 @@
 	is.Equal(family.Quantile("nobody", 0.5), time.Duration(0))
 }
 
-// Requests count and measure while an operator reads the page, under names made
-// at first use on any goroutine. Nothing is lost and the race detector is quiet.
+// Guards against lost updates and data races while metrics are created, updated and read
+// concurrently.
 func TestConcurrentUse(t *testing.T) {
 	is := is.New(t)
 	registry := New()
