--- a/lib/bfprogram/doc.go
+++ b/lib/bfprogram/doc.go
@@ -1,3 +1,3 @@
-// Package bfprogram is what the mains of the daemons share: their command line,
-// their settings file, the logger, graceful stop on a signal, and exit codes.
+// Package bfprogram implements what the main packages of the daemons share: command line,
+// settings file, logger, graceful shutdown on a signal, reload on SIGHUP, and exit codes.
 package bfprogram
--- a/lib/bfprogram/program.go
+++ b/lib/bfprogram/program.go
@@ -23,29 +23,28 @@
 	"bilberryflow.org/lib/bfsettings"
 )
 
-// Version is the version of every program of this tree.
+// Version is the version of all programs of this repository.
 const Version = "0.1.0"
 
 // Exit codes of the daemons.
 const (
-	ExitStopped  = 0 // stopped gracefully, or printed what was asked for
-	ExitFailed   = 1 // failed while it ran
-	ExitSettings = 2 // wrong command line or settings; nothing was started
+	ExitStopped  = 0 // stopped gracefully, or printed the requested output
+	ExitFailed   = 1 // failed at startup or while running
+	ExitSettings = 2 // invalid command line or settings; nothing was started
 )
 
-// App is what a program runs until it is stopped.
+// App holds the servers and lifecycle hooks of a running program.
 type App struct {
-	// Servers start together and stop together.
+	// Servers are started and stopped together.
 	Servers []transport.Server
-	// Drain runs before the servers stop; it returns when no work is in flight, or with ctx.
+	// Drain runs before the servers stop. It returns once nothing is in flight or ctx is done.
 	Drain func(ctx context.Context)
-	// Reload takes settings read again at SIGHUP, of the program's settings type;
-	// nil where a running process can change nothing.
+	// Reload receives the settings reloaded on SIGHUP, of the program's settings type; nil if
+	// the program has no settings that a running process can change.
 	Reload func(settings any)
-	// StopTimeout bounds the whole graceful stop.
+	// StopTimeout limits Drain, and the stop of the servers if CloseTimeout is 0.
 	StopTimeout time.Duration
-	// CloseTimeout bounds the stop of the servers once Drain has returned, which
-	// left nothing in flight or gave it up; 0 means StopTimeout.
+	// CloseTimeout limits the stop of the servers after Drain has returned; 0 means StopTimeout.
 	CloseTimeout time.Duration
 }
 
@@ -53,18 +52,18 @@
 type Program[S any] struct {
 	Name        string
 	Description string
-	// Defaults are the settings before the file is read.
+	// Defaults returns the settings that the settings file overrides.
 	Defaults func() S
-	// Example are settings that show every field.
+	// Example returns settings with a value for every field.
 	Example func() S
-	// Check finds what a schema can't express.
+	// Check validates what the schema can't express.
 	Check func(S) error
-	// Instance names the process in its logs.
+	// Instance returns the instance name for log lines.
 	Instance func(S) string
-	// Ledger has each log line written before the program goes on: for stand-ins
-	// whose log must hold what they did when they are killed.
+	// Ledger writes each log line synchronously, for test targets whose log must be complete
+	// when they are killed.
 	Ledger bool
-	// Build makes the app; it may listen but not serve.
+	// Build creates the app; it may open listeners but doesn't serve yet.
 	Build func(S, *bflog.Logger) (App, error)
 }
 
@@ -88,8 +87,8 @@
 	if parsed.example {
 		return p.printExample(out, errOut)
 	}
-	heard := listen()
-	defer heard.stop()
+	received := listen()
+	defer received.stop()
 	settings, err := p.load(parsed.settings)
 	if err != nil {
 		fmt.Fprintf(errOut, "%s: %v\n", p.Name, err)
@@ -99,7 +98,7 @@
 		fmt.Fprintf(out, "%s: settings are valid\n", p.Name)
 		return ExitStopped
 	}
-	return p.serve(parsed.settings, settings, heard, out)
+	return p.serve(parsed.settings, settings, received, out)
 }
 
 func (p Program[S]) parse(args []string) (arguments, error) {
@@ -115,7 +114,7 @@
 		return arguments{}, err
 	}
 	if parsed.settings == "" && !parsed.example {
-		return arguments{}, fmt.Errorf("--settings FILE is needed; --example prints one")
+		return arguments{}, fmt.Errorf("--settings FILE is required; --example prints an example")
 	}
 	return parsed, nil
 }
@@ -139,7 +138,7 @@
 	return settings, p.Check(settings)
 }
 
-func (p Program[S]) serve(path string, settings S, heard signals, out io.Writer) int {
+func (p Program[S]) serve(path string, settings S, received signals, out io.Writer) int {
 	bfserver.Quiet()
 	logger := p.logger(settings, out)
 	defer logger.Close()
@@ -149,25 +148,24 @@
 		return ExitFailed
 	}
 	logger.Emit(bflog.ProcessStarted, slog.String("program", p.Name), slog.String("version", Version))
-	err = run(p.app(app, logger), heard, func() { p.reload(path, app, logger) })
+	err = run(p.app(app, logger), received, func() { p.reload(path, app, logger) })
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		logger.Emit(bflog.ProcessFailed, bflog.Err(err))
 		return ExitFailed
 	}
-	// Past the time for the stop the servers close what is still open; the process
-	// was asked to stop all the same.
+	// After the timeout the servers close the remaining connections. The process still stopped
+	// as requested, so this is no failure.
 	logger.Emit(bflog.ProcessStopped, slog.Bool("connections_cut", err != nil))
 	return ExitStopped
 }
 
-// signals are those that the process has been sent.
+// signals holds the channels on which the process receives signals.
 type signals struct{ stops, reloads chan os.Signal }
 
-// listen takes signals from now on.
+// listen starts to receive signals.
 //
-// The library listens only once the servers run, and reading the settings takes a
-// while: a SIGTERM before that would cut the requests in flight, and a SIGHUP
-// would end a process that was to read its settings again.
+// kratos handles signals only once the servers run. Until then, the default action of a
+// SIGTERM or a SIGHUP would kill the process.
 func listen() signals {
 	s := signals{stops: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.stops, stopSignals...)
@@ -189,8 +187,8 @@
 	return bflog.NewSpooled(out, p.Instance(settings), slog.LevelInfo)
 }
 
-// reload reads the settings file again and hands it to the app. A file that is
-// wrong changes nothing: what runs goes on by what it was started with.
+// reload reads the settings file again and passes the settings to the app. If the file is
+// invalid, it logs the error and the app keeps its settings.
 func (p Program[S]) reload(path string, app App, logger *bflog.Logger) {
 	settings, err := p.load(path)
 	if err != nil {
@@ -203,13 +201,13 @@
 	}
 }
 
-// run runs app until it ends by itself or a signal comes.
-func run(app *kratos.App, heard signals, reload func()) error {
+// run runs app until it ends or a stop signal arrives.
+func run(app *kratos.App, received signals, reload func()) error {
 	group := bfgroup.New(context.Background())
 	group.Go("reloads", func(ctx context.Context) error {
 		for {
 			select {
-			case <-heard.reloads:
+			case <-received.reloads:
 				reload()
 			case <-ctx.Done():
 				return nil
@@ -218,7 +216,7 @@
 	})
 	group.Go("signals", func(ctx context.Context) error {
 		select {
-		case <-heard.stops:
+		case <-received.stops:
 			return app.Stop()
 		case <-ctx.Done():
 			return nil
@@ -230,8 +228,8 @@
 }
 
 func (p Program[S]) app(app App, logger *bflog.Logger) *kratos.App {
-	// A signal is heard here and by the library; whoever is second must wait for
-	// the drain, or the servers stop in the middle of it.
+	// A signal is handled by run and by kratos, and both stop the app. The second call must
+	// wait for the drain of the first, or the servers would stop during the drain.
 	var drained sync.Once
 	return kratos.New(
 		kratos.Name(p.Name),
--- a/lib/bfprogram/program_test.go
+++ b/lib/bfprogram/program_test.go
@@ -28,10 +28,10 @@
 	Fail string `json:"fail,omitempty" jsonschema:"description=Where it fails."`
 }
 
-// endless is a server that says when it runs and ends when it is stopped.
+// endless is a server that prints when it starts and stops, and runs until it is stopped.
 type endless struct {
 	stopped chan struct{}
-	// late has its stop take longer than it may.
+	// late makes Stop exceed its timeout.
 	late bool
 }
 
@@ -69,7 +69,7 @@
 			return App{
 				Servers: []transport.Server{endless{make(chan struct{}), s.Fail == "stop"}},
 				Drain:   func(context.Context) { fmt.Println("drained") },
-				// Only a late stop needs it.
+				// Short, since a late stop lasts this long.
 				CloseTimeout: 50 * time.Millisecond,
 				Reload:       func(s any) { fmt.Println("reloaded", s.(sample).Name) },
 			}, nil
@@ -77,11 +77,11 @@
 	}
 }
 
-const asProgram = "BFPROGRAM_TEST"
+const runAsProgramEnv = "BFPROGRAM_TEST"
 
-// TestMain lets the test binary be the program, since the library for the command line may end the process.
+// TestMain lets tests run this binary as the program, since flaggy may exit the process.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		os.Exit(program().Main())
 	}
 	os.Exit(m.Run())
@@ -90,14 +90,13 @@
 func command(args ...string) (*exec.Cmd, *bytes.Buffer) {
 	var out bytes.Buffer
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	cmd.Stdout, cmd.Stderr = &out, &out
 	return cmd, &out
 }
 
-// A daemon is started wrongly in every way. Whoever starts it, mostly a script,
-// tells by the exit code whether to change the command (2) or look at the
-// machine (1), and finds the reason in the output; nothing was started.
+// Guards against exit codes that don't tell an invalid command or settings file (2) from a
+// failure of the machine (1), and against output without the reason.
 func TestExitCodes(t *testing.T) {
 	is := is.New(t)
 	file := func(name, text string) string {
@@ -107,12 +106,12 @@
 	}
 	good := file("good", `{"name":"a"}`)
 	for _, test := range []struct {
-		args []string
-		code int
-		says string
+		args   []string
+		code   int
+		output string
 	}{
-		{nil, ExitSettings, "--settings FILE is needed"},
-		{[]string{"--check"}, ExitSettings, "--settings FILE is needed"},
+		{nil, ExitSettings, "--settings FILE is required"},
+		{[]string{"--check"}, ExitSettings, "--settings FILE is required"},
 		{[]string{"--settings"}, ExitSettings, ""},
 		{[]string{"--settings", "/nowhere/at/all"}, ExitSettings, "/nowhere/at/all"},
 		{[]string{"--settings", file("noise", "{{")}, ExitSettings, "not JSON"},
@@ -128,54 +127,52 @@
 		{[]string{"--help"}, ExitStopped, "A program for tests."},
 	} {
 		cmd, out := command(test.args...)
-		_ = cmd.Run() // the code is what counts
+		_ = cmd.Run() // the exit code is checked below
 		t.Log(test.args, out.String())
 		is.Equal(cmd.ProcessState.ExitCode(), test.code)
-		is.True(strings.Contains(out.String(), test.says))
+		is.True(strings.Contains(out.String(), test.output))
 		is.True(!strings.Contains(out.String(), "running"))
 	}
 }
 
-// A daemon runs and is told to stop by a signal. It drains before its servers
-// stop, so that nothing in flight is cut, and exits with 0.
+// Guards against a stop signal that cuts requests in flight: the program must drain before its
+// servers stop, and exit with 0.
 func TestSignalStopsGracefully(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings")
 	is.NoErr(os.WriteFile(path, []byte(`{"name":"a"}`), 0o600))
 	cmd := exec.Command(os.Args[0], "--settings", path)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	out, err := cmd.StdoutPipe()
 	is.NoErr(err)
 	is.NoErr(cmd.Start())
 	lines := bufio.NewScanner(out)
 	awaitLine(t, lines, "running")
 	is.NoErr(cmd.Process.Signal(os.Interrupt))
-	var said []string
+	var printed []string
 	var events []int
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "{") {
 			events = append(events, eventOf(t, lines.Text()))
 		} else {
-			said = append(said, lines.Text())
+			printed = append(printed, lines.Text())
 		}
 	}
 	is.NoErr(cmd.Wait())
-	is.Equal(said, []string{"drained", "stopped"})
-	// Events are on standard output too, in order; that of the start is written
-	// beside the program and may come behind its first own line.
+	is.Equal(printed, []string{"drained", "stopped"})
+	// Log lines are written to standard output too, in order. ProcessStarted is written
+	// concurrently and may come after the program's own first line.
 	is.Equal(slices.DeleteFunc(events, func(e int) bool { return e == bflog.ProcessStarted.Number() }),
 		[]int{bflog.ProcessStopping.Number(), bflog.ProcessStopped.Number()})
 }
 
-// A daemon was asked to stop, drained, and then had to cut a connection that did
-// not end in time. That is its stop and no failure: a platform that counts the
-// exit code would else report a crash for every caller that reads slowly.
-func TestStopThatCutsAConnectionIsNoFailure(t *testing.T) {
+// Guards against a graceful stop reported as a crash because a slow connection had to be closed.
+func TestStopThatClosesAConnectionExitsWithZero(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings")
 	is.NoErr(os.WriteFile(path, []byte(`{"name":"a","fail":"stop"}`), 0o600))
 	cmd := exec.Command(os.Args[0], "--settings", path)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	out, err := cmd.StdoutPipe()
 	is.NoErr(err)
 	is.NoErr(cmd.Start())
@@ -189,7 +186,7 @@
 	is.NoErr(cmd.Wait())
 }
 
-// eventOf is the number of a log line's event.
+// eventOf returns the event number of a log line.
 func eventOf(t *testing.T, line string) int {
 	t.Helper()
 	var read struct {
@@ -201,7 +198,7 @@
 	return read.Event
 }
 
-// awaitLine reads lines until one is text.
+// awaitLine reads lines until one contains text.
 func awaitLine(t *testing.T, lines *bufio.Scanner, text string) {
 	t.Helper()
 	for lines.Scan() {
@@ -209,17 +206,17 @@
 			return
 		}
 	}
-	t.Fatalf("the output ended before %q", text)
+	t.Fatalf("output ended without %q", text)
 }
 
-// The settings file changes while a daemon runs, and SIGHUP says so. A right file
-// is handed to the daemon; a wrong one is logged, and neither ends the process.
-func TestHangUpReadsTheSettingsAgain(t *testing.T) {
+// Guards against a SIGHUP that doesn't reload the settings or ends the process, also when the
+// settings file is invalid.
+func TestHangUpReloadsSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings")
 	is.NoErr(os.WriteFile(path, []byte(`{"name":"a"}`), 0o600))
 	cmd := exec.Command(os.Args[0], "--settings", path)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	out, err := cmd.StdoutPipe()
 	is.NoErr(err)
 	is.NoErr(cmd.Start())
@@ -239,10 +236,8 @@
 	is.NoErr(cmd.Wait())
 }
 
-// A platform says that the settings changed, or stops the process, while it still
-// reads its settings. The first must not end it; the second must stop it as
-// gracefully as later. The settings are a pipe here, so that the reading lasts
-// until the test writes them.
+// Guards against a SIGHUP or SIGTERM that kills the process while it reads its settings at
+// startup. The settings file is a pipe, so the read lasts until the test writes to it.
 func TestSignalWhileSettingsAreRead(t *testing.T) {
 	for _, sent := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		t.Run(sent.String(), func(t *testing.T) {
@@ -250,7 +245,7 @@
 			path := filepath.Join(t.TempDir(), "settings")
 			is.NoErr(syscall.Mkfifo(path, 0o600))
 			cmd := exec.Command(os.Args[0], "--settings", path)
-			cmd.Env = append(os.Environ(), asProgram+"=1")
+			cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 			out, err := cmd.StdoutPipe()
 			is.NoErr(err)
 			is.NoErr(cmd.Start())
