--- a/lib/bfserver/doc.go
+++ b/lib/bfserver/doc.go
@@ -1,3 +1,3 @@
-// Package bfserver makes the HTTP servers of every program from kratos's HTTP
-// transport, all with the same limits on what a peer may make them hold.
+// Package bfserver creates the HTTP servers of all programs on kratos's HTTP transport, with
+// the same limits on the resources that a client can hold.
 package bfserver
--- a/lib/bfserver/server.go
+++ b/lib/bfserver/server.go
@@ -15,15 +15,15 @@
 	"bilberryflow.org/lib/bfpacker"
 )
 
-// Limits of a connection. A peer that sends its header slowly or without end
-// would otherwise hold a goroutine and memory for as long as it likes.
+// Limits of a connection. Without them, a client that sends its header slowly or without end
+// would hold a goroutine and memory indefinitely.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeader         = 32 << 10 // bytes
 )
 
-// ListenError reports an address that can't be listened on.
+// ListenError reports a failure to listen on an address.
 type ListenError struct {
 	Port    string
 	Address string
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s port at %s: %v", e.Port, e.Address, e.Reason)
 }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *ListenError) Unwrap() error { return e.Reason }
 
 // Port is one listening HTTP port of a process.
@@ -44,30 +44,31 @@
 	listener net.Listener
 }
 
-// Address is where the port listens, with the number that the system chose where the settings gave 0.
+// Address returns the listening address, with the port number the system chose if it was 0.
 func (p *Port) Address() string { return p.listener.Addr().String() }
 
-// Listen opens the port called name at address and serves handler there once it is started.
+// Listen opens the port called name at address; it serves handler once it is started. It fails
+// with a ListenError.
 //
-// The handler takes every request itself: kratos's router would redirect
-// paths it finds unclean and offer /debug/vars on ports meant for callers.
-func Listen(name, address string, handler http.Handler, secure *tls.Config) (*Port, error) {
-	return open(name, address, handler, secure, nil)
+// The handler bypasses kratos's router, which would redirect paths that aren't clean and
+// serve /debug/vars on ports for callers.
+func Listen(name, address string, handler http.Handler, tlsConfig *tls.Config) (*Port, error) {
+	return open(name, address, handler, tlsConfig, nil)
 }
 
-// ListenPacked is Listen for peers that may pack the heads of their requests; those are
-// answered likewise.
+// ListenPacked is Listen for clients that may send packed request headers, as bfpacker
+// implements them; their responses have packed headers too.
 func ListenPacked(name, address string, handler http.Handler) (*Port, error) {
 	return open(name, address, handler, nil, func(c net.Conn) net.Conn { return bfpacker.Accept(c) })
 }
 
-// wrapper is a listener whose connections are used through what wrap makes of them.
+// wrapper is a listener that passes each accepted connection through wrap.
 type wrapper struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
 }
 
-// Accept gives the next connection.
+// Accept returns the next connection, wrapped.
 func (w wrapper) Accept() (net.Conn, error) {
 	c, err := w.Listener.Accept()
 	if err != nil {
@@ -76,7 +77,7 @@
 	return w.wrap(c), nil
 }
 
-func open(name, address string, handler http.Handler, secure *tls.Config, wrap func(net.Conn) net.Conn) (*Port, error) {
+func open(name, address string, handler http.Handler, tlsConfig *tls.Config, wrap func(net.Conn) net.Conn) (*Port, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, &ListenError{Port: name, Address: address, Reason: err}
@@ -90,8 +91,8 @@
 		khttp.Timeout(0),
 		khttp.Filter(func(http.Handler) http.Handler { return handler }),
 	}
-	if secure != nil {
-		options = append(options, khttp.TLSConfig(secure))
+	if tlsConfig != nil {
+		options = append(options, khttp.TLSConfig(tlsConfig))
 	}
 	server := khttp.NewServer(options...)
 	server.ReadHeaderTimeout = readHeaderTimeout
@@ -100,28 +101,28 @@
 	return &Port{Server: server, listener: listener}, nil
 }
 
-// SendBuffer bounds the bytes that wait in the system for each connection's peer.
+// SendBuffer sets the size, in bytes, of the kernel's send buffer for each connection.
 //
-// On a slow link a few long answers would else put so many bytes before a short
-// one that it comes too late.
+// On a slow link, a large buffer filled by long responses would delay the short response
+// behind them.
 func (p *Port) SendBuffer(bytes int) {
 	p.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		if connection, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
-			// A system that does not allow it sends as it would anyway.
+			// If this fails, the connection keeps the system's default.
 			_ = connection.SetWriteBuffer(bytes)
 		}
 		return ctx
 	}
 }
 
-// AllowHTTP2 lets peers put many requests on one connection without TLS.
+// AllowHTTP2 enables HTTP/2 without TLS (h2c) beside HTTP/1.1.
 func (p *Port) AllowHTTP2() {
 	p.Protocols = new(http.Protocols)
 	p.Protocols.SetHTTP1(true)
 	p.Protocols.SetUnencryptedHTTP2(true)
 }
 
-// LoadTLS reads a certificate and its key, or gives nil where neither is set.
+// LoadTLS reads a certificate and its key from files. It returns nil if neither is set.
 func LoadTLS(certificate, key string) (*tls.Config, error) {
 	if certificate == "" && key == "" {
 		return nil, nil
@@ -133,13 +134,13 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// Quiet turns off kratos's own log lines; the programs log their own events.
+// Quiet disables kratos's log output; the programs log through bflog.
 func Quiet() { log.SetLogger(discard{}) }
 
 type discard struct{}
 
-// Log drops the line.
+// Log implements log.Logger and drops the line.
 func (discard) Log(log.Level, ...any) error { return nil }
 
-// Closed reports whether err is a server's ordinary end.
+// Closed reports whether err is the error of a server that was closed regularly.
 func Closed(err error) bool { return errors.Is(err, http.ErrServerClosed) }
--- a/lib/bfserver/server_test.go
+++ b/lib/bfserver/server_test.go
@@ -14,15 +14,15 @@
 	"github.com/matryer/is"
 )
 
-// listen serves handler; header is how long a peer may take for its header.
-func listen(t *testing.T, header time.Duration, handler http.HandlerFunc) *Port {
+// listen serves handler; header overrides ReadHeaderTimeout if above 0.
+func listen(t *testing.T, headerTimeout time.Duration, handler http.HandlerFunc) *Port {
 	is := is.New(t)
 	port, err := Listen("caller", "127.0.0.1:0", handler, nil)
 	is.NoErr(err)
 	is.Equal(port.ReadHeaderTimeout, readHeaderTimeout)
 	is.Equal(port.IdleTimeout, idleTimeout)
-	if header > 0 {
-		port.ReadHeaderTimeout = header
+	if headerTimeout > 0 {
+		port.ReadHeaderTimeout = headerTimeout
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- port.Start(context.Background()) }()
@@ -35,8 +35,9 @@
 	return port
 }
 
-// answerTo is what the port answers to raw bytes until it closes the connection.
-func answerTo(t *testing.T, port *Port, raw string) string {
+// firstLineOfResponse sends raw bytes to the port and returns the first line of its response,
+// empty if the port closes the connection.
+func firstLineOfResponse(t *testing.T, port *Port, raw string) string {
 	is := is.New(t)
 	conn, err := net.Dial("tcp", port.Address())
 	is.NoErr(err)
@@ -46,28 +47,26 @@
 	is.NoErr(conn.SetReadDeadline(time.Now().Add(4 * time.Second)))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
-		t.Fatalf("connection held: %v", err)
+		t.Fatalf("connection not closed: %v", err)
 	}
 	return line
 }
 
-// A peer sends half of a header and nothing more, for as long as it is let. The
-// port closes the connection; held, a few thousand such peers leave a node no
-// file for its callers.
-func TestSlowHeaderIsCutOff(t *testing.T) {
+// Guards against clients that exhaust file descriptors by never completing their headers.
+func TestSlowHeaderClosesTheConnection(t *testing.T) {
 	port := listen(t, 50*time.Millisecond, func(http.ResponseWriter, *http.Request) { t.Error("served") })
-	is.New(t).Equal(answerTo(t, port, "GET / HTTP/1.1\r\nHost: a\r\nX: "), "")
+	is.New(t).Equal(firstLineOfResponse(t, port, "GET / HTTP/1.1\r\nHost: a\r\nX: "), "")
 }
 
-// A peer sends a header without end. It is refused by 431 and never reaches a handler.
+// Guards against clients that exhaust memory with an oversized header.
 func TestOversizeHeaderIsRefused(t *testing.T) {
 	port := listen(t, 0, func(http.ResponseWriter, *http.Request) { t.Error("served") })
-	line := answerTo(t, port, "GET / HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("x", 2*maxHeader)+"\r\n\r\n")
+	line := firstLineOfResponse(t, port, "GET / HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("x", 2*maxHeader)+"\r\n\r\n")
 	is.New(t).True(strings.Contains(line, "431"))
 }
 
-// Paths that a router would tidy or take for its own reach the handler as they
-// were sent: a redirect would turn a caller's POST into another request.
+// Guards against a router that redirects unclean paths or serves some itself: a redirect would
+// turn a POST into a GET.
 func TestHandlerGetsEveryRequest(t *testing.T) {
 	is := is.New(t)
 	port := listen(t, 0, func(w http.ResponseWriter, r *http.Request) {
@@ -87,8 +86,8 @@
 	}
 }
 
-// Two processes are given one port. The second says which of its ports is taken.
-func TestTakenPortIsNamed(t *testing.T) {
+// Guards against a listen error that doesn't name the port.
+func TestListenErrorNamesThePort(t *testing.T) {
 	is := is.New(t)
 	port := listen(t, 0, func(http.ResponseWriter, *http.Request) {})
 	_, err := Listen("operator", port.Address(), nil, nil)
