--- a/lib/bfsettings/doc.go
+++ b/lib/bfsettings/doc.go
@@ -1,4 +1,3 @@
-// Package bfsettings reads a program's JSON settings, checks them by the
-// schema made from their declaration, and renders the example and the
-// reference page from that same declaration.
+// Package bfsettings reads a program's JSON settings and validates them against the schema
+// generated from their struct. It renders the example and the reference page from that struct.
 package bfsettings
--- a/lib/bfsettings/render.go
+++ b/lib/bfsettings/render.go
@@ -8,7 +8,7 @@
 	reflector "github.com/invopop/jsonschema"
 )
 
-// Example renders settings, with the values it holds, as a JSON file.
+// Example renders settings as an indented JSON file.
 func Example(settings any) (string, error) {
 	text, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
@@ -17,7 +17,7 @@
 	return string(text) + "\n", nil
 }
 
-// Reference renders a Markdown section on each field of settings, for a program.
+// Reference renders a Markdown section for a program with a table of all fields of settings.
 func Reference(program string, settings any) string {
 	var page strings.Builder
 	fmt.Fprintf(&page, "## %s\n\n| field | form | meaning |\n|---|---|---|\n", program)
@@ -40,7 +40,7 @@
 	}
 }
 
-// form says in words which values a field takes.
+// form describes the allowed values of a field.
 func form(field *reflector.Schema) string {
 	parts := []string{field.Type}
 	switch field.Pattern {
--- a/lib/bfsettings/settings.go
+++ b/lib/bfsettings/settings.go
@@ -18,19 +18,19 @@
 	"golang.org/x/text/message"
 )
 
-// FieldError reports one wrong field of a settings file.
+// FieldError reports an invalid field of a settings file.
 type FieldError struct {
 	Field   string
 	Value   string
 	Allowed string
 }
 
-// Error names the field, its value and what is allowed.
+// Error names the field, its value and the allowed values.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("settings field %s: value %s: %s", e.Field, e.Value, e.Allowed)
 }
 
-// FileError reports a settings file that can't be read at all.
+// FileError reports a settings file that can't be read or is invalid.
 type FileError struct {
 	Path   string
 	Reason error
@@ -39,16 +39,16 @@
 // Error names the file and the reason.
 func (e *FileError) Error() string { return fmt.Sprintf("settings file %s: %v", e.Path, e.Reason) }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *FileError) Unwrap() error { return e.Reason }
 
 // Duration is a time.Duration written in settings as "150ms" or "10s".
 type Duration time.Duration
 
-// Std is the duration as package time has it.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// UnmarshalText reads the form of time.ParseDuration.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -58,23 +58,24 @@
 	return nil
 }
 
-// durationError reports a text of a duration's form that is too long for one.
+// durationError reports a text that time.ParseDuration rejects, such as one out of range.
 type durationError struct{ text string }
 
-// Error names the text.
-func (e *durationError) Error() string { return fmt.Sprintf("no duration: %q", e.text) }
+// Error quotes the text.
+func (e *durationError) Error() string { return fmt.Sprintf("invalid duration: %q", e.text) }
 
-// MarshalText writes the form of time.Duration.
+// MarshalText returns the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`
 
-// JSONSchema is the form allowed for a duration in a settings file.
+// JSONSchema returns the schema of a duration in a settings file.
 func (Duration) JSONSchema() *reflector.Schema {
 	return &reflector.Schema{Type: "string", Pattern: durationPattern}
 }
 
-// Load reads the file at path into settings, a pointer to a struct that already holds the defaults.
+// Load reads the file at path into settings, a pointer to a struct that holds the defaults. It
+// fails with a FileError.
 func Load(path string, settings any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// Decode checks data by the schema of settings, then fills settings; on an error settings is left as it was.
+// Decode validates data against the schema of settings and decodes it into settings, a pointer
+// to a struct. On an error settings is unchanged; the error has a FieldError for each invalid field.
 func Decode(data []byte, settings any) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
@@ -99,8 +101,8 @@
 	if err := schema.Validate(document); err != nil {
 		return fieldErrors(err, document)
 	}
-	// Some values pass the schema and not the decoder, which by then has filled
-	// the fields before them; so it fills a copy.
+	// The decoder rejects some values that pass the schema, after it has set the fields before
+	// them. It decodes into a copy, so that an error leaves settings unchanged.
 	filled, err := copyOf(settings)
 	if err != nil {
 		return err
@@ -126,7 +128,7 @@
 	return filled, nil
 }
 
-// decodeError names the field that the decoder refused.
+// decodeError converts an error of the decoder to a FieldError.
 func decodeError(err error, document any) error {
 	var form *json.UnmarshalTypeError
 	if errors.As(err, &form) {
@@ -137,10 +139,10 @@
 		field, _ := pathOf(document, duration.text)
 		return &FieldError{Field: field, Value: strconv.Quote(duration.text), Allowed: "a duration below 292 years"}
 	}
-	return fmt.Errorf("not the form of these settings: %w", err)
+	return fmt.Errorf("settings can't be decoded: %w", err)
 }
 
-// pathOf finds a string in a document.
+// pathOf returns the path of a string value in a document.
 func pathOf(document any, text string) (string, bool) {
 	switch node := document.(type) {
 	case string:
@@ -182,7 +184,7 @@
 	return compiler.Compile("settings.json")
 }
 
-// fieldErrors turns the schema's tree of causes into one FieldError a wrong field.
+// fieldErrors flattens the schema's tree of causes into a FieldError for each invalid field.
 func fieldErrors(err error, document any) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -225,9 +227,9 @@
 	if err != nil {
 		return "?"
 	}
-	const longest = 80
-	if len(text) > longest {
-		return string(text[:longest]) + "…"
+	const maxLength = 80
+	if len(text) > maxLength {
+		return string(text[:maxLength]) + "…"
 	}
 	return string(text)
 }
--- a/lib/bfsettings/settings_test.go
+++ b/lib/bfsettings/settings_test.go
@@ -17,7 +17,7 @@
 	} `json:"inner,omitempty"`
 }
 
-func TestDecodeKeepsDefaultsOfFieldsNotGiven(t *testing.T) {
+func TestDecodeKeepsDefaultsOfOmittedFields(t *testing.T) {
 	is := is.New(t)
 	settings := sample{Count: 3, Wait: Duration(time.Second)}
 	is.NoErr(Decode([]byte(`{"name":"a","wait":"20ms"}`), &settings))
@@ -25,10 +25,9 @@
 	is.Equal(settings.Wait.Std(), 20*time.Millisecond)
 }
 
-// An operator's file is wrong in every field at once. Each wrong field must be
-// named with its value, and nothing may be taken over, or a node would run by
-// half of a file.
-func TestDecodeNamesEveryWrongField(t *testing.T) {
+// Guards against errors that don't name all invalid fields of a file, and against settings that
+// are applied in part.
+func TestDecodeNamesEachInvalidField(t *testing.T) {
 	is := is.New(t)
 	settings := sample{Count: 3}
 	err := Decode([]byte(`{"name":"","count":70,"wait":"soon","inner":{"where":"x"}}`), &settings)
--- a/lib/bfsettings/wrong_test.go
+++ b/lib/bfsettings/wrong_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// every has a field of each form that settings take.
-type every struct {
+// allTypes has a field of each type that settings use.
+type allTypes struct {
 	Name  string   `json:"name" jsonschema:"minLength=1,maxLength=8,pattern=^[a-z]+$,description=Name."`
 	Kind  string   `json:"kind,omitempty" jsonschema:"enum=one,enum=two,description=Kind."`
 	Count int      `json:"count,omitempty" jsonschema:"minimum=1,maximum=9,description=Count."`
@@ -29,13 +29,13 @@
 	Port    int    `json:"port,omitempty" jsonschema:"minimum=1,maximum=65535,description=Port."`
 }
 
-// named lists the fields that an error names.
-func named(err error) []string {
+// namedFields returns the fields that an error names.
+func namedFields(err error) []string {
 	var fields []string
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
 		for _, each := range joined.Unwrap() {
-			fields = append(fields, named(each)...)
+			fields = append(fields, namedFields(each)...)
 		}
 		return fields
 	}
@@ -46,10 +46,9 @@
 	return fields
 }
 
-// An operator's file is wrong in one field, for each field and each way. The field
-// must be named, and what was in force before must be left as it was: a program
-// that runs by half of a file is worse than one that does not start.
-func TestEveryWrongFieldIsNamed(t *testing.T) {
+// Guards against errors that don't name the invalid field, and against settings that are
+// applied in part, for each type of field and each kind of invalid value.
+func TestErrorsNameEachInvalidField(t *testing.T) {
 	is := is.New(t)
 	for text, field := range map[string]string{
 		`"name":5`: "/name", `"name":""`: "/name", `"name":"UPPER"`: "/name", `"name":"toolongname"`: "/name", `"name":null`: "/name",
@@ -65,56 +64,57 @@
 		`"name":"a","inner":[]`: "/inner", `"name":"a","inner":{}`: "/inner", `"name":"a","inner":{"address":"x","port":70000}`: "/inner/port",
 		`"name":"a","other":1`: "/", `"count":3`: "/", `"NAME":"a"`: "/", `"name":"a","inner":{"address":"x","Port":1}`: "/inner",
 	} {
-		before := every{Name: "kept", Count: 3, Many: []inner{{Address: "kept"}}, Inner: inner{Address: "kept"}}
+		before := allTypes{Name: "kept", Count: 3, Many: []inner{{Address: "kept"}}, Inner: inner{Address: "kept"}}
 		settings := before
 		settings.Many = slices.Clone(before.Many)
 		err := Decode([]byte("{"+text+"}"), &settings)
-		if !slices.Contains(named(err), field) {
-			t.Errorf("%s: %v; want %s named", text, err, field)
+		if !slices.Contains(namedFields(err), field) {
+			t.Errorf("%s: error %v doesn't name %s", text, err, field)
 		}
 		is.Equal(settings, before)
 	}
 }
 
-// Files that are no settings at all are refused with a reason, and never half taken.
-func TestForeignFilesAreRefused(t *testing.T) {
+// Guards against files that aren't settings being accepted, or applied in part.
+func TestOtherFilesAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{
 		"", " ", "null", "[]", "5", `"name"`, "{", `{"name":"a"} {"name":"b"}`, `{"name":"a"}]`, "\xff\xfe",
 		strings.Repeat(`{"name":`, 5_000), `{"name":"a",}`,
 	} {
-		settings := every{Name: "kept"}
+		settings := allTypes{Name: "kept"}
 		if err := Decode([]byte(text), &settings); err == nil {
-			t.Errorf("%.40q was taken", text)
+			t.Errorf("%.40q was accepted", text)
 		}
-		is.Equal(settings, every{Name: "kept"})
+		is.Equal(settings, allTypes{Name: "kept"})
 	}
 	var file *FileError
-	is.True(errors.As(Load(filepath.Join(t.TempDir(), "none"), &every{}), &file))
+	is.True(errors.As(Load(filepath.Join(t.TempDir(), "none"), &allTypes{}), &file))
 	is.True(errors.Is(file, os.ErrNotExist))
 }
 
-// What the schema takes for a whole number is one, also in the forms of JSON that Go's decoder refuses.
-func TestWholeNumbersInEveryForm(t *testing.T) {
+// Guards against JSON forms of integers that the schema accepts and Go's decoder rejects: they
+// must be decoded or reported with their field.
+func TestIntegersInAllJSONForms(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{`3`, `3.0`, `3e0`, `0.3e1`} {
-		settings := every{Count: 7}
+		settings := allTypes{Count: 7}
 		err := Decode([]byte(`{"name":"a","count":`+text+`}`), &settings)
 		if err != nil {
-			is.True(slices.Contains(named(err), "/count"))
-			is.Equal(settings, every{Count: 7})
+			is.True(slices.Contains(namedFields(err), "/count"))
+			is.Equal(settings, allTypes{Count: 7})
 			continue
 		}
 		is.Equal(settings.Count, 3)
 	}
 }
 
-func TestDurationFormsAgree(t *testing.T) {
+func TestDurationsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []time.Duration{0, time.Nanosecond, 1500 * time.Millisecond, 90 * time.Minute} {
 		text, err := Duration(d).MarshalText()
 		is.NoErr(err)
-		settings := every{}
+		settings := allTypes{}
 		is.NoErr(Decode([]byte(`{"name":"a","wait":"`+string(text)+`"}`), &settings))
 		is.Equal(settings.Wait.Std(), d)
 	}
