--- a/lib/bftimer/doc.go
+++ b/lib/bftimer/doc.go
@@ -1,4 +1,4 @@
-// Package bftimer is the timer service that every part with something to do at
-// a time subscribes to. Parts take the time from it too, so that a test under
-// testing/synctest drives all of them by one clock.
+// Package bftimer provides a timer service that runs the time-based callbacks of all
+// components. Components also read the time from it, so a test under testing/synctest
+// controls all of them with one clock.
 package bftimer
--- a/lib/bftimer/timer.go
+++ b/lib/bftimer/timer.go
@@ -8,11 +8,10 @@
 	"time"
 )
 
-// Service runs subscriptions at their times on one goroutine.
+// Service runs the callbacks of subscriptions at their due times on one goroutine.
 //
-// Callbacks run one after another and must not block: a part with slow work
-// starts it in its own group. The order of two callbacks due at the same time
-// is the order in which they were scheduled.
+// Callbacks run sequentially and must not block; slow work belongs in a goroutine of the
+// component's own group. Callbacks due at the same time run in the order of their scheduling.
 type Service struct {
 	mu    sync.Mutex
 	queue subscriptionQueue
@@ -21,7 +20,7 @@
 	rand  *rand.Rand
 }
 
-// New makes a service whose jitter comes from seed.
+// New returns a service whose jitter is generated from seed.
 func New(seed uint64) *Service {
 	return &Service{
 		wake: make(chan struct{}, 1),
@@ -29,10 +28,10 @@
 	}
 }
 
-// Now is the current time with its monotonic reading.
+// Now returns the current time with its monotonic clock reading.
 func (s *Service) Now() time.Time { return time.Now() }
 
-// Subscription is one callback's place in the service.
+// Subscription is a scheduled callback.
 type Subscription struct {
 	service  *Service
 	interval func() time.Duration
@@ -42,30 +41,30 @@
 	index    int
 }
 
-// After calls callback once, d from now.
+// After schedules one call of callback after d.
 func (s *Service) After(d time.Duration, callback func(now time.Time)) *Subscription {
 	return s.add(d, nil, callback)
 }
 
-// Wait returns after d, or with ctx's error.
+// Wait blocks for d, or until ctx is done, and then returns ctx's error.
 func (s *Service) Wait(ctx context.Context, d time.Duration) error {
-	over := make(chan struct{})
-	sub := s.After(d, func(time.Time) { close(over) })
+	elapsed := make(chan struct{})
+	sub := s.After(d, func(time.Time) { close(elapsed) })
 	defer sub.Stop()
 	select {
-	case <-over:
+	case <-elapsed:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Every calls callback repeatedly; interval is asked again before each wait, the first included.
+// Every schedules repeated calls of callback; interval is called for each wait, including the first.
 func (s *Service) Every(interval func() time.Duration, callback func(now time.Time)) *Subscription {
 	return s.add(interval(), interval, callback)
 }
 
-// Jittered gives intervals spread evenly over mean ± share·mean.
+// Jittered returns a function for Every whose intervals are uniform over mean ± share·mean.
 func (s *Service) Jittered(mean time.Duration, share float64) func() time.Duration {
 	return func() time.Duration {
 		s.mu.Lock()
@@ -82,7 +81,7 @@
 	return sub
 }
 
-// schedule needs the lock.
+// schedule requires that s.mu is held.
 func (s *Service) schedule(sub *Subscription, d time.Duration) {
 	sub.due = time.Now().Add(d)
 	sub.order = s.next
@@ -98,7 +97,7 @@
 	}
 }
 
-// Stop ends the subscription; a callback that already runs is not waited for.
+// Stop cancels the subscription. It doesn't wait for a callback that is running.
 func (sub *Subscription) Stop() {
 	sub.service.mu.Lock()
 	defer sub.service.mu.Unlock()
@@ -109,7 +108,8 @@
 	}
 }
 
-// Reset moves the next call to d from now; one that ran already is called again.
+// Reset reschedules the next call to d from now, also if the callback has already run. It has no
+// effect after Stop.
 func (sub *Subscription) Reset(d time.Duration) {
 	sub.service.mu.Lock()
 	defer sub.service.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// Run serves subscriptions until ctx ends.
+// Run runs due callbacks until ctx is done.
 func (s *Service) Run(ctx context.Context) error {
 	const idle = time.Hour
 	timer := time.NewTimer(idle)
@@ -154,7 +154,7 @@
 	heap.Pop(&s.queue)
 	callback := sub.callback
 	if sub.interval != nil {
-		// interval may take the lock for its jitter.
+		// Unlocks, since interval may be that of Jittered, which locks.
 		interval := sub.interval
 		s.mu.Unlock()
 		d := interval()
@@ -180,14 +180,14 @@
 	q[i].index, q[j].index = i, j
 }
 
-// Push is for container/heap only.
+// Push implements heap.Interface.
 func (q *subscriptionQueue) Push(x any) {
 	sub := x.(*Subscription)
 	sub.index = len(*q)
 	*q = append(*q, sub)
 }
 
-// Pop is for container/heap only.
+// Pop implements heap.Interface.
 func (q *subscriptionQueue) Pop() any {
 	old := *q
 	sub := old[len(old)-1]
--- a/lib/bftimer/timer_test.go
+++ b/lib/bftimer/timer_test.go
@@ -9,10 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Three subscriptions share one goroutine: a repeated one, one stopped before
-// its time and one moved earlier. Each must run at its own time only, or a
-// heartbeat would be late whenever another part's timer changes.
-func TestServiceRunsEachAtItsTime(t *testing.T) {
+// Guards against a subscription that runs late or early because another one is stopped or reset.
+func TestSubscriptionsRunIndependently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
