--- a/lib/bfgroup/doc.go
+++ b/lib/bfgroup/doc.go
@@ -1,3 +1,3 @@
-// Package bfgroup starts every goroutine of the system, so that each one has a
-// name, is waited for at the stop, and ends the process's work when it fails.
+// Package bfgroup starts the goroutines of all programs. Each one has a name, is waited for at
+// shutdown, and cancels its group when it fails or panics.
 package bfgroup
--- a/lib/bfgroup/group.go
+++ b/lib/bfgroup/group.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// PanicError reports a goroutine of a group that panicked.
+// PanicError reports a panic in a goroutine of a group, with its stack.
 type PanicError struct {
 	Goroutine string
 	Value     any
 	Stack     string
 }
 
-// Error names the goroutine and the value it panicked with.
+// Error names the goroutine and the panic value, followed by the stack.
 func (e *PanicError) Error() string {
 	return fmt.Sprintf("goroutine %s panicked: %v\n%s", e.Goroutine, e.Value, e.Stack)
 }
@@ -29,27 +29,26 @@
 	running atomic.Int64
 }
 
-// New makes a group whose context ends with ctx, at Cancel, or with the first error of a member.
+// New returns a group whose context ends with ctx, at Cancel, or at the first error of a goroutine.
 func New(ctx context.Context) *Group {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
 	return &Group{ctx: ctx, cancel: cancel, group: group}
 }
 
-// Context is the one that every member receives.
+// Context returns the context that every goroutine of the group receives.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Running counts the members that have not returned.
+// Running returns the number of goroutines that have not returned.
 func (g *Group) Running() int64 { return g.running.Load() }
 
-// Go starts fn as the goroutine name.
+// Go starts fn in a goroutine called name. A panic in fn becomes a PanicError.
 func (g *Group) Go(name string, fn func(ctx context.Context) error) {
 	g.running.Add(1)
 	g.group.Go(func() (err error) {
 		defer g.running.Add(-1)
-		// A panic in one goroutine would take the process and every request in
-		// flight with it, with no word of where; as an error it stops the group
-		// the ordinary way, so requests drain and the log names the goroutine.
+		// An unrecovered panic would kill the process and all requests in flight. As an error
+		// it stops the group, so that requests drain and the log names the goroutine.
 		defer func() {
 			if value := recover(); value != nil {
 				err = &PanicError{Goroutine: name, Value: value, Stack: string(debug.Stack())}
@@ -59,10 +58,10 @@
 	})
 }
 
-// Cancel ends the group's context.
+// Cancel cancels the group's context.
 func (g *Group) Cancel() { g.cancel() }
 
-// Wait returns the first error once every member has returned.
+// Wait waits until every goroutine has returned, and returns the first error.
 func (g *Group) Wait() error {
 	defer g.cancel()
 	return g.group.Wait()
--- a/lib/bfgroup/group_test.go
+++ b/lib/bfgroup/group_test.go
@@ -9,10 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// One goroutine of a node panics while others work. The process must not die
-// with every request in flight: the others are told to stop, all are waited for,
-// and the error names the goroutine and the place.
-func TestPanicStopsTheGroupInOrder(t *testing.T) {
+// Guards against a panic in one goroutine that kills the process instead of cancelling the group.
+func TestPanicCancelsTheGroup(t *testing.T) {
 	is := is.New(t)
 	group := New(context.Background())
 	ended := false
@@ -31,9 +29,9 @@
 	is.Equal(group.Running(), int64(0))
 }
 
-// A member starts further members, one of which fails after a Cancel. The wait
-// covers them all and gives the first error; the context of whoever made the group ends it too.
-func TestWaitCoversMembersOfMembers(t *testing.T) {
+// Guards against Wait returning before goroutines that other goroutines of the group started,
+// and against a group that outlives its parent context.
+func TestWaitCoversNestedGoroutines(t *testing.T) {
 	is := is.New(t)
 	parent, cancel := context.WithCancel(context.Background())
 	group := New(parent)
