--- a/lib/bfloop/doc.go
+++ b/lib/bfloop/doc.go
@@ -1,3 +1,3 @@
-// Package bfloop is the one goroutine on which a part's cores run: functions come
-// to it through a bounded queue, and it wakes itself when a core has something due.
+// Package bfloop runs the state machines of a component on one goroutine: functions are posted
+// to it through a bounded queue, and a timer wakes it when a tick is due.
 package bfloop
--- a/lib/bfloop/loop.go
+++ b/lib/bfloop/loop.go
@@ -8,44 +8,44 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Core is what a loop looks after.
+// Core holds the callbacks of a loop; all of them run on its goroutine.
 type Core struct {
-	// Next tells when Tick is due; the zero time means never.
+	// Next returns when Tick is due; the zero time means never.
 	Next func() time.Time
 	Tick func(now time.Time)
-	// After runs behind each function and each tick.
+	// After runs after each posted function and each tick.
 	After func(now time.Time)
 }
 
-// Loop runs functions one after another on one goroutine and wakes itself when its core has something due.
+// Loop runs posted functions sequentially on one goroutine, and the core's Tick when it is due.
 type Loop struct {
 	timer  *bftimer.Service
 	core   Core
 	events chan func(now time.Time)
-	// ended is closed when the loop runs nothing any more.
+	// ended is closed when Run returns.
 	ended chan struct{}
 }
 
-// StoppedError reports something asked of a loop that has ended.
+// StoppedError reports that the loop ended before it ran a function.
 type StoppedError struct{}
 
-// Error says so.
+// Error returns a fixed text.
 func (*StoppedError) Error() string { return "the loop has stopped" }
 
-// QueueLength bounds what waits for the loop. A full queue makes senders wait,
-// so a datagram storm is dropped by the socket rather than kept in memory.
+// QueueLength is the capacity of the queue of posted functions. A full queue blocks senders, so
+// that excess datagrams are dropped by the socket and not kept in memory.
 const QueueLength = 1024
 
-// New makes a loop for core that takes its time from timer.
+// New returns a loop for core that uses timer as its clock.
 func New(timer *bftimer.Service, core Core) *Loop {
 	return &Loop{timer: timer, core: core, events: make(chan func(time.Time), QueueLength), ended: make(chan struct{})}
 }
 
-// Waiting is how many functions wait for the loop.
+// Waiting returns the number of queued functions.
 func (l *Loop) Waiting() int { return len(l.events) }
 
-// Post runs fn on the loop; false means that ctx or the loop ended first. It must
-// not be called on the loop, which would wait for itself once the queue is full.
+// Post queues fn to run on the loop; false means that ctx or the loop ended first. It must not
+// be called on the loop's goroutine, which would deadlock when the queue is full.
 func (l *Loop) Post(ctx context.Context, fn func(now time.Time)) bool {
 	select {
 	case l.events <- fn:
@@ -57,7 +57,8 @@
 	}
 }
 
-// Ask runs fn on the loop and waits for it.
+// Ask runs fn on the loop and waits until it has run. It fails with ctx's error or a StoppedError;
+// fn may then still run.
 func (l *Loop) Ask(ctx context.Context, fn func(now time.Time)) error {
 	done := make(chan struct{})
 	if !l.Post(ctx, func(now time.Time) { defer close(done); fn(now) }) {
@@ -73,10 +74,11 @@
 	}
 }
 
-// minWait keeps a core that is always due from starving the messages.
+// minWait is the shortest wait for a tick, so that a core that is always due doesn't starve
+// posted functions.
 const minWait = time.Millisecond
 
-// Run serves the loop until ctx ends.
+// Run runs the loop until ctx is done.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.ended)
 	due := make(chan struct{}, 1)
@@ -100,8 +102,8 @@
 		}
 		now := l.timer.Now()
 		l.core.After(now)
-		// Most messages change nothing about when the next tick is due; to set
-		// the timer for each would wake its goroutine for each.
+		// Most functions don't change when the next tick is due. Resetting the timer for each
+		// would wake the timer's goroutine each time.
 		if next := l.core.Next(); !next.IsZero() && !next.Equal(scheduled) {
 			scheduled = next
 			wake.Reset(max(next.Sub(now), minWait))
