--- a/lib/bfagenda/agenda.go
+++ b/lib/bfagenda/agenda.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// Agenda is the events of a simulation; it is not safe for concurrent use.
+// Agenda is the event queue and virtual clock of a simulation. It is not safe for concurrent use.
 type Agenda struct {
 	now   time.Time
 	order uint64
 	due   events
 }
 
-// New makes the empty agenda of a simulation that begins at a time.
+// New returns an empty agenda whose clock starts at begin.
 func New(begin time.Time) *Agenda { return &Agenda{now: begin} }
 
-// Now is the simulation's time: that of the event that happens.
+// Now returns the virtual time: the time of the event being run.
 func (a *Agenda) Now() time.Time { return a.now }
 
-// After has something happen after a time. Events of one moment happen in the order in
-// which they were put down.
+// After schedules do at d from now. Events of the same time run in the order of scheduling.
 func (a *Agenda) After(d time.Duration, do func()) {
 	a.order++
 	heap.Push(&a.due, &event{at: a.now.Add(d), order: a.order, do: do})
 }
 
-// Run has all events happen, and those that they put down, until none is left.
+// Run runs events in the order of their times, including events they schedule, until none is left.
 func (a *Agenda) Run() {
 	for a.due.Len() > 0 {
 		next := heap.Pop(&a.due).(*event)
@@ -34,7 +33,7 @@
 	}
 }
 
-// event is something that happens at a time.
+// event is a function scheduled at a time.
 type event struct {
 	at    time.Time
 	order uint64
@@ -52,10 +51,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for container/heap only.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(*event)) }
 
-// Pop is for container/heap only.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
--- a/lib/bfagenda/agenda_test.go
+++ b/lib/bfagenda/agenda_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Events happen by their times, those of one moment in the order in which they were put
-// down, and what one of them puts down takes its turn.
-func TestEventsHappenInOrder(t *testing.T) {
+// Guards against events that run out of order, among them events of the same time and events
+// scheduled by events.
+func TestEventsRunInOrder(t *testing.T) {
 	is := is.New(t)
 	begin := time.Unix(0, 0)
 	a := New(begin)
--- a/lib/bfagenda/doc.go
+++ b/lib/bfagenda/doc.go
@@ -1,3 +1,2 @@
-// Package bfagenda keeps what is to happen in a simulation, and has it happen in the
-// order of its times.
+// Package bfagenda implements the event queue and virtual clock of a discrete-event simulation.
 package bfagenda
