--- a/lib/bfgolden/doc.go
+++ b/lib/bfgolden/doc.go
@@ -1,3 +1,3 @@
-// Package bfgolden compares what a test made with a file that is committed, and
-// writes the file anew under the flag -update.
+// Package bfgolden compares test output with golden files, and rewrites these with the flag
+// -update.
 package bfgolden
--- a/lib/bfgolden/golden.go
+++ b/lib/bfgolden/golden.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write golden files anew")
+var update = flag.Bool("update", false, "rewrite golden files")
 
-// Check compares got with the file at path.
+// Check fails the test if got differs from the golden file at path. With -update it writes got
+// to the file instead.
 func Check(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
