--- a/lib/bfstyle/check.go
+++ b/lib/bfstyle/check.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// Finding is one place that breaks a rule.
+// Finding is a violation of a style rule.
 type Finding struct {
 	Position string
 	Rule     string
 }
 
-// String is the form of compilers' messages.
+// String formats the finding as a compiler message, "position: rule".
 func (f Finding) String() string { return f.Position + ": " + f.Rule }
 
 const (
@@ -25,10 +25,10 @@
 	maxPackageLines = 1500
 )
 
-// allowedGo are the packages that may start goroutines themselves.
+// allowedGo lists the packages that may use go statements.
 var allowedGo = []string{"bfgroup"}
 
-// Check reads the tree below root and reports what breaks the rules.
+// Check checks the source files below root. It fails if a file can't be read or parsed.
 func Check(root string) ([]Finding, error) {
 	c := checker{files: token.NewFileSet(), lines: map[string]int{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// goStatements refuses goroutines outside a group: nobody would wait for them
-// at the stop, and a panic in one would end the process without a word.
+// goStatements reports go statements. A goroutine outside a group isn't waited for at shutdown,
+// and a panic in it kills the process.
 func (c *checker) goStatements(file *ast.File) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		if statement, isGo := node.(*ast.GoStmt); isGo {
--- a/lib/bfstyle/doc.go
+++ b/lib/bfstyle/doc.go
@@ -1,3 +1,3 @@
-// Package bfstyle holds the house style's rules that no linter knows. Its tests
-// read every source file of the workspace.
+// Package bfstyle checks the style rules of the project that no linter covers. Its tests check
+// every source file of the workspace.
 package bfstyle
--- a/lib/bfstyle/style_test.go
+++ b/lib/bfstyle/style_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWorkspaceKeepsTheRules(t *testing.T) {
+func TestWorkspaceFollowsTheRules(t *testing.T) {
 	is := is.New(t)
 	findings, err := Check(filepath.Join("..", ".."))
 	is.NoErr(err)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestCheckFindsEachFault(t *testing.T) {
+func TestCheckFindsEachViolation(t *testing.T) {
 	is := is.New(t)
 	root := t.TempDir()
 	source := "// Copyright nobody\npackage other\n\nfunc f() { go f() }\n"
