--- a/lib/bfloop/loop.go
+++ b/lib/bfloop/loop.go
@@ -26,7 +26,7 @@
 	ended chan struct{}
 }
 
-// StoppedError reports that the loop ended before it ran a function.
+// StoppedError reports that a function was not run since the loop has ended.
 type StoppedError struct{}
 
 // Error returns a fixed text.
@@ -57,8 +57,8 @@
 	}
 }
 
-// Ask runs fn on the loop and waits until it has run. It fails with ctx's error or a StoppedError;
-// fn may then still run.
+// Ask runs fn on the loop and waits until it has run. It fails with a StoppedError if the loop
+// ended first, or with ctx's error, in which case fn may still run.
 func (l *Loop) Ask(ctx context.Context, fn func(now time.Time)) error {
 	done := make(chan struct{})
 	if !l.Post(ctx, func(now time.Time) { defer close(done); fn(now) }) {
