--- a/lib/bfquery/bfgrammar/doc.go
+++ b/lib/bfquery/bfgrammar/doc.go
@@ -1,4 +1,4 @@
-// Package bfgrammar reads operators' commands: the grammar, the errors that
-// tell where a text goes wrong, and the help. It knows nothing of a node;
-// docs/LANGUAGE.md is its page.
+// Package bfgrammar parses operators' commands. It holds the grammar, syntax
+// errors with their positions, and the help texts, and does not depend on a
+// running node. docs/LANGUAGE.md is the language reference.
 package bfgrammar
--- a/lib/bfquery/bfgrammar/error.go
+++ b/lib/bfquery/bfgrammar/error.go
@@ -11,22 +11,22 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// SyntaxError reports text that is not in the language.
+// SyntaxError reports text that is not a valid command.
 type SyntaxError struct {
-	// Line and Column count from 1; a column is one character.
+	// Line and Column count from 1; columns count characters.
 	Line   int
 	Column int
-	// Found is the text at the place.
+	// Found describes the text at the position.
 	Found string
-	// Expected says what could stand there.
+	// Expected describes what is valid at the position.
 	Expected string
-	// Hint is a remedy, such as "did you mean where?"; it may be empty.
+	// Hint suggests a fix, such as "did you mean where?". It may be empty.
 	Hint string
-	// Excerpt is the line of the text.
+	// Excerpt is the line of the text that holds the error.
 	Excerpt string
 }
 
-// Error is one line with the place.
+// Error returns the position, the problem and the hint on one line.
 func (e *SyntaxError) Error() string {
 	text := fmt.Sprintf("line %d, column %d: found %s, expected %s", e.Line, e.Column, e.Found, e.Expected)
 	if e.Hint != "" {
@@ -35,17 +35,17 @@
 	return text
 }
 
-// longestFound bounds the part of the text that an error repeats.
-const longestFound = 40
+// maxFoundChars is the maximum number of characters quoted in SyntaxError.Found.
+const maxFoundChars = 40
 
-func found(text string) string {
+func describeFound(text string) string {
 	switch runes := []rune(text); {
 	case text == "":
 		return "the end"
 	case text == "\n":
 		return "the end of the line"
-	case len(runes) > longestFound:
-		return fmt.Sprintf("%q", string(runes[:longestFound])+"…")
+	case len(runes) > maxFoundChars:
+		return fmt.Sprintf("%q", string(runes[:maxFoundChars])+"…")
 	}
 	return fmt.Sprintf("%q", text)
 }
@@ -56,16 +56,16 @@
 	tokens []lexer.Token
 }
 
-// errorAt makes the error for a place in the text.
+// errorAt returns the error for a position in the text.
 func (s source) errorAt(pos lexer.Position, text, expected, hint string) *SyntaxError {
 	return &SyntaxError{
-		Line: pos.Line, Column: pos.Column, Found: found(text), Expected: expected, Hint: hint,
+		Line: pos.Line, Column: pos.Column, Found: describeFound(text), Expected: expected, Hint: hint,
 		Excerpt: s.excerpt(pos.Line),
 	}
 }
 
-// longestExcerpt bounds what an error carries of the text.
-const longestExcerpt = 1000
+// maxExcerptChars is the maximum number of characters of SyntaxError.Excerpt.
+const maxExcerptChars = 1000
 
 func (s source) excerpt(line int) string {
 	lines := strings.Split(s.text, "\n")
@@ -73,17 +73,17 @@
 		return ""
 	}
 	text := strings.ToValidUTF8(strings.TrimRight(lines[line-1], "\r"), "\uFFFD")
-	if runes := []rune(text); len(runes) > longestExcerpt {
-		return string(runes[:longestExcerpt])
+	if runes := []rune(text); len(runes) > maxExcerptChars {
+		return string(runes[:maxExcerptChars])
 	}
 	return text
 }
 
-// explain turns the parser's error into one that speaks the operators' language.
-func (s source) explain(err error) error {
+// syntaxError converts an error of the parser library into a SyntaxError.
+func (s source) syntaxError(err error) error {
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
-		return s.unexpected(unexpected.Unexpected)
+		return s.unexpectedToken(unexpected.Unexpected)
 	}
 	var positioned participle.Error
 	if errors.As(err, &positioned) {
@@ -92,8 +92,8 @@
 	return err
 }
 
-// unexpected tells by the command around the token what it should have been.
-func (s source) unexpected(token lexer.Token) error {
+// unexpectedToken reports an unexpectedToken token with the usage of the command around it.
+func (s source) unexpectedToken(token lexer.Token) error {
 	if strings.HasPrefix(token.Value, `"`) && token.Type == tokenTypes["Unknown"] {
 		return s.errorAt(token.Pos, token.Value, `a quote at the end of the string, on the same line`, "")
 	}
@@ -119,7 +119,7 @@
 	return s.errorAt(token.Pos, token.Value, strings.Join(usage.Forms, " | "), didYouMean(token.Value, words))
 }
 
-// ofKind narrows the help on create to one kind of object.
+// ofKind restricts the usage of create to one kind of object.
 func (u Usage) ofKind(kind string) Usage {
 	for _, form := range u.Forms {
 		if strings.HasPrefix(form, "create "+kind+" ") {
@@ -129,7 +129,7 @@
 	return u
 }
 
-// statementBefore is the part of the innermost command that stands before the token.
+// statementBefore returns the tokens of the innermost command that precede the token.
 func (s source) statementBefore(token lexer.Token) []lexer.Token {
 	start, end := 0, 0
 	for i, t := range s.tokens {
@@ -160,10 +160,10 @@
 	return didYouMean(word, names)
 }
 
-// didYouMean names the candidate nearest to word, if one is near.
+// didYouMean suggests the candidate closest to word, or nothing if none is close.
 func didYouMean(word string, candidates []string) string {
-	const farthest = 2
-	best, bestDistance := "", farthest+1
+	const maxDistance = 2
+	best, bestDistance := "", maxDistance+1
 	for _, candidate := range candidates {
 		distance := editDistance(word, candidate)
 		if distance < bestDistance && distance < len(candidate)-1 {
@@ -176,12 +176,12 @@
 	return fmt.Sprintf("did you mean %s?", best)
 }
 
-// editDistance counts insertions, deletions and replacements of bytes; words
-// too long to be near any keyword are not measured.
+// editDistance returns the Levenshtein distance of a and b in bytes, or an upper
+// bound for words much longer than any keyword.
 func editDistance(a, b string) int {
-	const longest = 32
-	if len(a) > longest || len(b) > longest {
-		return longest
+	const maxWordBytes = 32
+	if len(a) > maxWordBytes || len(b) > maxWordBytes {
+		return maxWordBytes
 	}
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -191,12 +191,12 @@
 		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			replace := diagonal
+			substitution := diagonal
 			if a[i] != b[j] {
-				replace++
+				substitution++
 			}
 			diagonal = row[j+1]
-			row[j+1] = min(replace, row[j]+1, row[j+1]+1)
+			row[j+1] = min(substitution, row[j]+1, row[j+1]+1)
 		}
 	}
 	return row[len(b)]
--- a/lib/bfquery/bfgrammar/generate_test.go
+++ b/lib/bfquery/bfgrammar/generate_test.go
@@ -30,7 +30,7 @@
 	return rapid.Ptr(generator, true).Draw(t, label)
 }
 
-// listOf is nil where the field is not named, and may be empty.
+// listOf draws nil for a field that is not set, and otherwise a list that may be empty.
 func listOf[T any](t *rapid.T, label string, generator *rapid.Generator[T]) []T {
 	if !rapid.Bool().Draw(t, label+" named") {
 		return nil
@@ -189,8 +189,8 @@
 	return names
 }
 
-// The filter that show uses against a naive reading of the same condition:
-// every row that an operator asked for is listed, and no other.
+// Compares the filter of show with a naive implementation on random conditions
+// and rows.
 func TestFilterAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := rapid.SampledFrom(bfsyntax.TableNames()).Draw(t, "table")
@@ -208,7 +208,7 @@
 			}
 			cells, values[column.Name] = append(cells, cell), cell
 		}
-		if got, want := filter(cells), naive(condition, values); got != want {
+		if got, want := filter(cells), naiveFilter(condition, values); got != want {
 			t.Fatalf("%s on %v: %v instead of %v", bfsyntax.Show{Table: table, Where: condition}, values, got, want)
 		}
 	})
--- a/lib/bfquery/bfgrammar/help.go
+++ b/lib/bfquery/bfgrammar/help.go
@@ -6,18 +6,18 @@
 	"unicode"
 )
 
-// Usage is the help on one command.
+// Usage is the help text of one command.
 type Usage struct {
 	// Name is the command's first word.
 	Name string
-	// Forms are the command's forms; words in capitals stand for values.
+	// Forms are the syntax variants; words in capitals are placeholders for values.
 	Forms   []string
 	Summary string
 	Example string
 }
 
-// Usages lists the commands in the order of the page; create, change and
-// remove stand inside stage.
+// Usages lists the commands in the order of docs/LANGUAGE.md. The edits create,
+// change and remove are valid only inside stage.
 func Usages() []Usage {
 	return []Usage{
 		{"stage", []string{"stage NAME { EDIT; EDIT … }", "stage NAME EDIT"},
@@ -85,7 +85,7 @@
 	return Usage{}, false
 }
 
-// HelpText is the answer to help, on one command or with an empty topic on all.
+// HelpText returns the help on one command, or on all commands if topic is empty.
 func HelpText(topic string) string {
 	var text strings.Builder
 	if usage, found := usageOf(topic); found {
@@ -102,7 +102,7 @@
 	return text.String()
 }
 
-// keywords are the words of the command's forms that stand for themselves.
+// keywords returns the literal words of the command's forms.
 func (u Usage) keywords() []string {
 	isSeparator := func(r rune) bool { return !unicode.IsLetter(r) }
 	var words []string
--- a/lib/bfquery/bfgrammar/parse.go
+++ b/lib/bfquery/bfgrammar/parse.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// maxText bounds the text of a request. Parsing allocates about a thousand
-	// times its size, and a node has 128 MB; the largest honest request, an
-	// event with a thousand overrides, takes some forty bytes for each.
-	maxText = 64 << 10
-	// maxDepth bounds parentheses, for the parser recurses into each one. A text
-	// of nothing but "(" would take 256 MB of stack at 64 KiB, twice the memory
-	// of a node, and at 256 KiB end the process with a stack overflow, which no
-	// recover can catch. 64 are far more than a person reads.
+	// maxTextBytes is the maximum size of a request's text. Parsing allocates
+	// about a thousand times that, half the 128 MB of a node; an event with a
+	// thousand overrides takes about 40 KB.
+	maxTextBytes = 64 << 10
+	// maxDepth is the maximum nesting of parentheses. The parser recurses into
+	// each one: 64 KiB of "(" would take 256 MB of stack, twice the memory of a
+	// node, and 256 KiB would end the process with a stack overflow, which
+	// recover can't catch.
 	maxDepth = 64
-	// maxName is the longest name of a staged change.
-	maxName = 64
+	// maxNameBytes is the maximum length of a staged change's name.
+	maxNameBytes = 64
 )
 
 var (
-	nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
-	idForm   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
+	changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 )
 
-// Parse reads the commands of text; its error is a SyntaxError.
+// Parse parses the commands in text. Its error is a *SyntaxError.
 func Parse(text string) ([]bfsyntax.Command, error) {
-	if len(text) > maxText {
-		hint := fmt.Sprintf("send at most %d KiB at a time", maxText>>10)
+	if len(text) > maxTextBytes {
+		hint := fmt.Sprintf("send at most %d KiB at a time", maxTextBytes>>10)
 		return nil, &SyntaxError{Line: 1, Column: 1, Found: "a text too long", Expected: "less", Hint: hint}
 	}
 	src := source{text: text}
 	list, err := parser.Lex("", strings.NewReader(text))
 	if err != nil {
-		return nil, src.explain(err)
+		return nil, src.syntaxError(err)
 	}
 	src.tokens = withTerminators(list)
 	if err := src.checkDepth(); err != nil {
@@ -50,11 +50,11 @@
 	}
 	script, err := src.parse()
 	if err != nil {
-		return nil, src.explain(err)
+		return nil, src.syntaxError(err)
 	}
 	commands := make([]bfsyntax.Command, 0, len(script.Commands))
 	for _, node := range script.Commands {
-		r := &reader{source: src}
+		r := &resolver{source: src}
 		command := r.command(node)
 		if r.err != nil {
 			return nil, r.err
@@ -65,7 +65,7 @@
 }
 
 func (s source) parse() (*scriptNode, error) {
-	lex, err := lexer.Upgrade(&tokenList{rest: s.tokens})
+	lex, err := lexer.Upgrade(&tokenStream{rest: s.tokens})
 	if err != nil {
 		return nil, err
 	}
@@ -89,20 +89,20 @@
 	return nil
 }
 
-// reader turns nodes into commands and keeps the first error.
-type reader struct {
+// resolver converts syntax tree nodes into commands and records the first error.
+type resolver struct {
 	source
 	err error
 }
 
-func (r *reader) fail(pos lexer.Position, text, expected, hint string) {
+func (r *resolver) fail(pos lexer.Position, text, expected, hint string) {
 	if r.err == nil {
 		r.err = r.errorAt(pos, text, expected, hint)
 	}
 }
 
-// text is the value without quotes; a node that is absent has none.
-func (r *reader) text(node *valueNode) string {
+// text returns the unquoted value, or the empty string for a nil node.
+func (r *resolver) text(node *valueNode) string {
 	if node == nil {
 		return ""
 	}
@@ -116,8 +116,8 @@
 	return text
 }
 
-// required is a value that may not be empty.
-func (r *reader) required(node *valueNode) string {
+// requiredText returns the unquoted value and fails if it is empty.
+func (r *resolver) requiredText(node *valueNode) string {
 	text := r.text(node)
 	if text == "" {
 		r.fail(node.Pos, node.Text, "a value that is not empty", "")
@@ -125,24 +125,24 @@
 	return text
 }
 
-func (r *reader) stagedName(node *valueNode) string {
+func (r *resolver) stagedName(node *valueNode) string {
 	text := r.text(node)
-	if len(text) > maxName || !nameForm.MatchString(text) {
+	if len(text) > maxNameBytes || !namePattern.MatchString(text) {
 		r.fail(node.Pos, node.Text, "a name of 1 to 64 of a-z, 0-9 and inner hyphens", "")
 	}
 	return text
 }
 
-// cell reads a value of the type.
-func (r *reader) cell(t bfresult.ColumnType, node *valueNode) bfresult.Cell {
+// cell parses the value as a cell of type t.
+func (r *resolver) cell(t bfresult.ColumnType, node *valueNode) bfresult.Cell {
 	cell, err := bfresult.ParseCell(t, r.text(node))
 	if err != nil {
-		r.fail(node.Pos, node.Text, valueForms[t], "")
+		r.fail(node.Pos, node.Text, typeDescriptions[t], "")
 	}
 	return cell
 }
 
-var valueForms = map[bfresult.ColumnType]string{
+var typeDescriptions = map[bfresult.ColumnType]string{
 	bfresult.TypeNumber:   "a whole number",
 	bfresult.TypePercent:  "a percentage such as 10%",
 	bfresult.TypeDuration: "a duration such as 150ms or 20s",
@@ -150,28 +150,28 @@
 	bfresult.TypeFlag:     "yes or no",
 }
 
-func (r *reader) number(node *valueNode) int {
+func (r *resolver) number(node *valueNode) int {
 	n, _ := r.cell(bfresult.TypeNumber, node).(bfresult.NumberCell)
 	return int(n)
 }
 
-func (r *reader) percent(node *valueNode) int {
+func (r *resolver) percent(node *valueNode) int {
 	n, _ := r.cell(bfresult.TypePercent, node).(bfresult.PercentCell)
 	return int(n)
 }
 
-func (r *reader) duration(node *valueNode) time.Duration {
+func (r *resolver) duration(node *valueNode) time.Duration {
 	d, _ := r.cell(bfresult.TypeDuration, node).(bfresult.DurationCell)
 	return time.Duration(d)
 }
 
-func (r *reader) time(node *valueNode) time.Time {
+func (r *resolver) time(node *valueNode) time.Time {
 	at, _ := r.cell(bfresult.TypeTime, node).(bfresult.TimeCell)
 	return time.Time(at)
 }
 
-// positive reads a number from 1 on, or 0 where there is none.
-func (r *reader) positive(node *valueNode) int {
+// positiveNumber parses a number of at least 1. It returns 0 for a nil node.
+func (r *resolver) positiveNumber(node *valueNode) int {
 	if node == nil {
 		return 0
 	}
@@ -182,12 +182,12 @@
 	return n
 }
 
-func (r *reader) ref(node *refNode) bfconfig.Ref {
-	return bfconfig.Ref{Kind: bfconfig.Kind(node.Kind), Name: r.required(node.Name)}
+func (r *resolver) ref(node *refNode) bfconfig.Ref {
+	return bfconfig.Ref{Kind: bfconfig.Kind(node.Kind), Name: r.requiredText(node.Name)}
 }
 
-// command turns a node, in which the grammar set exactly one field, into its command.
-func (r *reader) command(node *commandNode) bfsyntax.Command {
+// command converts a node, in which the parser has set exactly one field.
+func (r *resolver) command(node *commandNode) bfsyntax.Command {
 	switch {
 	case node.Stage != nil:
 		return r.stage(node.Stage)
@@ -204,50 +204,50 @@
 	case node.Explain != nil:
 		return r.explainCommand(node.Explain)
 	case node.History != nil:
-		return bfsyntax.History{Object: r.ref(node.History.Object), Limit: r.positive(node.History.Limit)}
+		return bfsyntax.History{Object: r.ref(node.History.Object), Limit: r.positiveNumber(node.History.Limit)}
 	case node.Undo != nil:
 		return r.undo(node.Undo)
 	case node.Drain != nil:
-		return bfsyntax.Drain{Instance: r.required(node.Drain)}
+		return bfsyntax.Drain{Instance: r.requiredText(node.Drain)}
 	case node.Release != nil:
-		return bfsyntax.Release{Content: r.required(node.Release)}
+		return bfsyntax.Release{Content: r.requiredText(node.Release)}
 	case node.Watch != nil:
 		return r.watch(node.Watch)
 	}
 	return r.help(node.Help)
 }
 
-func (r *reader) confirm(node *confirmNode) bfsyntax.Command {
+func (r *resolver) confirm(node *confirmNode) bfsyntax.Command {
 	confirm := bfsyntax.Confirm{Name: r.stagedName(node.Name)}
 	if node.ChangeID == nil {
 		return confirm
 	}
 	confirm.ChangeID = r.text(node.ChangeID)
-	if !idForm.MatchString(confirm.ChangeID) {
+	if !changeIDPattern.MatchString(confirm.ChangeID) {
 		r.fail(node.ChangeID.Pos, node.ChangeID.Text, "a change ID of 1 to 64 letters, digits and inner . _ -", "")
 	}
 	return confirm
 }
 
-func (r *reader) scope(node *scopeNode) bfsyntax.Scope {
+func (r *resolver) scope(node *scopeNode) bfsyntax.Scope {
 	switch {
 	case node == nil || node.Everywhere:
 		return bfsyntax.Everywhere{}
 	case node.Node != nil:
-		return bfsyntax.AtNode{Instance: r.required(node.Node)}
+		return bfsyntax.AtNode{Instance: r.requiredText(node.Node)}
 	case node.Part.Kind == "domain":
-		return bfsyntax.InDomain{Domain: r.required(node.Part.Name)}
+		return bfsyntax.InDomain{Domain: r.requiredText(node.Part.Name)}
 	}
-	return bfsyntax.InRegion{Region: r.required(node.Part.Name)}
+	return bfsyntax.InRegion{Region: r.requiredText(node.Part.Name)}
 }
 
-func (r *reader) explainCommand(node *explainNode) bfsyntax.Command {
-	explain := bfsyntax.Explain{Method: r.required(node.Method), Path: r.required(node.Path)}
+func (r *resolver) explainCommand(node *explainNode) bfsyntax.Command {
+	explain := bfsyntax.Explain{Method: r.requiredText(node.Method), Path: r.requiredText(node.Path)}
 	if !strings.HasPrefix(explain.Path, "/") {
 		r.fail(node.Path.Pos, node.Path.Text, "a path that starts with /", "")
 	}
 	if node.Tenant != nil {
-		explain.Tenant = r.required(node.Tenant)
+		explain.Tenant = r.requiredText(node.Tenant)
 	}
 	if node.At != nil {
 		explain.At = r.time(node.At)
@@ -255,18 +255,18 @@
 	return explain
 }
 
-func (r *reader) undo(node *undoNode) bfsyntax.Command {
-	undo := bfsyntax.Undo{Version: bfconfig.Version(r.positive(node.Version))}
+func (r *resolver) undo(node *undoNode) bfsyntax.Command {
+	undo := bfsyntax.Undo{Version: bfconfig.Version(r.positiveNumber(node.Version))}
 	if node.Name != nil {
 		undo.Name = r.stagedName(node.Name)
 	}
 	return undo
 }
 
-func (r *reader) watch(node *watchNode) bfsyntax.Command {
+func (r *resolver) watch(node *watchNode) bfsyntax.Command {
 	watch := bfsyntax.Watch{}
 	if node.Version.Text != "latest" {
-		watch.Version = bfconfig.Version(r.positive(node.Version))
+		watch.Version = bfconfig.Version(r.positiveNumber(node.Version))
 	}
 	if node.For == nil {
 		return watch
@@ -277,7 +277,7 @@
 	return watch
 }
 
-func (r *reader) help(node *helpNode) bfsyntax.Command {
+func (r *resolver) help(node *helpNode) bfsyntax.Command {
 	if node.Topic == nil {
 		return bfsyntax.Help{}
 	}
--- a/lib/bfquery/bfgrammar/parse_test.go
+++ b/lib/bfquery/bfgrammar/parse_test.go
@@ -25,15 +25,15 @@
 	os.Exit(m.Run())
 }
 
-// The golden file holds, for each case, the canonical text of its commands, or
-// the error with its place.
+// The golden file holds the canonical text of each case's commands, or the
+// syntax error with its position.
 func TestParseGolden(t *testing.T) {
 	is := is.New(t)
 	cases, err := os.ReadFile("testdata/parse.txt")
 	is.NoErr(err)
 	var got strings.Builder
 	for _, text := range strings.Split(string(cases), "\n---\n") {
-		got.WriteString(text + "\n==>\n" + describe(text) + "\n----------\n")
+		got.WriteString(text + "\n==>\n" + parseOutput(text) + "\n----------\n")
 	}
 	const golden = "testdata/parse.golden"
 	if *update {
@@ -44,7 +44,7 @@
 	is.Equal(got.String(), string(want))
 }
 
-func describe(text string) string {
+func parseOutput(text string) string {
 	commands, err := Parse(text)
 	var syntax *SyntaxError
 	if errors.As(err, &syntax) {
@@ -57,10 +57,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// An operator's shell prints a command and another one reads it: the text must
-// mean the same there, or the wrong route is changed. Names are generated with
-// quotes, spaces and keywords in them, for these are what a printer gets wrong.
-func TestPrintedCommandParsesToItself(t *testing.T) {
+// A printed command must parse to the same command, or a copied text would
+// change the wrong object. Generated names contain quotes, spaces and keywords.
+func TestCommandTextRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		commands := rapid.SliceOfN(commandGenerator(), 1, 3).Draw(t, "commands")
 		texts := []string{}
@@ -78,17 +77,17 @@
 	})
 }
 
-// A node parses what anyone with a token sends: a text that made the parser
-// panic or recurse without bound would end the node and the requests on it.
-func TestNoTextBreaksTheParser(t *testing.T) {
+// A panic or unbounded recursion in the parser would crash the node, so no input
+// may cause one.
+func TestParseArbitraryText(t *testing.T) {
 	words := []string{"(", ")", "{", "}", ",", ";", "\n", "\"", "=", "~", "not", "and", "#", "\\", "\x00", "é", "none", "any", "yes"}
 	for _, usage := range Usages() {
 		words = append(words, usage.keywords()...)
 		words = append(words, strings.Fields(usage.Example)...)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		soup := rapid.SliceOfN(rapid.SampledFrom(words), 0, 40).Draw(t, "words")
-		checkText(t, strings.Join(soup, rapid.SampledFrom([]string{" ", ""}).Draw(t, "space")))
+		sample := rapid.SliceOfN(rapid.SampledFrom(words), 0, 40).Draw(t, "words")
+		checkText(t, strings.Join(sample, rapid.SampledFrom([]string{" ", ""}).Draw(t, "space")))
 	})
 }
 
@@ -100,7 +99,7 @@
 	f.Fuzz(func(t *testing.T, text string) { checkText(t, text) })
 }
 
-// checkText holds any text to: a SyntaxError inside it, or commands whose canonical text is stable.
+// checkText requires a positioned SyntaxError, or commands whose canonical text is stable.
 func checkText(t interface{ Fatalf(string, ...any) }, text string) {
 	commands, err := Parse(text)
 	var syntax *SyntaxError
@@ -118,31 +117,29 @@
 	}
 }
 
-// A request of nothing but open parentheses, or of more text than any honest
-// one, arrives. The parser goes one call deeper for each parenthesis; without a
-// bound the stack outgrows the node's memory, then the runtime ends the process
-// and every request on it is cut.
+// Unbounded nesting of parentheses would overflow the stack of the recursive
+// parser and crash the node.
 func TestDeepParenthesesAreRefused(t *testing.T) {
 	is := is.New(t)
-	text := "show routes where " + strings.Repeat("(", maxText-100)
+	text := "show routes where " + strings.Repeat("(", maxTextBytes-100)
 	_, err := Parse(text)
 	var syntax *SyntaxError
 	is.True(errors.As(err, &syntax))
 	is.Equal(syntax.Expected, "at most 64 open parentheses")
 	_, err = Parse("show routes where " + strings.Repeat("(", maxDepth) + "name = a" + strings.Repeat(")", maxDepth))
 	is.NoErr(err)
-	_, err = Parse(strings.Repeat(" ", maxText+1))
+	_, err = Parse(strings.Repeat(" ", maxTextBytes+1))
 	is.True(errors.As(err, &syntax))
 }
 
-// The page is what operators learn the language from: an example that does not
-// parse, or a form that is not on it, misleads them.
-func TestLanguagePage(t *testing.T) {
+// Every example in docs/LANGUAGE.md must parse, and every form and table of the
+// language must be documented there.
+func TestLanguageReference(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../../docs/LANGUAGE.md")
 	is.NoErr(err)
-	page := string(data)
-	for i, block := range strings.Split(page, "```") {
+	reference := string(data)
+	for i, block := range strings.Split(reference, "```") {
 		text, isExample := strings.CutPrefix(block, "bilberry\n")
 		if i%2 == 0 || !isExample {
 			continue
@@ -153,14 +150,14 @@
 	}
 	for _, usage := range Usages() {
 		for _, form := range usage.Forms {
-			if !strings.Contains(page, form) {
-				t.Errorf("not on the page: %s", form)
+			if !strings.Contains(reference, form) {
+				t.Errorf("form is not in docs/LANGUAGE.md: %s", form)
 			}
 		}
 	}
 	for _, table := range bfsyntax.TableNames() {
-		if row := "| " + string(table) + " | " + strings.Join(bfsyntax.ColumnNames(table), ", ") + " |"; !strings.Contains(page, row) {
-			t.Errorf("not on the page: %s", row)
+		if row := "| " + string(table) + " | " + strings.Join(bfsyntax.ColumnNames(table), ", ") + " |"; !strings.Contains(reference, row) {
+			t.Errorf("table is not in docs/LANGUAGE.md: %s", row)
 		}
 	}
 }
--- a/lib/bfquery/bfgrammar/show.go
+++ b/lib/bfquery/bfgrammar/show.go
@@ -9,7 +9,7 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-func (r *reader) show(node *showNode) bfsyntax.Command {
+func (r *resolver) show(node *showNode) bfsyntax.Command {
 	table := bfsyntax.TableName(node.Table.Text)
 	if !slices.Contains(bfsyntax.TableNames(), table) {
 		names := make([]string, 0, len(bfsyntax.TableNames()))
@@ -19,7 +19,7 @@
 		r.fail(node.Table.Pos, node.Table.Text, "one of "+strings.Join(names, ", "), didYouMean(node.Table.Text, names))
 		return nil
 	}
-	show := bfsyntax.Show{Table: table, Limit: r.positive(node.Limit)}
+	show := bfsyntax.Show{Table: table, Limit: r.positiveNumber(node.Limit)}
 	if node.Where != nil {
 		show.Where = r.or(table, node.Where)
 	}
@@ -30,7 +30,7 @@
 	return show
 }
 
-func (r *reader) column(table bfsyntax.TableName, node *valueNode) bfresult.Column {
+func (r *resolver) column(table bfsyntax.TableName, node *valueNode) bfresult.Column {
 	column, _, found := bfsyntax.ColumnOf(table, node.Text)
 	if !found {
 		names := bfsyntax.ColumnNames(table)
@@ -40,7 +40,7 @@
 	return column
 }
 
-func (r *reader) or(table bfsyntax.TableName, node *orNode) bfsyntax.Condition {
+func (r *resolver) or(table bfsyntax.TableName, node *orNode) bfsyntax.Condition {
 	terms := make([]bfsyntax.Condition, 0, len(node.Terms))
 	for _, term := range node.Terms {
 		terms = append(terms, r.and(table, term))
@@ -51,7 +51,7 @@
 	return bfsyntax.Or{Terms: terms}
 }
 
-func (r *reader) and(table bfsyntax.TableName, node *andNode) bfsyntax.Condition {
+func (r *resolver) and(table bfsyntax.TableName, node *andNode) bfsyntax.Condition {
 	terms := make([]bfsyntax.Condition, 0, len(node.Terms))
 	for _, term := range node.Terms {
 		terms = append(terms, r.not(table, term))
@@ -62,7 +62,7 @@
 	return bfsyntax.And{Terms: terms}
 }
 
-func (r *reader) not(table bfsyntax.TableName, node *notNode) bfsyntax.Condition {
+func (r *resolver) not(table bfsyntax.TableName, node *notNode) bfsyntax.Condition {
 	var term bfsyntax.Condition
 	if node.Group != nil {
 		term = r.or(table, node.Group)
@@ -75,7 +75,7 @@
 	return term
 }
 
-func (r *reader) comparison(table bfsyntax.TableName, node *comparisonNode) bfsyntax.Condition {
+func (r *resolver) comparison(table bfsyntax.TableName, node *comparisonNode) bfsyntax.Condition {
 	column := r.column(table, node.Column)
 	operator := bfsyntax.Operator(node.Operator.Text)
 	if r.err == nil && !slices.Contains(bfsyntax.OperatorsOf(column.Type), operator) {
--- a/lib/bfquery/bfgrammar/stage.go
+++ b/lib/bfquery/bfgrammar/stage.go
@@ -9,7 +9,7 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-func (r *reader) stage(node *stageNode) bfsyntax.Command {
+func (r *resolver) stage(node *stageNode) bfsyntax.Command {
 	stage := bfsyntax.Stage{Name: r.stagedName(node.Name)}
 	for _, edit := range node.Edits {
 		stage.Edits = append(stage.Edits, r.edit(edit))
@@ -20,7 +20,7 @@
 	return stage
 }
 
-func (r *reader) edit(node *editNode) bfsyntax.Edit {
+func (r *resolver) edit(node *editNode) bfsyntax.Edit {
 	switch {
 	case node.Create != nil:
 		name, fields := r.object(node.Create)
@@ -35,30 +35,28 @@
 	return bfsyntax.Remove{Object: r.ref(node.Remove)}
 }
 
-func (r *reader) object(node *objectNode) (string, bfsyntax.Fields) {
+func (r *resolver) object(node *objectNode) (string, bfsyntax.Fields) {
 	switch {
 	case node.Service != nil:
-		return r.required(node.Service.Name), r.serviceFields(node.Service.Fields)
+		return r.requiredText(node.Service.Name), r.serviceFields(node.Service.Fields)
 	case node.Route != nil:
-		return r.required(node.Route.Name), r.routeFields(node.Route.Fields)
+		return r.requiredText(node.Route.Name), r.routeFields(node.Route.Fields)
 	case node.Policy != nil:
-		return r.required(node.Policy.Name), r.policyFields(node.Policy.Fields)
+		return r.requiredText(node.Policy.Name), r.policyFields(node.Policy.Fields)
 	}
-	return r.required(node.Event.Name), r.eventFields(node.Event.Fields)
+	return r.requiredText(node.Event.Name), r.eventFields(node.Event.Fields)
 }
 
-// assign sets a field that must not have been named before.
-//
-// Of two values for one field an operator means one, and a silent choice could
-// be the wrong one.
-func assign[T any](r *reader, pos lexer.Position, field **T, name string, value T) {
+// assign sets a field and fails if the command already set it, since either
+// value could be the intended one.
+func assign[T any](r *resolver, pos lexer.Position, field **T, name string, value T) {
 	if *field != nil {
 		r.fail(pos, name, "each field once", "")
 	}
 	*field = &value
 }
 
-func (r *reader) serviceFields(nodes []*serviceField) bfsyntax.Fields {
+func (r *resolver) serviceFields(nodes []*serviceField) bfsyntax.Fields {
 	var fields bfsyntax.ServiceFields
 	for _, node := range nodes {
 		switch {
@@ -71,16 +69,16 @@
 	return fields
 }
 
-func (r *reader) routeFields(nodes []*routeField) bfsyntax.Fields {
+func (r *resolver) routeFields(nodes []*routeField) bfsyntax.Fields {
 	var fields bfsyntax.RouteFields
 	for _, node := range nodes {
 		switch {
 		case node.Prefix != nil:
-			assign(r, node.Pos, &fields.Prefix, "prefix", r.required(node.Prefix))
+			assign(r, node.Pos, &fields.Prefix, "prefix", r.requiredText(node.Prefix))
 		case node.Service != nil:
-			assign(r, node.Pos, &fields.Service, "service", r.required(node.Service))
+			assign(r, node.Pos, &fields.Service, "service", r.requiredText(node.Service))
 		case node.Policy != nil:
-			assign(r, node.Pos, &fields.Policy, "policy", r.required(node.Policy))
+			assign(r, node.Pos, &fields.Policy, "policy", r.requiredText(node.Policy))
 		case node.Methods != nil:
 			if fields.Methods != nil {
 				r.fail(node.Pos, "methods", "each field once", "")
@@ -91,23 +89,23 @@
 	return fields
 }
 
-func (r *reader) methods(nodes []*valueNode) []string {
+func (r *resolver) methods(nodes []*valueNode) []string {
 	methods := []string{}
 	if len(nodes) == 1 && nodes[0].Text == "any" {
 		return methods
 	}
 	for _, node := range nodes {
-		methods = append(methods, r.required(node))
+		methods = append(methods, r.requiredText(node))
 	}
 	return methods
 }
 
-func (r *reader) policyFields(nodes []*policyField) bfsyntax.Fields {
+func (r *resolver) policyFields(nodes []*policyField) bfsyntax.Fields {
 	var fields bfsyntax.PolicyFields
 	for _, node := range nodes {
 		switch {
 		case node.Class != nil:
-			assign(r, node.Pos, &fields.Class, "class", r.required(node.Class))
+			assign(r, node.Pos, &fields.Class, "class", r.requiredText(node.Class))
 		case node.Flag != nil && node.Flag.Name == "idempotent":
 			assign(r, node.Pos, &fields.Idempotent, "idempotent", node.Flag.Value != "no")
 		case node.Flag != nil:
@@ -129,7 +127,7 @@
 	return fields
 }
 
-func (r *reader) eventFields(nodes []*eventField) bfsyntax.Fields {
+func (r *resolver) eventFields(nodes []*eventField) bfsyntax.Fields {
 	var fields bfsyntax.EventFields
 	for _, node := range nodes {
 		switch {
@@ -149,10 +147,10 @@
 	return fields
 }
 
-func (r *reader) overrides(node *overrideNode) []bfconfig.Override {
+func (r *resolver) overrides(node *overrideNode) []bfconfig.Override {
 	overrides := []bfconfig.Override{}
 	for _, pair := range node.Pairs {
-		override := bfconfig.Override{Route: r.required(pair.Route), Policy: r.required(pair.Policy)}
+		override := bfconfig.Override{Route: r.requiredText(pair.Route), Policy: r.requiredText(pair.Policy)}
 		overrides = append(overrides, override)
 	}
 	return overrides
--- a/lib/bfquery/bfgrammar/syntax.go
+++ b/lib/bfquery/bfgrammar/syntax.go
@@ -5,8 +5,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// tokens are tried in this order. The last one takes any character, so that
-// wrong text always reaches the parser, which knows what it expected there.
+// tokens are matched in this order. The last rule matches any character, so that
+// invalid text reaches the parser, which can report what it expected.
 var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "comment", Pattern: `#[^\n]*`},
 	{Name: "space", Pattern: `[ \t\r]+|\\\r?\n`},
@@ -18,16 +18,16 @@
 	{Name: "Unknown", Pattern: `(?s:.)`},
 })
 
-// tokenTypes gives the tokens' types by name.
+// tokenTypes maps rule names to token types.
 var tokenTypes = tokens.Symbols()
 
-// parser never goes back over a token: each choice in the grammar is settled by
-// its first token, so that an error is reported where the text goes wrong and
-// parsing takes time in proportion to the text.
+// parser does not backtrack: the first token selects each alternative of the
+// grammar, so errors are reported at the offending token and parsing takes
+// linear time.
 var parser = participle.MustBuild[scriptNode](participle.Lexer(tokens), participle.UseLookahead(0))
 
-// withTerminators puts a terminator before each closing brace and at the end,
-// so that the grammar sees every command and edit ended in the same way.
+// withTerminators inserts a terminator before each closing brace and at the end,
+// so that the grammar can require one after every command and edit.
 func withTerminators(list []lexer.Token) []lexer.Token {
 	ended := make([]lexer.Token, 0, len(list)+1)
 	for _, token := range list {
@@ -39,21 +39,21 @@
 	return ended
 }
 
-// tokenList hands tokens to the parser.
-type tokenList struct{ rest []lexer.Token }
+// tokenStream implements lexer.Lexer over tokens that were already read.
+type tokenStream struct{ rest []lexer.Token }
 
-// Next is the next token; the last one is the end of the text.
-func (l *tokenList) Next() (lexer.Token, error) {
-	token := l.rest[0]
-	if len(l.rest) > 1 {
-		l.rest = l.rest[1:]
+// Next returns the next token, and the EOF token once all others were returned.
+func (s *tokenStream) Next() (lexer.Token, error) {
+	token := s.rest[0]
+	if len(s.rest) > 1 {
+		s.rest = s.rest[1:]
 	}
 	return token, nil
 }
 
-// The nodes below are the grammar; docs/LANGUAGE.md gives it for operators.
-// Strings keep their quotes until a value is read, so that "where" in quotes is
-// never taken for the keyword.
+// The node types below define the grammar, which docs/LANGUAGE.md documents for
+// operators. Strings keep their quotes until a value is read, so that a quoted
+// "where" is not parsed as the keyword.
 
 type scriptNode struct {
 	Commands []*commandNode `parser:"( @@ Terminator | Terminator )*"`
