--- a/lib/bfquery/bfcensus/census.go
+++ b/lib/bfquery/bfcensus/census.go
@@ -9,16 +9,15 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// Census counts the versions in force over a part of the fleet.
+// Census counts the versions in force on a set of nodes.
 type Census struct {
 	Domains []Domain
-	// Versions counts the nodes in reach by the version in force on them. It is
-	// nil where only the oldest version of each domain is known.
+	// Versions counts the reachable nodes by the version in force on them. It is
+	// nil if only the oldest version of each domain is known.
 	Versions map[bfconfig.Version]int
-	// Unreachable names nodes that could not be asked; there may be more than
-	// are named.
+	// Unreachable names nodes that did not respond. The list may be incomplete.
 	Unreachable []string
-	// Partial is true if the node knows that its membership is not whole.
+	// Partial is true if the node's member list is known to be incomplete.
 	Partial bool
 }
 
@@ -26,22 +25,22 @@
 type Domain struct {
 	Region string
 	Domain string
-	// Nodes counts those in reach.
+	// Nodes counts the reachable nodes.
 	Nodes int
-	// Oldest is the oldest version in force on one of them.
+	// Oldest is the oldest version in force on a reachable node.
 	Oldest bfconfig.Version
-	// Unreachable counts the others.
+	// Unreachable counts the nodes that did not respond.
 	Unreachable int
 }
 
-// Sorted lists the domains by region and name.
+// Sorted returns the domains ordered by region and name.
 func (c Census) Sorted() []Domain {
 	return slices.SortedFunc(slices.Values(c.Domains), func(a, b Domain) int {
 		return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Domain, b.Domain))
 	})
 }
 
-// reached counts the nodes that answered.
+// reached counts the nodes that responded.
 func (c Census) reached() int {
 	sum := 0
 	for _, domain := range c.Domains {
@@ -50,7 +49,7 @@
 	return sum
 }
 
-// unreachable counts the nodes that did not answer.
+// unreachable counts the nodes that did not respond.
 func (c Census) unreachable() int {
 	sum := 0
 	for _, domain := range c.Domains {
@@ -59,7 +58,7 @@
 	return max(sum, len(c.Unreachable))
 }
 
-// oldest is the oldest version on a node in reach.
+// oldest returns the oldest version in force on a reachable node, or 0 if there is none.
 func (c Census) oldest() bfconfig.Version {
 	var oldest bfconfig.Version
 	found := false
@@ -71,11 +70,10 @@
 	return oldest
 }
 
-// inForce counts the nodes that are known to have the version or a later one in force.
+// inForce returns a lower bound on the nodes with the version or a later one in force.
 //
-// Where the counts by version are missing, a domain counts whole once its oldest
-// node has the version and not at all before: too few may be said to have a
-// version, never too many.
+// Without counts by version, a domain contributes all its nodes if its oldest
+// version is recent enough, and none otherwise.
 func (c Census) inForce(version bfconfig.Version) int {
 	sum := 0
 	if c.Versions != nil {
@@ -94,32 +92,32 @@
 	return sum
 }
 
-// String sums the census up in a line.
+// String summarizes the census on one line.
 func (c Census) String() string {
-	text := fmt.Sprintf("%s in reach", nodes(c.reached()))
+	text := fmt.Sprintf("%s in reach", nodeCount(c.reached()))
 	if c.reached() > 0 {
 		text += "; " + c.versions()
 	}
-	return text + c.gap()
+	return text + c.missingNodes()
 }
 
-// versions tells the versions in force, the newest first.
+// versions describes the versions in force, newest first.
 func (c Census) versions() string {
 	if c.Versions == nil {
 		return fmt.Sprintf("oldest version %d", c.oldest())
 	}
 	var counts []string
-	for _, version := range descending(c.Versions) {
-		counts = append(counts, fmt.Sprintf("version %d on %s", version, nodes(c.Versions[version])))
+	for _, version := range newestFirst(c.Versions) {
+		counts = append(counts, fmt.Sprintf("version %d on %s", version, nodeCount(c.Versions[version])))
 	}
-	const most = 10
-	if len(counts) > most {
-		counts = append(counts[:most], fmt.Sprintf("and older ones down to %d", c.oldest()))
+	const maxListed = 10
+	if len(counts) > maxListed {
+		counts = append(counts[:maxListed], fmt.Sprintf("and older ones down to %d", c.oldest()))
 	}
 	return strings.Join(counts, ", ")
 }
 
-func descending(versions map[bfconfig.Version]int) []bfconfig.Version {
+func newestFirst(versions map[bfconfig.Version]int) []bfconfig.Version {
 	var list []bfconfig.Version
 	for version := range versions {
 		list = append(list, version)
@@ -128,23 +126,23 @@
 	return list
 }
 
-func nodes(n int) string {
+func nodeCount(n int) string {
 	if n == 1 {
 		return "1 node"
 	}
 	return fmt.Sprintf("%d nodes", n)
 }
 
-// gap says what the count leaves out, so that no gap reads as agreement.
-func (c Census) gap() string {
+// missingNodes describes the nodes missing from the count, so that it is not read as complete.
+func (c Census) missingNodes() string {
 	var text strings.Builder
 	unreachable := c.unreachable()
 	if unreachable > 0 {
 		fmt.Fprintf(&text, "; %d out of reach", unreachable)
 	}
 	if len(c.Unreachable) > 0 {
-		const mostNamed = 10
-		named := c.Unreachable[:min(len(c.Unreachable), mostNamed)]
+		const maxNamed = 10
+		named := c.Unreachable[:min(len(c.Unreachable), maxNamed)]
 		text.WriteString(": " + strings.Join(named, ", "))
 		if unreachable > len(named) {
 			text.WriteString(" …")
--- a/lib/bfquery/bfcensus/census_test.go
+++ b/lib/bfquery/bfcensus/census_test.go
@@ -13,7 +13,7 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-func wien(versions map[bfconfig.Version]int, oldest bfconfig.Version, unreachable ...string) Census {
+func domainCensus(versions map[bfconfig.Version]int, oldest bfconfig.Version, unreachable ...string) Census {
 	domain := Domain{Region: "vienna", Domain: "wien-nord", Oldest: oldest, Unreachable: len(unreachable)}
 	for _, count := range versions {
 		domain.Nodes += count
@@ -32,27 +32,25 @@
 	return Census{Domains: []Domain{domain}, Versions: versions, Unreachable: unreachable}
 }
 
-// Every node in reach has the version in force, but one is out of reach, or the
-// list of members is not whole, or nobody answers: the operator must not read
-// that it is in force everywhere while some proxy may serve callers by an older one.
-func TestWatchClaimsNoMoreThanItSaw(t *testing.T) {
+// A watch must not report success while a node is unreachable or outdated, or
+// while the member list is incomplete or empty.
+func TestWatchRequiresCompleteCensus(t *testing.T) {
 	is := is.New(t)
 	all := map[bfconfig.Version]int{7: 2, 8: 1}
-	partial := wien(all, 7)
+	partial := domainCensus(all, 7)
 	partial.Partial = true
-	counted := wien(all, 7)
+	counted := domainCensus(all, 7)
 	counted.Domains = append(counted.Domains, Domain{Domain: "wien-sued", Unreachable: 1})
-	older := wien(map[bfconfig.Version]int{6: 1, 7: 2}, 6)
-	for _, census := range []Census{wien(all, 7, "portal-core-2"), partial, counted, {}, older} {
+	older := domainCensus(map[bfconfig.Version]int{6: 1, 7: 2}, 6)
+	for _, census := range []Census{domainCensus(all, 7, "portal-core-2"), partial, counted, {}, older} {
 		is.True(Watch(census, 7, 0, 1).Outcome == nil)
 		is.Equal(Watch(census, 7, 1, 1).Outcome.Status, bfresult.StatusUnknown)
 	}
-	is.Equal(Watch(wien(all, 7), 7, 0, 1).Outcome.Status, bfresult.StatusDone)
+	is.Equal(Watch(domainCensus(all, 7), 7, 0, 1).Outcome.Status, bfresult.StatusDone)
 }
 
-// Random fleets, counted as the census counts them: with the counts by version
-// the number is exact, without them never too high, and a watch is done only
-// when every node has the version.
+// On random fleets, inForce is exact with counts by version and never too high
+// without them, and a watch ends only when every node has the version.
 func TestCountsAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.SliceOfN(rapid.SliceOfN(rapid.Uint64Range(1, 4), 1, 4), 1, 3).Draw(t, "fleet")
@@ -89,11 +87,11 @@
 	for version := range bfconfig.Version(12) {
 		many[version+1] = 1
 	}
-	partial := wien(map[bfconfig.Version]int{7: 1}, 7)
+	partial := domainCensus(map[bfconfig.Version]int{7: 1}, 7)
 	partial.Partial = true
 	var text string
 	for _, census := range []Census{
-		{}, wien(map[bfconfig.Version]int{4: 2, 3: 1}, 3, "portal-core-2"), wien(many, 1), partial,
+		{}, domainCensus(map[bfconfig.Version]int{4: 2, 3: 1}, 3, "portal-core-2"), domainCensus(many, 1), partial,
 		{Domains: []Domain{{Nodes: 2, Oldest: 5, Unreachable: 3}}},
 	} {
 		text += census.String() + "\n"
--- a/lib/bfquery/bfcensus/doc.go
+++ b/lib/bfquery/bfcensus/doc.go
@@ -1,7 +1,7 @@
-// Package bfcensus holds what a part of the fleet answered when it was asked
-// which versions are in force, and decides what may be claimed from it.
+// Package bfcensus aggregates the configuration versions in force on a set of
+// nodes and decides whether a version is in force everywhere.
 //
-// Nobody learns the state of 25,000 nodes at one moment: some are out of reach,
-// and some are not members yet. What is said here is never more than what was
-// counted.
+// A consistent snapshot of 25,000 nodes is not available: some are unreachable,
+// and some have not joined the membership yet. The results are therefore lower
+// bounds: a node that did not respond never counts as up to date.
 package bfcensus
--- a/lib/bfquery/force.go
+++ b/lib/bfquery/force.go
@@ -65,7 +65,7 @@
 		if step.Outcome != nil {
 			return r.emit(*step.Outcome)
 		}
-		if err := r.backend.Wait(ctx, min(watchInterval, step.Left)); err != nil {
+		if err := r.backend.Wait(ctx, min(watchInterval, step.Remaining)); err != nil {
 			return err
 		}
 	}
