--- a/lib/bfquery/bfplan/difference.go
+++ b/lib/bfquery/bfplan/difference.go
@@ -5,20 +5,20 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// FieldChange is one field of an object before and after an operation.
+// FieldChange is the value of one field before and after an operation.
 type FieldChange struct{ Field, Before, After string }
 
-// Difference compares two objects of one kind; either may be nil.
+// Difference returns the fields in which two objects of one kind differ; either may be nil.
 func Difference(before, after bfconfig.Object) ([]FieldChange, error) {
-	old, err := settingsOf(before)
+	old, err := settingsOrNil(before)
 	if err != nil {
 		return nil, err
 	}
-	next, err := settingsOf(after)
+	next, err := settingsOrNil(after)
 	if err != nil {
 		return nil, err
 	}
-	// Both lists name every field of the kind in one order; an absent object names none.
+	// Both lists hold every field of the kind in the same order; a nil object has an empty list.
 	var changes []FieldChange
 	for i := range max(len(old), len(next)) {
 		change := FieldChange{}
@@ -35,7 +35,7 @@
 	return changes, nil
 }
 
-func settingsOf(object bfconfig.Object) ([]bfsyntax.Setting, error) {
+func settingsOrNil(object bfconfig.Object) ([]bfsyntax.Setting, error) {
 	if object == nil {
 		return nil, nil
 	}
@@ -46,7 +46,7 @@
 	return fields.Settings(), nil
 }
 
-// Action names what makes the one object of the other; either may be nil.
+// Action returns the edit that turns before into after: create, change or remove. Either may be nil.
 func Action(before, after bfconfig.Object) string {
 	switch {
 	case before == nil:
--- a/lib/bfquery/bfplan/doc.go
+++ b/lib/bfquery/bfplan/doc.go
@@ -1,3 +1,3 @@
-// Package bfplan decides what edits mean for objects: which operations they
-// become on a state, and which fields tell two objects apart.
+// Package bfplan converts edits into operations on a configuration state and
+// computes the field differences between two objects.
 package bfplan
--- a/lib/bfquery/bfplan/error.go
+++ b/lib/bfquery/bfplan/error.go
@@ -6,7 +6,7 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// ExistsError reports a create of an object that exists.
+// ExistsError reports a create of an object that already exists.
 type ExistsError struct{ Ref bfconfig.Ref }
 
 // Error names the object.
@@ -14,8 +14,8 @@
 	return fmt.Sprintf("%s exists already; use change to alter it", e.Ref)
 }
 
-// EditError reports an edit that no code should produce.
-type EditError struct{ What string }
+// EditError reports an invalid edit, which indicates a bug in the caller.
+type EditError struct{ Reason string }
 
-// Error says what it is.
-func (e *EditError) Error() string { return "fault of the program: " + e.What }
+// Error returns the reason.
+func (e *EditError) Error() string { return "internal error: " + e.Reason }
--- a/lib/bfquery/bfplan/plan.go
+++ b/lib/bfquery/bfplan/plan.go
@@ -5,10 +5,10 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// planner resolves edits one after another against a state.
+// planner applies edits in sequence to a state.
 type planner struct {
 	base *bfconfig.State
-	// edited holds what earlier edits made of an object; nil means removed.
+	// edited holds the objects changed by earlier edits; nil marks a removed one.
 	edited map[bfconfig.Ref]bfconfig.Object
 }
 
@@ -19,7 +19,8 @@
 	return p.base.Object(ref)
 }
 
-// Plan resolves edits against base into operations on whole objects.
+// Plan converts edits of base into operations on complete objects. It returns an
+// *ExistsError or a *bfconfig.MissingError for an edit that does not apply.
 func Plan(base *bfconfig.State, edits []bfsyntax.Edit) ([]bfconfig.Op, error) {
 	p := &planner{base: base, edited: map[bfconfig.Ref]bfconfig.Object{}}
 	ops := make([]bfconfig.Op, 0, len(edits))
@@ -54,7 +55,7 @@
 		p.edited[ref] = nil
 		return bfconfig.Remove{Ref: ref}, nil
 	}
-	return nil, &EditError{What: "edit " + edit.String() + " of unknown type"}
+	return nil, &EditError{Reason: "edit " + edit.String() + " of unknown type"}
 }
 
 func (p *planner) put(object bfconfig.Object, fields bfsyntax.Fields) (bfconfig.Op, error) {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// apply sets the fields named on the object, which is of their kind.
+// apply returns the object with the given fields set; both must be of the same kind.
 func apply(object bfconfig.Object, fields bfsyntax.Fields) (bfconfig.Object, error) {
 	switch f := fields.(type) {
 	case bfsyntax.ServiceFields:
@@ -100,5 +101,5 @@
 			return f.Apply(o), nil
 		}
 	}
-	return nil, &EditError{What: "fields of another kind than the object"}
+	return nil, &EditError{Reason: "fields of another kind than the object"}
 }
