--- a/lib/bfquery/bfresult/cell.go
+++ b/lib/bfquery/bfresult/cell.go
@@ -26,7 +26,7 @@
 type Cell interface {
 	// Type is the type of the columns that may hold the cell.
 	Type() ColumnType
-	// String is the cell as tables show it and as commands write it.
+	// String formats the cell as in tables and commands.
 	String() string
 }
 
@@ -36,55 +36,55 @@
 // NumberCell is a count or a version.
 type NumberCell int64
 
-// PercentCell is a share in hundredths.
+// PercentCell is a percentage.
 type PercentCell int64
 
-// DurationCell is a length of time.
+// DurationCell is a duration.
 type DurationCell time.Duration
 
-// TimeCell is a moment; the zero time means none.
+// TimeCell is a point in time; the zero time means none.
 type TimeCell time.Time
 
-// FlagCell is yes or no.
+// FlagCell is a boolean, shown as yes or no.
 type FlagCell bool
 
-// ListCell is several names.
+// ListCell is a list of names.
 type ListCell []string
 
-// Type is TypeText.
+// Type returns TypeText.
 func (c TextCell) Type() ColumnType { return TypeText }
 
-// Type is TypeNumber.
+// Type returns TypeNumber.
 func (c NumberCell) Type() ColumnType { return TypeNumber }
 
-// Type is TypePercent.
+// Type returns TypePercent.
 func (c PercentCell) Type() ColumnType { return TypePercent }
 
-// Type is TypeDuration.
+// Type returns TypeDuration.
 func (c DurationCell) Type() ColumnType { return TypeDuration }
 
-// Type is TypeTime.
+// Type returns TypeTime.
 func (c TimeCell) Type() ColumnType { return TypeTime }
 
-// Type is TypeFlag.
+// Type returns TypeFlag.
 func (c FlagCell) Type() ColumnType { return TypeFlag }
 
-// Type is TypeList.
+// Type returns TypeList.
 func (c ListCell) Type() ColumnType { return TypeList }
 
-// String is the text.
+// String returns the text.
 func (c TextCell) String() string { return string(c) }
 
-// String is the number in decimal.
+// String returns the number in decimal.
 func (c NumberCell) String() string { return strconv.FormatInt(int64(c), 10) }
 
-// String is the share with its percent sign.
+// String returns the number with a percent sign.
 func (c PercentCell) String() string { return strconv.FormatInt(int64(c), 10) + "%" }
 
-// String is the form of time.Duration without zero units at its end.
+// String formats the duration with FormatDuration.
 func (c DurationCell) String() string { return FormatDuration(time.Duration(c)) }
 
-// String is RFC 3339 in UTC, or nothing for the zero time.
+// String formats the time as RFC 3339 in UTC, the zero time as the empty string.
 func (c TimeCell) String() string {
 	if time.Time(c).IsZero() {
 		return ""
@@ -92,7 +92,7 @@
 	return time.Time(c).UTC().Format(time.RFC3339Nano)
 }
 
-// String is yes or no.
+// String returns yes or no.
 func (c FlagCell) String() string {
 	if c {
 		return "yes"
@@ -100,10 +100,10 @@
 	return "no"
 }
 
-// String is the names with commas between them.
+// String joins the names with commas.
 func (c ListCell) String() string { return strings.Join(c, ", ") }
 
-// FormatDuration writes d as operators do: 20s, 10m, 1h30m.
+// FormatDuration formats d like time.Duration, without trailing zero units: 20s, 10m, 1h30m.
 func FormatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -115,32 +115,33 @@
 	return text
 }
 
-// ValueError reports text that is no value of the type asked for.
+// ValueError reports text that can't be parsed as a value of a column type.
 type ValueError struct {
 	Text    string
 	Allowed string
 }
 
-// Error names the text and what is allowed.
+// Error returns the text and the allowed form.
 func (e *ValueError) Error() string { return fmt.Sprintf("%q is not %s", e.Text, e.Allowed) }
 
-// ParseCell reads a cell of the type from its String form; a list is read from one of its names.
+// ParseCell parses a cell of type t from its String form; a list from a single
+// name. Its error is a *ValueError.
 func ParseCell(t ColumnType, text string) (Cell, error) {
 	switch t {
 	case TypeText:
 		return TextCell(text), nil
 	case TypeNumber:
 		n, err := strconv.ParseInt(text, 10, 64)
-		return checked(NumberCell(n), err, text, "a whole number")
+		return cellOrError(NumberCell(n), err, text, "a whole number")
 	case TypePercent:
 		n, err := strconv.ParseInt(strings.TrimSuffix(text, "%"), 10, 64)
-		return checked(PercentCell(n), err, text, "a percentage such as 10%")
+		return cellOrError(PercentCell(n), err, text, "a percentage such as 10%")
 	case TypeDuration:
 		d, err := time.ParseDuration(text)
-		return checked(DurationCell(d), err, text, "a duration such as 150ms or 20s")
+		return cellOrError(DurationCell(d), err, text, "a duration such as 150ms or 20s")
 	case TypeTime:
 		at, err := time.Parse(time.RFC3339, text)
-		return checked(TimeCell(at.UTC()), err, text, "a time such as 2026-12-24T16:00:00Z")
+		return cellOrError(TimeCell(at.UTC()), err, text, "a time such as 2026-12-24T16:00:00Z")
 	case TypeFlag:
 		return parseFlag(text)
 	case TypeList:
@@ -149,7 +150,7 @@
 	return nil, &ValueError{Text: text, Allowed: "of a known type"}
 }
 
-func checked(cell Cell, err error, text, allowed string) (Cell, error) {
+func cellOrError(cell Cell, err error, text, allowed string) (Cell, error) {
 	if err != nil {
 		return nil, &ValueError{Text: text, Allowed: allowed}
 	}
@@ -166,7 +167,7 @@
 	return nil, &ValueError{Text: text, Allowed: "yes or no"}
 }
 
-// Compare orders two cells of one type; cells of different types are ordered by their type.
+// Compare orders two cells of the same type by value, and others by their type name.
 func Compare(a, b Cell) int {
 	switch x := a.(type) {
 	case NumberCell:
--- a/lib/bfquery/bfresult/result.go
+++ b/lib/bfquery/bfresult/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Result is the sealed set of answers: Table, Message, Progress, Outcome and Failure.
+// Result is the sealed set of command results: Table, Message, Progress, Outcome and Failure.
 type Result interface{ result() }
 
 // Column is one typed column of a table.
@@ -16,48 +16,48 @@
 
 // Table is rows of typed cells.
 type Table struct {
-	// Name says what the rows are; scripts choose by it.
+	// Name identifies the kind of rows to scripts.
 	Name    string
 	Columns []Column
 	Rows    [][]Cell
 }
 
-// Message is text for the operator.
+// Message is informational text for the operator.
 type Message struct {
 	Text string `json:"text"`
 }
 
-// Progress is how far a version has come; a watch answers with a stream of them.
+// Progress is the rollout state of a version; a watch sends a stream of them.
 type Progress struct {
 	Version uint64
 	Elapsed time.Duration
 	// Held counts the nodes that hold the version or a later one.
 	Held  int
 	Nodes int
-	// Unreachable counts the nodes that nobody could ask.
+	// Unreachable counts the nodes that did not respond.
 	Unreachable int
-	// Oldest is the oldest version that a node in reach holds.
+	// Oldest is the oldest version that a reachable node holds.
 	Oldest uint64
 }
 
-// Status says how a command ended.
+// Status is the final status of a command.
 type Status string
 
-// The ways a command ends.
+// The statuses of a command.
 const (
-	// StatusDone: the command did what it says.
+	// StatusDone: the command succeeded.
 	StatusDone Status = "done"
-	// StatusRefused: the command was wrong and nothing was changed.
+	// StatusRefused: the command was invalid and nothing was changed.
 	StatusRefused Status = "refused"
 	// StatusNotAccepted: this attempt changed nothing; the same command may succeed later.
 	StatusNotAccepted Status = "not-accepted"
-	// StatusConflict: another change came first and nothing was changed.
+	// StatusConflict: another change was committed first and nothing was changed.
 	StatusConflict Status = "conflict"
-	// StatusUnknown: nobody could learn whether the command took effect.
+	// StatusUnknown: it is unknown whether the command took effect.
 	StatusUnknown Status = "unknown"
 )
 
-// The exit codes of a client; they are part of its interface.
+// The exit codes of the command-line client, which are part of its interface.
 const (
 	ExitDone        = 0
 	ExitUsage       = 1
@@ -67,7 +67,7 @@
 	ExitUnreachable = 5
 )
 
-// ExitCode is the client's exit code for the status.
+// ExitCode returns the client's exit code for the status.
 func (s Status) ExitCode() int {
 	switch s {
 	case StatusDone:
@@ -78,28 +78,28 @@
 		return ExitConflict
 	case StatusUnknown:
 	}
-	// A status of a later release must never read as a success.
+	// An unrecognized status, of a later release, must not be reported as a success.
 	return ExitUnknown
 }
 
-// Outcome is how a command that changes something ended.
+// Outcome is the result of a command that changes something.
 type Outcome struct {
 	Status Status
-	// Summary says it in a sentence.
+	// Summary describes the outcome in one sentence.
 	Summary string
 	// Version is the version committed, or that of the other change in a conflict.
 	Version uint64
-	// ChangeID is the ID to ask for, or that of the other change in a conflict.
+	// ChangeID is the ID to retry with, or that of the other change in a conflict.
 	ChangeID string
-	// Object is what two changes are in conflict about.
+	// Object is the object in conflict.
 	Object string
-	// Author is who confirmed the other change.
+	// Author is the author of the other change in a conflict.
 	Author string
-	// RetryAfter is when a command that was not accepted may be tried again.
+	// RetryAfter is the delay after which a command that was not accepted may be retried.
 	RetryAfter time.Duration
 }
 
-// FailureKind sorts failures for scripts.
+// FailureKind classifies failures for scripts.
 type FailureKind string
 
 // The kinds of failures.
@@ -110,7 +110,7 @@
 	FailureInternal    FailureKind = "internal"
 )
 
-// Failure reports a command that was not carried out.
+// Failure reports a command that was not executed.
 type Failure struct {
 	Kind    FailureKind `json:"kind"`
 	Message string      `json:"message"`
@@ -124,7 +124,7 @@
 	Excerpt string `json:"excerpt,omitempty"`
 }
 
-// Status is how a command with this failure ended.
+// Status returns the status of a command with this failure.
 func (f Failure) Status() Status {
 	switch f.Kind {
 	case FailureSyntax, FailureInvalid:
@@ -140,19 +140,20 @@
 func (Outcome) result()  {}
 func (Failure) result()  {}
 
-// RowError reports a row that does not fit its table, a fault of the program that made it.
+// RowError reports a row that does not match its table's columns, which indicates
+// a bug in the sender.
 type RowError struct {
 	Table  string
 	Row    int
 	Reason string
 }
 
-// Error names the table and the row.
+// Error returns the table, the row and the reason.
 func (e *RowError) Error() string {
 	return fmt.Sprintf("table %s, row %d: %s", e.Table, e.Row, e.Reason)
 }
 
-// Check holds each row to the columns.
+// Check verifies that each row matches the columns. Its error is a *RowError.
 func (t Table) Check() error {
 	for i, row := range t.Rows {
 		if len(row) != len(t.Columns) {
--- a/lib/bfquery/bfresult/wire.go
+++ b/lib/bfquery/bfresult/wire.go
@@ -11,14 +11,14 @@
 	// Commands is the text of one or more commands.
 	Commands string `json:"commands"`
 	// ChangeIDs holds one ID for each stage, undo and confirm in the text, in
-	// its order. The client mints them before it sends, so that the same
-	// request sent again through another node finds its own outcome.
+	// order. The client generates them before the first attempt, so that a retry
+	// through another node finds the outcome of the earlier attempt.
 	ChangeIDs []string `json:"changeIds,omitempty"`
-	// Author is a note; the node takes the author from the token's name.
+	// Author is informational; the node takes the author from the token.
 	Author string `json:"author,omitempty"`
 }
 
-// ResultMessage is one line of the answer: exactly one field is set.
+// ResultMessage is one line of the response; exactly one field is set.
 type ResultMessage struct {
 	Table    *TableMessage    `json:"table,omitempty"`
 	Message  *Message         `json:"message,omitempty"`
@@ -28,23 +28,23 @@
 	End      *EndMessage      `json:"end,omitempty"`
 }
 
-// EndMessage is the last line of a whole answer.
+// EndMessage is the last line of a complete response.
 //
-// A node that dies in the middle of an answer can leave a stream of whole lines
-// that reads like a complete one; without this line the client would show half
-// an answer, or take a confirm for done.
+// A node that crashes while it responds can leave a stream that ends at a line
+// break. Without this line the client could not detect the truncation and would
+// report a partial response, or an unfinished confirm, as complete.
 type EndMessage struct {
 	Status Status `json:"status"`
 }
 
-// TableMessage is a Table; its cells are JSON values by the type of their column.
+// TableMessage encodes a Table; the type of the column determines the JSON type of its cells.
 type TableMessage struct {
 	Name    string              `json:"name"`
 	Columns []Column            `json:"columns"`
 	Rows    [][]json.RawMessage `json:"rows"`
 }
 
-// ProgressMessage is a Progress.
+// ProgressMessage encodes a Progress.
 type ProgressMessage struct {
 	Version     uint64 `json:"version"`
 	Elapsed     string `json:"elapsed"`
@@ -54,7 +54,7 @@
 	Oldest      uint64 `json:"oldest"`
 }
 
-// OutcomeMessage is an Outcome.
+// OutcomeMessage encodes an Outcome.
 type OutcomeMessage struct {
 	Status     Status `json:"status"`
 	Summary    string `json:"summary"`
@@ -65,13 +65,14 @@
 	RetryAfter string `json:"retryAfter,omitempty"`
 }
 
-// MessageError reports a message that is not in the form of this protocol.
+// MessageError reports a malformed message.
 type MessageError struct{ Reason string }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *MessageError) Error() string { return "unreadable answer: " + e.Reason }
 
-// Encode makes the message for a result.
+// Encode converts a result to a message. Its error is a *RowError for a table whose
+// rows do not match its columns.
 func Encode(result Result) (ResultMessage, error) {
 	switch r := result.(type) {
 	case Table:
@@ -126,7 +127,7 @@
 	return message, nil
 }
 
-// EncodeCell writes a cell as the JSON value of its type.
+// EncodeCell encodes a cell as the JSON value of its type.
 func EncodeCell(cell Cell) (json.RawMessage, error) {
 	switch c := cell.(type) {
 	case NumberCell, PercentCell, FlagCell:
@@ -142,7 +143,8 @@
 	return json.Marshal(cell.String())
 }
 
-// Result is the result that the message carries; an end message carries none.
+// Result decodes the result in the message. It returns an error for an end
+// message, which has none.
 func (m ResultMessage) Result() (Result, error) {
 	var results []Result
 	if m.Table != nil {
--- a/lib/bfquery/bfresult/wire_test.go
+++ b/lib/bfquery/bfresult/wire_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func anyCell(t *rapid.T, kind ColumnType) Cell {
+func drawCell(t *rapid.T, kind ColumnType) Cell {
 	n := rapid.Int64().Draw(t, "n")
 	switch kind {
 	case TypeNumber:
@@ -45,7 +45,7 @@
 	return TextCell(rapid.String().Draw(t, "text"))
 }
 
-func anyResult(t *rapid.T) Result {
+func drawResult(t *rapid.T) Result {
 	texts := rapid.String()
 	duration := time.Duration(rapid.Int64Range(1, 1<<50).Draw(t, "duration"))
 	count := rapid.IntRange(0, 30_000).Draw(t, "count")
@@ -57,7 +57,7 @@
 	for range rapid.IntRange(0, 3).Draw(t, "rows") {
 		var row []Cell
 		for _, kind := range types {
-			row = append(row, anyCell(t, kind))
+			row = append(row, drawCell(t, kind))
 		}
 		table.Rows = append(table.Rows, row)
 	}
@@ -68,12 +68,11 @@
 	}).Draw(t, "result")
 }
 
-// What a node found is what its operator reads: every result comes through the
-// wire as it was.
-func TestResultsSurviveTheWire(t *testing.T) {
+// Every result must be equal after encoding and decoding.
+func TestResultRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		result := anyResult(t)
+		result := drawResult(t)
 		message, err := Encode(result)
 		is.NoErr(err)
 		data, err := json.Marshal(message)
@@ -86,9 +85,8 @@
 	})
 }
 
-// A broken or newer node answers with lines that hold nothing, two results, or
-// cells that fit no column. None may be shown as a result, or panic the client.
-func TestWrongMessagesAreErrors(t *testing.T) {
+// Malformed messages, from a faulty or newer node, must be rejected without a panic.
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{
 		`{}`, `{"message":{"text":"a"},"outcome":{"status":"done"}}`, `{"message":{"text":"a"},"end":{"status":"done"}}`,
 		`{"outcome":{"status":"done","retryAfter":"soon"}}`, `{"progress":{"elapsed":"x"}}`,
@@ -107,18 +105,18 @@
 	}
 }
 
-// A row that does not fit its table is a fault of the program that made it; it
-// is reported, where an index out of range would end the node.
-func TestRowsAreHeldToTheColumns(t *testing.T) {
+// A row that does not match its columns must be reported as an error; an index out
+// of range would crash the node.
+func TestRowsMustMatchColumns(t *testing.T) {
 	is := is.New(t)
 	for _, row := range [][]Cell{{}, {nil}, {TextCell("x")}, {NumberCell(1), NumberCell(2)}} {
 		_, err := Encode(Table{Columns: []Column{{"a", TypeNumber}}, Rows: [][]Cell{row}})
-		var wrong *RowError
-		is.True(errors.As(err, &wrong))
+		var rowError *RowError
+		is.True(errors.As(err, &rowError))
 	}
 }
 
-// A status that this client does not know yet must not read as a success.
+// An unrecognized status must not map to the exit code of success.
 func TestExitCodes(t *testing.T) {
 	is := is.New(t)
 	for status, code := range map[Status]int{
