--- a/lib/bfquery/bfsyntax/command.go
+++ b/lib/bfquery/bfsyntax/command.go
@@ -10,7 +10,7 @@
 // Command is the sealed set of commands: Stage, Show, Diff, Confirm, Discard,
 // InForce, Explain, History, Undo, Drain, Release, Watch and Help.
 type Command interface {
-	// String is the canonical text: parsing it gives the same command again.
+	// String returns the canonical text, which parses to the same command.
 	String() string
 	command()
 }
@@ -21,21 +21,21 @@
 	Edits []Edit
 }
 
-// Edit is the sealed set of what a staged change does to one object: Create, Change and Remove.
+// Edit is the sealed set of edits of one object in a staged change: Create, Change and Remove.
 type Edit interface {
-	// Ref is the object edited.
+	// Ref returns the object edited.
 	Ref() bfconfig.Ref
-	// String is the canonical text.
+	// String returns the canonical text.
 	String() string
 }
 
-// Create makes an object that must not exist.
+// Create creates an object that must not exist.
 type Create struct {
 	Name   string
 	Fields Fields
 }
 
-// Change alters the named fields of an object that must exist.
+// Change sets the given fields of an object that must exist.
 type Change struct {
 	Name   string
 	Fields Fields
@@ -44,13 +44,13 @@
 // Remove deletes an object that must exist.
 type Remove struct{ Object bfconfig.Ref }
 
-// Ref is the object created.
+// Ref returns the object created.
 func (e Create) Ref() bfconfig.Ref { return bfconfig.Ref{Kind: e.Fields.Kind(), Name: e.Name} }
 
-// Ref is the object changed.
+// Ref returns the object changed.
 func (e Change) Ref() bfconfig.Ref { return bfconfig.Ref{Kind: e.Fields.Kind(), Name: e.Name} }
 
-// Ref is the object removed.
+// Ref returns the object removed.
 func (e Remove) Ref() bfconfig.Ref { return e.Object }
 
 // Show lists the rows of a table.
@@ -58,13 +58,13 @@
 	Table TableName
 	// Where is nil for all rows.
 	Where Condition
-	// Order is nil for the table's own order.
+	// Order is nil for the table's default order.
 	Order *Order
 	// Limit is 0 for no limit.
 	Limit int
 }
 
-// Order sorts by a column.
+// Order is a sort order by one column.
 type Order struct {
 	Column     string
 	Descending bool
@@ -73,26 +73,26 @@
 // Condition is the sealed set of row filters: And, Or, Not and Comparison.
 type Condition interface{ condition() }
 
-// And holds if all its terms do; there are two or more.
+// And is true if all its terms are; there are two or more.
 type And struct{ Terms []Condition }
 
-// Or holds if one of its terms does; there are two or more.
+// Or is true if at least one of its terms is; there are two or more.
 type Or struct{ Terms []Condition }
 
-// Not holds if its term does not.
+// Not negates its term.
 type Not struct{ Term Condition }
 
-// Comparison holds if the column's cell stands in the relation to the value.
+// Comparison compares the cell of a column with a value.
 type Comparison struct {
 	Column   string
 	Operator Operator
 	Value    bfresult.Cell
 }
 
-// Operator is a relation between two cells.
+// Operator is a comparison operator.
 type Operator string
 
-// The operators.
+// The comparison operators. Matches takes an RE2 regular expression.
 const (
 	Equal          Operator = "="
 	NotEqual       Operator = "!="
@@ -103,25 +103,25 @@
 	Matches        Operator = "~"
 )
 
-// Diff shows what a staged change would alter.
+// Diff lists the fields that a staged change would alter.
 type Diff struct{ Name string }
 
 // Confirm commits a staged change.
 type Confirm struct {
 	Name string
-	// ChangeID is empty if the client mints one.
+	// ChangeID is empty if the client generates one.
 	ChangeID string
 }
 
 // Discard drops a staged change.
 type Discard struct{ Name string }
 
-// InForce asks which versions are held where.
+// InForce reports the versions in force on the nodes in a scope.
 type InForce struct{ Scope Scope }
 
 // Scope is the sealed set of parts of the fleet: Everywhere, AtNode, InDomain and InRegion.
 type Scope interface {
-	// String is the scope's text in a command.
+	// String returns the scope as written in a command.
 	String() string
 	scope()
 }
@@ -138,47 +138,47 @@
 // InRegion is one region.
 type InRegion struct{ Region string }
 
-// Explain asks how a request would be treated, and why.
+// Explain reports how a request would be routed, and why.
 type Explain struct {
 	Method string
 	Path   string
 	Tenant string
-	// At is zero for now.
+	// At is the time of the request; zero means now.
 	At time.Time
 }
 
-// History lists the versions that put or removed an object.
+// History lists the versions that created, changed or removed an object.
 type History struct {
 	Object bfconfig.Ref
-	// Limit is 0 for the usual number.
+	// Limit is 0 for the default.
 	Limit int
 }
 
-// Undo stages what takes a version's change back.
+// Undo stages the inverse of a version's change.
 type Undo struct {
 	Version bfconfig.Version
-	// Name of the staged change; empty for undo-VERSION.
+	// Name is the name of the staged change; empty means undo-VERSION.
 	Name string
 }
 
-// Drain makes a target leave.
+// Drain stops new work on a target; work in flight finishes.
 type Drain struct{ Instance string }
 
-// Release has a request run again under which targets ended.
+// Release releases a request from quarantine.
 type Release struct{ Content string }
 
-// UsualWatch is how long a watch lasts that names no time.
+// UsualWatch is the duration of a watch without a time limit of its own.
 const UsualWatch = 30 * time.Second
 
-// Watch follows a version until every node holds it.
+// Watch polls until a version is in force on every node.
 type Watch struct {
-	// Version is 0 for the latest.
+	// Version is the version to wait for; 0 means the latest.
 	Version bfconfig.Version
-	// For is 0 for UsualWatch.
+	// For is the time limit; 0 means UsualWatch.
 	For time.Duration
 }
 
-// Help shows the commands, or one of them.
+// Help shows the help on one command, or on all if Topic is empty.
 type Help struct{ Topic string }
 
 func (Stage) command()   {}
@@ -205,7 +205,8 @@
 func (InDomain) scope()   {}
 func (InRegion) scope()   {}
 
-// NeedsChangeID reports whether the client mints an ID for the command, so that sending it again is safe.
+// NeedsChangeID reports whether the client must send a change ID with the command,
+// which makes retries idempotent.
 func NeedsChangeID(command Command) bool {
 	switch command.(type) {
 	case Stage, Undo, Confirm:
@@ -215,7 +216,7 @@
 	return false
 }
 
-// Writes reports whether the command changes anything.
+// Writes reports whether the command modifies state.
 func Writes(command Command) bool {
 	switch command.(type) {
 	case Stage, Undo, Confirm, Discard, Drain, Release:
--- a/lib/bfquery/bfsyntax/fields.go
+++ b/lib/bfquery/bfsyntax/fields.go
@@ -12,15 +12,15 @@
 )
 
 // Fields is the sealed set of an edit's fields by kind: ServiceFields,
-// RouteFields, PolicyFields and EventFields. A nil field was not named.
+// RouteFields, PolicyFields and EventFields. A nil field is not set.
 type Fields interface {
-	// Kind is the kind of object.
+	// Kind returns the kind of object.
 	Kind() bfconfig.Kind
-	// Settings lists the fields that were named, in the order of the page.
+	// Settings lists the fields that are set, in the order of docs/LANGUAGE.md.
 	Settings() []Setting
 }
 
-// Setting is one field with its value as commands write it.
+// Setting is one field with its value formatted as in a command.
 type Setting struct {
 	Field string
 	Value string
@@ -63,68 +63,68 @@
 	Overrides []bfconfig.Override
 }
 
-// Kind is KindService.
+// Kind returns KindService.
 func (ServiceFields) Kind() bfconfig.Kind { return bfconfig.KindService }
 
-// Kind is KindRoute.
+// Kind returns KindRoute.
 func (RouteFields) Kind() bfconfig.Kind { return bfconfig.KindRoute }
 
-// Kind is KindPolicy.
+// Kind returns KindPolicy.
 func (PolicyFields) Kind() bfconfig.Kind { return bfconfig.KindPolicy }
 
-// Kind is KindEvent.
+// Kind returns KindEvent.
 func (EventFields) Kind() bfconfig.Kind { return bfconfig.KindEvent }
 
-// Apply sets the fields named on a service.
+// Apply returns the service with the fields set.
 func (f ServiceFields) Apply(s bfconfig.ServiceSpec) bfconfig.ServiceSpec {
-	set(&s.Slots, f.Slots)
-	set(&s.ColdStart, f.ColdStart)
+	setIfPresent(&s.Slots, f.Slots)
+	setIfPresent(&s.ColdStart, f.ColdStart)
 	return s
 }
 
-// Apply sets the fields named on a route.
+// Apply returns the route with the fields set.
 func (f RouteFields) Apply(s bfconfig.RouteSpec) bfconfig.RouteSpec {
-	set(&s.Prefix, f.Prefix)
-	set(&s.Service, f.Service)
-	set(&s.Policy, f.Policy)
+	setIfPresent(&s.Prefix, f.Prefix)
+	setIfPresent(&s.Service, f.Service)
+	setIfPresent(&s.Policy, f.Policy)
 	if f.Methods != nil {
 		s.Methods = slices.Clone(f.Methods)
 	}
 	return s
 }
 
-// Apply sets the fields named on a policy.
+// Apply returns the policy with the fields set.
 func (f PolicyFields) Apply(s bfconfig.PolicySpec) bfconfig.PolicySpec {
-	set(&s.Class, f.Class)
-	set(&s.Idempotent, f.Idempotent)
-	set(&s.Deadline, f.Deadline)
-	set(&s.Priority, f.Priority)
-	set(&s.Queue, f.Queue)
-	set(&s.Concurrency, f.Concurrency)
-	set(&s.RetryPercent, f.Retry)
-	set(&s.TenantLimit, f.TenantLimit)
-	set(&s.DurableKeys, f.DurableKeys)
+	setIfPresent(&s.Class, f.Class)
+	setIfPresent(&s.Idempotent, f.Idempotent)
+	setIfPresent(&s.Deadline, f.Deadline)
+	setIfPresent(&s.Priority, f.Priority)
+	setIfPresent(&s.Queue, f.Queue)
+	setIfPresent(&s.Concurrency, f.Concurrency)
+	setIfPresent(&s.RetryPercent, f.Retry)
+	setIfPresent(&s.TenantLimit, f.TenantLimit)
+	setIfPresent(&s.DurableKeys, f.DurableKeys)
 	return s
 }
 
-// Apply sets the fields named on an event.
+// Apply returns the event with the fields set.
 func (f EventFields) Apply(s bfconfig.EventSpec) bfconfig.EventSpec {
-	set(&s.Start, f.Start)
-	set(&s.End, f.End)
-	set(&s.WarmUp, f.WarmUp)
+	setIfPresent(&s.Start, f.Start)
+	setIfPresent(&s.End, f.End)
+	setIfPresent(&s.WarmUp, f.WarmUp)
 	if f.Overrides != nil {
 		s.Overrides = slices.Clone(f.Overrides)
 	}
 	return s
 }
 
-func set[T any](field, value *T) {
+func setIfPresent[T any](field, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// FieldsOf names every field of an object, so that Create with them makes it again.
+// FieldsOf returns all fields of an object; a Create with them produces an equal object.
 func FieldsOf(object bfconfig.Object) (Fields, error) {
 	switch o := object.(type) {
 	case bfconfig.ServiceSpec:
@@ -145,7 +145,7 @@
 	return nil, fmt.Errorf("object of unknown type %T", object)
 }
 
-// settingList collects the fields that were named.
+// settingList collects the fields that are set.
 type settingList []Setting
 
 func (l *settingList) add(field, value string) { *l = append(*l, Setting{Field: field, Value: value}) }
@@ -180,7 +180,7 @@
 	}
 }
 
-// Settings lists the fields that were named.
+// Settings lists the fields that are set.
 func (f ServiceFields) Settings() []Setting {
 	var list settingList
 	list.number("slots", f.Slots)
@@ -188,19 +188,19 @@
 	return list
 }
 
-// Settings lists the fields that were named.
+// Settings lists the fields that are set.
 func (f RouteFields) Settings() []Setting {
 	var list settingList
 	list.word("prefix", f.Prefix)
 	if f.Methods != nil {
-		list.add("methods", listOr(f.Methods, "any"))
+		list.add("methods", joinOr(f.Methods, "any"))
 	}
 	list.word("service", f.Service)
 	list.word("policy", f.Policy)
 	return list
 }
 
-// Settings lists the fields that were named.
+// Settings lists the fields that are set.
 func (f PolicyFields) Settings() []Setting {
 	var list settingList
 	list.word("class", f.Class)
@@ -217,19 +217,19 @@
 	return list
 }
 
-// Settings lists the fields that were named.
+// Settings lists the fields that are set.
 func (f EventFields) Settings() []Setting {
 	var list settingList
 	list.time("start", f.Start)
 	list.time("end", f.End)
 	list.duration("warmup", f.WarmUp)
 	if f.Overrides != nil {
-		list.add("override", listOr(OverrideTexts(f.Overrides), "none"))
+		list.add("override", joinOr(OverrideTexts(f.Overrides), "none"))
 	}
 	return list
 }
 
-// OverrideTexts writes overrides as commands do, "ROUTE by POLICY".
+// OverrideTexts formats overrides as in a command, "ROUTE by POLICY".
 func OverrideTexts(overrides []bfconfig.Override) []string {
 	texts := make([]string, 0, len(overrides))
 	for _, o := range overrides {
@@ -238,7 +238,7 @@
 	return texts
 }
 
-func listOr(texts []string, none string) string {
+func joinOr(texts []string, none string) string {
 	if len(texts) == 0 {
 		return none
 	}
--- a/lib/bfquery/bfsyntax/filter.go
+++ b/lib/bfquery/bfsyntax/filter.go
@@ -8,21 +8,22 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// Filter reports whether a row of the show command's table is asked for.
+// Filter reports whether a row matches the condition of a show command.
 type Filter func(row []bfresult.Cell) bool
 
-// ConditionError reports a condition that does not fit its table; the parser lets none through.
+// ConditionError reports a condition that is invalid for its table. The parser
+// rejects such conditions.
 type ConditionError struct {
 	Table  TableName
 	Column string
 }
 
-// Error names the table and the column.
+// Error returns the table and the column.
 func (e *ConditionError) Error() string {
 	return fmt.Sprintf("condition on %q does not fit table %s", e.Column, e.Table)
 }
 
-// Filter makes the filter of the command's condition.
+// Filter compiles the command's condition. Its error is a *ConditionError.
 func (c Show) Filter() (Filter, error) { return filterOf(c.Table, c.Where) }
 
 func filterOf(table TableName, condition Condition) (Filter, error) {
@@ -31,10 +32,10 @@
 		return func([]bfresult.Cell) bool { return true }, nil
 	case And:
 		terms, err := filtersOf(table, c.Terms)
-		return func(row []bfresult.Cell) bool { return !slices.ContainsFunc(terms, fails(row)) }, err
+		return func(row []bfresult.Cell) bool { return !slices.ContainsFunc(terms, rejects(row)) }, err
 	case Or:
 		terms, err := filtersOf(table, c.Terms)
-		return func(row []bfresult.Cell) bool { return slices.ContainsFunc(terms, holds(row)) }, err
+		return func(row []bfresult.Cell) bool { return slices.ContainsFunc(terms, accepts(row)) }, err
 	case Not:
 		term, err := filterOf(table, c.Term)
 		return func(row []bfresult.Cell) bool { return !term(row) }, err
@@ -44,11 +45,11 @@
 	return nil, &ConditionError{Table: table}
 }
 
-func holds(row []bfresult.Cell) func(Filter) bool {
+func accepts(row []bfresult.Cell) func(Filter) bool {
 	return func(f Filter) bool { return f(row) }
 }
 
-func fails(row []bfresult.Cell) func(Filter) bool {
+func rejects(row []bfresult.Cell) func(Filter) bool {
 	return func(f Filter) bool { return !f(row) }
 }
 
@@ -76,7 +77,7 @@
 		}
 		return func(row []bfresult.Cell) bool { return matches(pattern, row[index]) }, nil
 	}
-	return func(row []bfresult.Cell) bool { return compares(row[index], c.Operator, c.Value) }, nil
+	return func(row []bfresult.Cell) bool { return satisfies(row[index], c.Operator, c.Value) }, nil
 }
 
 func matches(pattern *regexp.Regexp, cell bfresult.Cell) bool {
@@ -86,7 +87,7 @@
 	return pattern.MatchString(cell.String())
 }
 
-func compares(cell bfresult.Cell, operator Operator, value bfresult.Cell) bool {
+func satisfies(cell bfresult.Cell, operator Operator, value bfresult.Cell) bool {
 	if list, isList := cell.(bfresult.ListCell); isList {
 		return slices.Contains(list, value.String()) == (operator == Equal)
 	}
@@ -109,7 +110,7 @@
 	return false
 }
 
-// Compare is the order of two rows that the command asks for; without one all are equal.
+// Compare orders two rows by the command's Order; without one all rows are equal.
 func (c Show) Compare(a, b []bfresult.Cell) int {
 	if c.Order == nil {
 		return 0
@@ -125,8 +126,8 @@
 	return order
 }
 
-// OperatorsOf lists the relations that mean something for a type. A list is
-// equal to a name that it holds, and matches if one of its names does.
+// OperatorsOf lists the operators valid for a column type. A list equals each name
+// that it contains, and matches if one of its names does.
 func OperatorsOf(t bfresult.ColumnType) []Operator {
 	switch t {
 	case bfresult.TypeText:
--- a/lib/bfquery/bfsyntax/print.go
+++ b/lib/bfquery/bfsyntax/print.go
@@ -10,13 +10,13 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// plainWord is what needs no quotes; it is narrower than what the lexer takes.
+// plainWord matches text that needs no quotes; the lexer accepts more.
 var plainWord = regexp.MustCompile(`^[A-Za-z0-9_./:+%*@-]+$`)
 
-// quote writes text so that it is one value to the parser.
+// quote formats text so that it parses as a single value.
 //
-// Words with a meaning of their own after a value are quoted too: as the name
-// of a policy, "none" or "any" would else read as an empty list.
+// "none" and "any" are quoted too, since the parser reads them as an empty list
+// of overrides or methods.
 func quote(text string) string {
 	if plainWord.MatchString(text) && text != "none" && text != "any" {
 		return text
@@ -26,7 +26,7 @@
 
 func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339Nano) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Stage) String() string {
 	edits := make([]string, 0, len(c.Edits))
 	for _, edit := range c.Edits {
@@ -38,13 +38,13 @@
 	return "stage " + quote(c.Name) + " { " + strings.Join(edits, "; ") + " }"
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (e Create) String() string { return objectText("create", e.Name, e.Fields) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (e Change) String() string { return objectText("change", e.Name, e.Fields) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (e Remove) String() string {
 	return fmt.Sprintf("remove %s %s", e.Object.Kind, quote(e.Object.Name))
 }
@@ -57,7 +57,7 @@
 	return text
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Show) String() string {
 	text := "show " + string(c.Table)
 	if c.Where != nil {
@@ -69,10 +69,10 @@
 			text += " desc"
 		}
 	}
-	return text + optional("limit", c.Limit)
+	return text + optionalClause("limit", c.Limit)
 }
 
-func optional(keyword string, n int) string {
+func optionalClause(keyword string, n int) string {
 	if n == 0 {
 		return ""
 	}
@@ -101,8 +101,8 @@
 	return strings.Join(texts, operator)
 }
 
-// termText puts And and Or in parentheses wherever they are a part, so that no
-// reader has to know which of them binds more tightly.
+// termText puts nested And and Or conditions in parentheses, so that the text does
+// not depend on operator precedence.
 func termText(term Condition) string {
 	switch term.(type) {
 	case And, Or:
@@ -112,10 +112,10 @@
 	return conditionText(term)
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Diff) String() string { return "diff " + quote(c.Name) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Confirm) String() string {
 	if c.ChangeID == "" {
 		return "confirm " + quote(c.Name)
@@ -123,25 +123,25 @@
 	return "confirm " + quote(c.Name) + " id " + quote(c.ChangeID)
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Discard) String() string { return "discard " + quote(c.Name) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c InForce) String() string { return "in force " + c.Scope.String() }
 
-// String is the scope's text in a command.
+// String returns the scope as written in a command.
 func (Everywhere) String() string { return "everywhere" }
 
-// String is the scope's text in a command.
+// String returns the scope as written in a command.
 func (s AtNode) String() string { return "at node " + quote(s.Instance) }
 
-// String is the scope's text in a command.
+// String returns the scope as written in a command.
 func (s InDomain) String() string { return "in domain " + quote(s.Domain) }
 
-// String is the scope's text in a command.
+// String returns the scope as written in a command.
 func (s InRegion) String() string { return "in region " + quote(s.Region) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Explain) String() string {
 	text := "explain " + quote(c.Method) + " " + quote(c.Path)
 	if c.Tenant != "" {
@@ -153,13 +153,13 @@
 	return text
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c History) String() string {
 	text := fmt.Sprintf("history of %s %s", c.Object.Kind, quote(c.Object.Name))
-	return text + optional("limit", c.Limit)
+	return text + optionalClause("limit", c.Limit)
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Undo) String() string {
 	text := fmt.Sprintf("undo %d", c.Version)
 	if c.Name != "" {
@@ -168,13 +168,13 @@
 	return text
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Drain) String() string { return "drain " + quote(c.Instance) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Release) String() string { return "release " + quote(c.Content) }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Watch) String() string {
 	text := "watch version latest"
 	if c.Version != 0 {
@@ -186,7 +186,7 @@
 	return text
 }
 
-// String is the canonical text.
+// String returns the canonical text.
 func (c Help) String() string {
 	if c.Topic == "" {
 		return "help"
--- a/lib/bfquery/bfsyntax/table.go
+++ b/lib/bfquery/bfsyntax/table.go
@@ -4,7 +4,7 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// TableName names a table that show lists.
+// TableName is the name of a table that show lists.
 type TableName string
 
 // The tables.
@@ -18,11 +18,11 @@
 	TableVersions TableName = "versions"
 	TableNodes    TableName = "nodes"
 	TableStaged   TableName = "staged"
-	// TableQuarantine has the requests under which targets ended.
+	// TableQuarantine lists the requests during which targets crashed.
 	TableQuarantine TableName = "quarantine"
 )
 
-// TableNames lists the tables in the order of the page.
+// TableNames lists the tables in the order of docs/LANGUAGE.md.
 func TableNames() []TableName {
 	return []TableName{
 		TableEvents, TableServices, TableRoutes, TablePolicies,
@@ -30,8 +30,8 @@
 	}
 }
 
-// columns declares each table once: conditions are checked by it before a
-// command runs, and rows are held to it when they are made.
+// columns defines the schema of each table. Conditions are validated against it
+// before a command runs, and rows when a table is built.
 var columns = map[TableName][]bfresult.Column{
 	TableEvents: {
 		{Name: "name", Type: bfresult.TypeText},
@@ -123,7 +123,7 @@
 // Columns lists the columns of a table.
 func Columns(table TableName) []bfresult.Column { return columns[table] }
 
-// ColumnOf finds a column of the table.
+// ColumnOf returns a column of the table with its index, and whether it exists.
 func ColumnOf(table TableName, name string) (bfresult.Column, int, bool) {
 	for i, column := range columns[table] {
 		if column.Name == name {
