--- a/lib/bfinspect/backend.go
+++ b/lib/bfinspect/backend.go
@@ -14,15 +14,15 @@
 	"bilberryflow.org/lib/bftraffic"
 )
 
-// Refusal is a version that the node did not take.
+// Refusal is a configuration version that the node rejected.
 type Refusal struct {
-	// Version is 0 where the version could not be read.
+	// Version is 0 if the version number could not be read.
 	Version bftraffic.Version
 	Reason  string
 }
 
-// text tells the refusal to an operator.
-func (r *Refusal) text() string {
+// explanation describes the rejected version to an operator.
+func (r *Refusal) explanation() string {
 	name := "the newest version"
 	if r.Version > 0 {
 		name = fmt.Sprintf("version %d", r.Version)
@@ -30,43 +30,44 @@
 	return name + " is not in force, it was refused whole: " + r.Reason
 }
 
-// Parts is what a Backend works with.
+// Parts holds the dependencies of a Backend.
 type Parts struct {
-	// Self is the node's own name among the members.
+	// Self is the inbound address by which the node is listed as a member.
 	Self    string
 	Region  string
 	Traffic *bftraffic.Holder
 	Fleet   *bffleet.Fleet
-	// Ask asks the node at a peer address for the version in force there.
+	// Ask queries the node at a peer address for the version in force on it.
 	Ask func(ctx context.Context, peer string) (bftraffic.Version, error)
-	// Refused is the newest version if the node refused it, else nil.
+	// Refused returns the newest version if the node rejected it, else nil.
 	Refused func() *Refusal
-	// Quarantine holds the requests under which targets ended.
+	// Quarantine holds the requests during which targets crashed.
 	Quarantine *bfquarantine.Book
 	Timer      *bftimer.Service
 }
 
-// Backend implements bfquery.Backend without anything that changes something.
+// Backend is a read-only implementation of bfquery.Backend.
 type Backend struct{ parts Parts }
 
 var _ bfquery.Backend = (*Backend)(nil)
 
-// New makes the backend of a node.
+// New returns the backend of a node.
 func New(parts Parts) *Backend { return &Backend{parts} }
 
-// KeptElsewhereError reports a command for a configuration that the platform keeps.
-type KeptElsewhereError struct{}
+// ManagedByPlatformError reports a command that this node does not support, since the
+// platform manages the configuration.
+type ManagedByPlatformError struct{}
 
-// Error says where to go.
-func (e *KeptElsewhereError) Error() string {
+// Error lists the supported commands.
+func (e *ManagedByPlatformError) Error() string {
 	return "this deployment's configuration is kept by the platform: change and read it there; " +
 		"here are in force, watch, explain METHOD //HOST/PATH, show members, show targets, show nodes and show quarantine"
 }
 
-// WrongCommand marks the command as wrong here: sent again it is refused again.
-func (e *KeptElsewhereError) WrongCommand() {}
+// InvalidCommand marks the error as permanent: a retry can't succeed.
+func (e *ManagedByPlatformError) InvalidCommand() {}
 
-// Refuses reports why the node does not carry out the command, nil where it does.
+// Refuses returns an error if the node can't execute the command, else nil.
 func (b *Backend) Refuses(command bfsyntax.Command) error {
 	switch c := command.(type) {
 	case bfsyntax.Show:
@@ -74,7 +75,7 @@
 		case bfsyntax.TableMembers, bfsyntax.TableTargets, bfsyntax.TableNodes, bfsyntax.TableQuarantine:
 			return nil
 		}
-		return &KeptElsewhereError{}
+		return &ManagedByPlatformError{}
 	case bfsyntax.InForce, bfsyntax.Watch, bfsyntax.Help:
 		return nil
 	case bfsyntax.Explain:
@@ -83,21 +84,21 @@
 		}
 		return nil
 	}
-	return &KeptElsewhereError{}
+	return &ManagedByPlatformError{}
 }
 
-// Now is the time by the node's clock.
+// Now returns the time of the node's clock.
 func (b *Backend) Now() time.Time { return b.parts.Timer.Now() }
 
-// Wait returns after d, or earlier with the context's error.
+// Wait blocks for d, or returns the context's error if it ends earlier.
 func (b *Backend) Wait(ctx context.Context, d time.Duration) error {
 	return b.parts.Timer.Wait(ctx, d)
 }
 
-// State is empty: the platform's configuration has other objects.
+// State returns an empty state, since the platform's configuration has other kinds of objects.
 func (b *Backend) State() *bfconfig.State { return bfconfig.Empty() }
 
-// Members lists the members that the node knows.
+// Members lists the members in the node's view.
 func (b *Backend) Members(context.Context) ([]bfquery.Member, error) {
 	var list []bfquery.Member
 	for _, s := range b.parts.Fleet.Standings(b.Now()) {
@@ -109,23 +110,24 @@
 	return list, nil
 }
 
-// Targets lists the targets that the node knows.
+// Targets lists the targets in the node's view.
 func (b *Backend) Targets(context.Context) ([]bfquery.Target, error) {
 	var list []bfquery.Target
 	for _, s := range b.parts.Fleet.Standings(b.Now()) {
-		list = append(list, target(s))
+		list = append(list, targetOf(s))
 	}
 	return list, nil
 }
 
-func target(s bffleet.Standing) bfquery.Target {
+func targetOf(s bffleet.Standing) bfquery.Target {
 	return bfquery.Target{
 		Instance: s.Member.Name(), Service: s.Member.Service, Domain: s.Member.Domain, State: s.Word(),
 		Slots: s.Member.Slots, InUse: s.InFlight,
 	}
 }
 
-// Explain tells how a request would be treated; its path begins with the host.
+// Explain reports how a request would be routed. The request's path has the form
+// //HOST/PATH; otherwise the error is a *URLError.
 func (b *Backend) Explain(_ context.Context, request bfquery.ExplainRequest) (bfquery.Explanation, error) {
 	traffic := b.parts.Traffic.Current()
 	e := bfquery.Explanation{Version: bfconfig.Version(traffic.Version())}
@@ -134,7 +136,7 @@
 		return e, err
 	}
 	if refused := b.parts.Refused(); refused != nil {
-		e.Reasons = append(e.Reasons, refused.text())
+		e.Reasons = append(e.Reasons, refused.explanation())
 	}
 	route := traffic.Match(host, path)
 	if route == nil {
@@ -142,23 +144,23 @@
 		return e, nil
 	}
 	e.Route, e.Service, e.Policy = route.Name(), route.Services()[0].Service, route.Kind().String()
-	e.Reasons = append(e.Reasons, reasons(route)...)
+	e.Reasons = append(e.Reasons, routeReasons(route)...)
 	for _, s := range b.parts.Fleet.Standings(b.Now()) {
 		if route.GoesTo(s.Member.Service) {
-			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: target(s), Eligible: s.Takes(), Why: s.Why()})
+			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: targetOf(s), Eligible: s.Takes(), Why: s.Why()})
 		}
 	}
 	return e, nil
 }
 
-// reasons tells what the route means for a request.
-func reasons(route *bftraffic.Route) []string {
-	repeat := "runs at most once"
+// routeReasons describes how the route handles a request.
+func routeReasons(route *bftraffic.Route) []string {
+	retryRule := "runs at most once"
 	if route.Kind().Repeatable() {
-		repeat = "may be sent again"
+		retryRule = "may be sent again"
 	}
 	list := []string{fmt.Sprintf("it is %s and %s, to %d targets at most, within %v; objective %v, rank %d",
-		route.Kind(), repeat, route.MaxAttempts(), route.Timeout(), route.Objective(), route.Rank())}
+		route.Kind(), retryRule, route.MaxAttempts(), route.Timeout(), route.Objective(), route.Rank())}
 	if services := route.Services(); len(services) > 1 {
 		for _, d := range services {
 			list = append(list, fmt.Sprintf("service %s gets requests by weight %d", d.Service, d.Weight))
--- a/lib/bfinspect/census.go
+++ b/lib/bfinspect/census.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	// askTimeout is how long one node has to answer; it takes milliseconds.
-	askTimeout = 2 * time.Second
-	// askAtOnce is how many nodes are asked at once; each takes a connection.
-	askAtOnce = 64
-	// mostUnreachable bounds the nodes that are named.
-	mostUnreachable = 20
+	// queryTimeout is the time limit of a query to one node; a response takes milliseconds.
+	queryTimeout = 2 * time.Second
+	// maxConcurrentQueries limits the open connections; each query uses one.
+	maxConcurrentQueries = 64
+	// maxUnreachableNames is the maximum length of bfcensus.Census.Unreachable.
+	maxUnreachableNames = 20
 )
 
-// answer is what one member said.
-type answer struct {
+// response is the result of the query to one member.
+type response struct {
 	member  bffleet.Member
 	version bftraffic.Version
 	reached bool
 }
 
-// Census asks every member in the scope for the version in force there.
+// Census queries every member in the scope for the version in force on it.
 func (b *Backend) Census(ctx context.Context, scope bfsyntax.Scope) (bfcensus.Census, error) {
 	members, err := b.membersIn(scope)
 	if err != nil {
 		return bfcensus.Census{}, err
 	}
-	census := b.count(b.askAll(ctx, members))
+	census := b.count(b.queryAll(ctx, members))
 	census.Partial = b.parts.Traffic.Current() == nil
 	return census, ctx.Err()
 }
 
-// Nodes asks every member for the version in force there.
+// Nodes queries every member for the version in force on it.
 func (b *Backend) Nodes(ctx context.Context) ([]bfquery.Node, error) {
 	var list []bfquery.Node
-	for _, a := range b.askAll(ctx, b.parts.Fleet.Members()) {
+	for _, a := range b.queryAll(ctx, b.parts.Fleet.Members()) {
 		list = append(list, bfquery.Node{
 			Instance: a.member.Name(), Region: b.parts.Region, Domain: a.member.Domain,
 			Version: bfconfig.Version(a.version), Reachable: a.reached,
@@ -55,28 +55,28 @@
 	return list, ctx.Err()
 }
 
-func (b *Backend) askAll(ctx context.Context, members []bffleet.Member) []answer {
-	answers := make([]answer, len(members))
-	var asked errgroup.Group
-	asked.SetLimit(askAtOnce)
+func (b *Backend) queryAll(ctx context.Context, members []bffleet.Member) []response {
+	responses := make([]response, len(members))
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentQueries)
 	for i, member := range members {
-		asked.Go(func() error {
-			answers[i] = b.ask(ctx, member)
+		group.Go(func() error {
+			responses[i] = b.query(ctx, member)
 			return nil
 		})
 	}
-	_ = asked.Wait() // no question fails the others
-	return answers
+	_ = group.Wait() // the functions return no errors
+	return responses
 }
 
-func (b *Backend) ask(ctx context.Context, member bffleet.Member) answer {
+func (b *Backend) query(ctx context.Context, member bffleet.Member) response {
 	if member.Inbound == b.parts.Self {
-		return answer{member, b.parts.Traffic.Version(), true}
+		return response{member, b.parts.Traffic.Version(), true}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	version, err := b.parts.Ask(ctx, member.Peer)
-	return answer{member, version, err == nil}
+	return response{member, version, err == nil}
 }
 
 // membersIn lists the members of a scope.
@@ -84,11 +84,11 @@
 	all := b.parts.Fleet.Members()
 	switch s := scope.(type) {
 	case bfsyntax.AtNode:
-		at := slices.IndexFunc(all, func(m bffleet.Member) bool { return m.Name() == s.Instance || m.Inbound == s.Instance })
-		if at < 0 {
+		index := slices.IndexFunc(all, func(m bffleet.Member) bool { return m.Name() == s.Instance || m.Inbound == s.Instance })
+		if index < 0 {
 			return nil, &bfquery.NoInstanceError{Instance: s.Instance}
 		}
-		return all[at : at+1], nil
+		return all[index : index+1], nil
 	case bfsyntax.InDomain:
 		all = slices.DeleteFunc(all, func(m bffleet.Member) bool { return m.Domain != s.Domain })
 	case bfsyntax.InRegion:
@@ -103,10 +103,10 @@
 	return all, nil
 }
 
-func (b *Backend) count(answers []answer) bfcensus.Census {
+func (b *Backend) count(responses []response) bfcensus.Census {
 	domains := map[string]*bfcensus.Domain{}
 	census := bfcensus.Census{Versions: map[bfconfig.Version]int{}}
-	for _, a := range answers {
+	for _, a := range responses {
 		domain := domains[a.member.Domain]
 		if domain == nil {
 			domain = &bfcensus.Domain{Region: b.parts.Region, Domain: a.member.Domain}
@@ -128,26 +128,26 @@
 		census.Domains = append(census.Domains, *domain)
 	}
 	slices.Sort(census.Unreachable)
-	census.Unreachable = census.Unreachable[:min(len(census.Unreachable), mostUnreachable)]
+	census.Unreachable = census.Unreachable[:min(len(census.Unreachable), maxUnreachableNames)]
 	return census
 }
 
-// URLError reports a request to be explained that names no host.
+// URLError reports an explain command without a host.
 type URLError struct{ URL string }
 
-// Error shows the form.
+// Error shows the expected form.
 func (e *URLError) Error() string {
 	return "explain needs the host and the path, as in: explain GET //portal.example/sheets/logo; found " + e.URL
 }
 
-// WrongCommand marks the command as wrong: sent again it is refused again.
-func (e *URLError) WrongCommand() {}
+// InvalidCommand marks the error as permanent: a retry can't succeed.
+func (e *URLError) InvalidCommand() {}
 
-// splitURL parts //HOST/PATH.
+// splitURL splits //HOST/PATH and drops the query.
 func splitURL(url string) (host, path string, err error) {
-	rest, begins := strings.CutPrefix(url, "//")
+	rest, hasPrefix := strings.CutPrefix(url, "//")
 	host, path, _ = strings.Cut(rest, "/")
-	if !begins || host == "" {
+	if !hasPrefix || host == "" {
 		return "", "", &URLError{URL: url}
 	}
 	path, _, _ = strings.Cut(path, "?")
--- a/lib/bfinspect/doc.go
+++ b/lib/bfinspect/doc.go
@@ -1,4 +1,5 @@
-// Package bfinspect answers operators at a node whose configuration the platform
-// keeps: what is in force where, who is there, and how a request would be treated.
-// Changes are made where the configuration is kept, and refused here with that reason.
+// Package bfinspect is the backend of operators' commands on a node whose
+// configuration is managed by the platform. It reports the versions in force, the
+// members and targets, and how a request would be routed. Commands that change or
+// list the configuration are refused, since the platform handles them.
 package bfinspect
--- a/lib/bfinspect/inspect_test.go
+++ b/lib/bfinspect/inspect_test.go
@@ -21,7 +21,7 @@
 	"bilberryflow.org/lib/bftraffic"
 )
 
-var errAway = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
 func newBackend(t *testing.T) *Backend {
 	t.Helper()
@@ -49,15 +49,15 @@
 		Refused: func() *Refusal { return &Refusal{Version: 9, Reason: "route x: service gone"} },
 		Ask: func(_ context.Context, peer string) (bftraffic.Version, error) {
 			if peer == "away" {
-				return 0, errAway
+				return 0, errUnreachable
 			}
 			return 4, nil
 		},
 	})
 }
 
-// carryOut runs a text of commands and renders what an operator sees.
-func carryOut(t *testing.T, b *Backend, text string) string {
+// runCommands executes commands and returns the output as an operator sees it.
+func runCommands(t *testing.T, b *Backend, text string) string {
 	t.Helper()
 	var out strings.Builder
 	commands, err := bfgrammar.Parse(text)
@@ -75,10 +75,9 @@
 	return out.String()
 }
 
-// An operator asks a node what is in force, who is there and what would become of
-// a request; and tries what the platform keeps, which is refused with the reason.
-func TestWhatAnOperatorSees(t *testing.T) {
-	var page strings.Builder
+// Compares the output of supported and unsupported commands with the golden file.
+func TestCommandOutputGolden(t *testing.T) {
+	var output strings.Builder
 	b := newBackend(t)
 	for _, text := range []string{
 		"in force everywhere", "in force in domain nord", "in force in domain west", "in force at node portal-2", "in force at node nobody",
@@ -87,17 +86,16 @@
 		"show routes", "show versions", "confirm autumn", "drain portal-1", "show quarantine",
 		"release 135e03bf6d19a791a015dc102f6fbdfb", "history of route sheets",
 	} {
-		page.WriteString("> " + text + "\n" + carryOut(t, b, text) + "\n")
+		output.WriteString("> " + text + "\n" + runCommands(t, b, text) + "\n")
 	}
-	bfgolden.Check(t, filepath.Join("testdata", "operator.txt"), page.String())
+	bfgolden.Check(t, filepath.Join("testdata", "operator.txt"), output.String())
 }
 
-// A node has no configuration yet. What it would do with a request is not known;
-// "no route" would be taken for the fleet's answer.
+// Explain on a node without a configuration must not report "no route".
 func TestNodeWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
 	b := newBackend(t)
 	b.parts.Traffic = bftraffic.NewHolder(nil)
-	is.True(strings.Contains(carryOut(t, b, "explain GET //portal.example/sheets/logo"), "waits"))
-	is.True(carryOut(t, b, "in force") != "")
+	is.True(strings.Contains(runCommands(t, b, "explain GET //portal.example/sheets/logo"), "waits"))
+	is.True(runCommands(t, b, "in force") != "")
 }
--- a/lib/bfinspect/kept.go
+++ b/lib/bfinspect/kept.go
@@ -8,44 +8,45 @@
 	"bilberryflow.org/lib/bfquery"
 )
 
-// Stage is refused: the platform keeps the configuration.
+// Stage returns a ManagedByPlatformError.
 func (b *Backend) Stage(context.Context, bfquery.StageRequest) (bfquery.StagedChange, error) {
-	return bfquery.StagedChange{}, &KeptElsewhereError{}
+	return bfquery.StagedChange{}, &ManagedByPlatformError{}
 }
 
-// StagedList is refused: the platform keeps the configuration.
+// StagedList returns a ManagedByPlatformError.
 func (b *Backend) StagedList(context.Context) ([]bfquery.StagedChange, error) {
-	return nil, &KeptElsewhereError{}
+	return nil, &ManagedByPlatformError{}
 }
 
-// Discard is refused: the platform keeps the configuration.
-func (b *Backend) Discard(context.Context, string) error { return &KeptElsewhereError{} }
+// Discard returns a ManagedByPlatformError.
+func (b *Backend) Discard(context.Context, string) error { return &ManagedByPlatformError{} }
 
-// Confirm is refused: the platform keeps the configuration.
+// Confirm returns a ManagedByPlatformError.
 func (b *Backend) Confirm(context.Context, string, string, string) (bfquery.ConfirmOutcome, error) {
-	return nil, &KeptElsewhereError{}
+	return nil, &ManagedByPlatformError{}
 }
 
-// History is refused: the platform keeps the configuration.
+// History returns a ManagedByPlatformError.
 func (b *Backend) History(context.Context, bfconfig.Ref, int) (bfquery.History, error) {
-	return bfquery.History{}, &KeptElsewhereError{}
+	return bfquery.History{}, &ManagedByPlatformError{}
 }
 
-// VersionOps is refused: the platform keeps the configuration.
+// VersionOps returns a ManagedByPlatformError.
 func (b *Backend) VersionOps(context.Context, bfconfig.Version) ([]bfconfig.Op, error) {
-	return nil, &KeptElsewhereError{}
+	return nil, &ManagedByPlatformError{}
 }
 
-// Versions is refused: the platform keeps the configuration.
+// Versions returns a ManagedByPlatformError.
 func (b *Backend) Versions(context.Context, int) ([]bfquery.VersionInfo, error) {
-	return nil, &KeptElsewhereError{}
+	return nil, &ManagedByPlatformError{}
 }
 
-// Drain is refused: a target says itself that it leaves.
-func (b *Backend) Drain(context.Context, string) error { return &KeptElsewhereError{} }
+// Drain returns a ManagedByPlatformError: in this mode only the target itself can start to drain.
+func (b *Backend) Drain(context.Context, string) error { return &ManagedByPlatformError{} }
 
-// Quarantine lists the requests under which targets ended.
+// Quarantine lists the requests during which targets crashed.
 func (b *Backend) Quarantine() []bfquarantine.Item { return b.parts.Quarantine.List(b.Now()) }
 
-// Release is refused: the port asks for no token, and what is held may end targets.
-func (b *Backend) Release(string) error { return &KeptElsewhereError{} }
+// Release returns a ManagedByPlatformError: the endpoint is unauthenticated, and a
+// released request may crash targets.
+func (b *Backend) Release(string) error { return &ManagedByPlatformError{} }
--- a/lib/bfquery/backend.go
+++ b/lib/bfquery/backend.go
@@ -10,96 +10,95 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// Backend is what a node offers to commands.
+// Backend is the interface of a node to commands.
 //
-// An error from a method that writes means that certainly nothing was written;
-// where that is not known it is a bfstore.UnknownError, or from Confirm the
-// outcome Unknown.
+// An error from a method that writes means that nothing was written, unless it is
+// a *bfstore.UnknownError. Confirm reports an unknown result as the outcome Unknown.
 type Backend interface {
-	// Now is the time by the node's clock.
+	// Now returns the time of the node's clock.
 	Now() time.Time
-	// Wait returns after d, or earlier with the context's error.
+	// Wait blocks for d, or returns the context's error if it ends earlier.
 	Wait(ctx context.Context, d time.Duration) error
-	// Refuses reports why the node can't carry out a command, nil where it can.
+	// Refuses returns an error if the node can't execute the command, else nil.
 	Refuses(command bfsyntax.Command) error
-	// State is the version that the node holds, an empty one before it has started.
+	// State returns the node's current configuration, which is empty before it has started.
 	State() *bfconfig.State
 
-	// Stage keeps a staged change where every node can confirm it. The same
-	// request again finds what it staged before; another change under the name
-	// is refused with a StagedExistsError.
+	// Stage stores a staged change for all nodes. A retry of the same request
+	// returns the change staged before; if the name is taken by another change,
+	// Stage returns a *StagedExistsError.
 	Stage(ctx context.Context, request StageRequest) (StagedChange, error)
 	// StagedList lists the staged changes by name.
 	StagedList(ctx context.Context) ([]StagedChange, error)
-	// Discard drops a staged change, or fails with a NotStagedError.
+	// Discard deletes a staged change, or returns a *NotStagedError.
 	Discard(ctx context.Context, name string) error
-	// Confirm commits a staged change under the ID. It reads the ID's row and the
-	// staged row as of one moment, the ID first, and its transaction holds the
-	// staged row to what it read: clients take a refusal or a conflict as the
-	// word on every earlier confirm with that ID.
+	// Confirm commits a staged change under the ID. It must read the ID's row and
+	// the staged row in one consistent snapshot, the ID first, and its transaction
+	// must verify that the staged row is unchanged: clients take a refusal or a
+	// conflict as final for every earlier confirm with that ID.
 	Confirm(ctx context.Context, name, changeID, author string) (ConfirmOutcome, error)
 
-	// History lists the newest versions that put or removed the object, newest first.
+	// History lists the latest versions that put or removed the object, newest first.
 	History(ctx context.Context, ref bfconfig.Ref, limit int) (History, error)
-	// VersionOps are the operations of a version, or a NoVersionError.
+	// VersionOps returns the operations of a version, or a *NoVersionError.
 	VersionOps(ctx context.Context, version bfconfig.Version) ([]bfconfig.Op, error)
-	// Versions lists the newest versions, newest first.
+	// Versions lists the latest versions, newest first.
 	Versions(ctx context.Context, limit int) ([]VersionInfo, error)
 
-	// Members lists the members that the node knows.
+	// Members lists the members in the node's membership view.
 	Members(ctx context.Context) ([]Member, error)
-	// Targets lists the targets that the node knows.
+	// Targets lists the targets in the node's view.
 	Targets(ctx context.Context) ([]Target, error)
-	// Nodes lists the nodes with the version that each was last heard to hold.
+	// Nodes lists the nodes with the last version reported for each.
 	Nodes(ctx context.Context) ([]Node, error)
-	// Census counts the versions in force in the scope, or fails with a
-	// NoMembersError or a NoInstanceError.
+	// Census counts the versions in force in the scope, or returns a
+	// *NoMembersError or a *NoInstanceError.
 	Census(ctx context.Context, scope bfsyntax.Scope) (bfcensus.Census, error)
-	// Explain tells how a request would be treated.
+	// Explain reports how a request would be routed.
 	Explain(ctx context.Context, request ExplainRequest) (Explanation, error)
-	// Drain makes a target leave, or fails with a NoInstanceError.
+	// Drain stops new work on a target, or returns a *NoInstanceError.
 	Drain(ctx context.Context, instance string) error
-	// Quarantine lists the requests under which targets ended.
+	// Quarantine lists the requests during which targets crashed.
 	Quarantine() []bfquarantine.Item
-	// Release has a request run again, or fails with a NoContentError.
+	// Release releases a request from quarantine, or returns an *UnknownContentError.
 	Release(content string) error
 }
 
-// StageRequest is a change to be staged.
+// StageRequest is the argument of Backend.Stage.
 type StageRequest struct {
 	Name string
-	// ChangeID names this staging, so that it can be sent again.
+	// ChangeID identifies the request, which makes retries idempotent.
 	ChangeID string
 	Author   string
-	// Base is the state that the operations were made from. The revisions that
-	// a confirm holds the change to are those in Base, never in a newer state:
-	// an object changed in between would else be overwritten unseen.
+	// Base is the state that the operations were computed from. A confirm must
+	// compare revisions with Base and not with a newer state, or it would
+	// overwrite concurrent changes without a conflict.
 	Base *bfconfig.State
 	Ops  []bfconfig.Op
 }
 
-// StagedChange is a change that waits to be confirmed.
+// StagedChange is a stored change that is not yet confirmed.
 type StagedChange struct {
 	Name     string
 	ChangeID string
 	Author   string
 	At       time.Time
-	// Base is the version that the operations were made from.
+	// Base is the version that the operations were computed from.
 	Base bfconfig.Version
 	Ops  []bfconfig.Op
 }
 
-// ConfirmOutcome is the sealed set of ends of a confirm: Committed,
+// ConfirmOutcome is the sealed set of outcomes of a confirm: Committed,
 // AlreadyCommitted, Conflict, NotAccepted and Unknown.
 type ConfirmOutcome interface{ confirmOutcome() }
 
-// Committed reports the version that this confirm made.
+// Committed reports the version that this confirm created.
 type Committed struct{ Version bfconfig.Version }
 
-// AlreadyCommitted reports the version that an earlier confirm with the ID made.
+// AlreadyCommitted reports the version that an earlier confirm with the same ID created.
 type AlreadyCommitted struct{ Version bfconfig.Version }
 
-// Conflict reports another change that came first; nothing was written.
+// Conflict reports that another change of the object was committed first; nothing was written.
 type Conflict struct {
 	Object   bfconfig.Ref
 	Version  bfconfig.Version
@@ -107,13 +106,13 @@
 	Author   string
 }
 
-// NotAccepted reports that this confirm wrote nothing and may be repeated.
+// NotAccepted reports that this confirm wrote nothing and may be retried.
 type NotAccepted struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Unknown reports that the node could not learn whether its write took effect.
+// Unknown reports that the node could not determine whether its write took effect.
 type Unknown struct{ ChangeID string }
 
 func (Committed) confirmOutcome()        {}
@@ -122,14 +121,14 @@
 func (NotAccepted) confirmOutcome()      {}
 func (Unknown) confirmOutcome()          {}
 
-// History is an object's past.
+// History is the list of versions that changed an object.
 type History struct {
 	Items []HistoryItem
-	// Complete is false if older versions than the last item are no longer kept.
+	// Complete is false if there may be older versions than the last item.
 	Complete bool
 }
 
-// HistoryItem is what one version did to an object.
+// HistoryItem is the operation of one version on an object.
 type HistoryItem struct {
 	Version  bfconfig.Version
 	At       time.Time
@@ -147,7 +146,7 @@
 	Objects  []bfconfig.Ref
 }
 
-// Member is an instance as membership knows it.
+// Member is an instance in the membership view.
 type Member struct {
 	Instance    string
 	Service     string
@@ -158,7 +157,7 @@
 	Incarnation uint64
 }
 
-// Target is a target as the node sees it.
+// Target is the node's view of a target.
 type Target struct {
 	Instance string
 	Service  string
@@ -169,18 +168,18 @@
 	Queued   int
 }
 
-// Node is a node with the version that it was last heard to hold.
+// Node is a node with the last version reported for it.
 type Node struct {
 	Instance  string
 	Region    string
 	Domain    string
 	Version   bfconfig.Version
 	Reachable bool
-	// Age is how long ago the node was heard of.
+	// Age is the time since the last report.
 	Age time.Duration
 }
 
-// ExplainRequest is a request to be explained.
+// ExplainRequest describes the request to explain.
 type ExplainRequest struct {
 	Method string
 	Path   string
@@ -188,22 +187,22 @@
 	At     time.Time
 }
 
-// Explanation is how a request would be treated; a name is empty where there is none.
+// Explanation describes how a request would be routed. A name that does not apply is empty.
 type Explanation struct {
 	Version bfconfig.Version
 	Route   string
 	Service string
 	Policy  string
 	Event   string
-	// Reasons tell each choice in the order in which it was made.
+	// Reasons describe the routing decisions in order.
 	Reasons    []string
 	Candidates []Candidate
 }
 
-// Candidate is a target that the request could be given to.
+// Candidate is a target that could receive the request.
 type Candidate struct {
 	Target Target
-	// Eligible is false if the target would get no new work now.
+	// Eligible is false if the target currently gets no new work.
 	Eligible bool
 	Why      string
 }
--- a/lib/bfquery/diff.go
+++ b/lib/bfquery/diff.go
@@ -18,7 +18,7 @@
 	{Name: "after", Type: bfresult.TypeText},
 }
 
-func (r *run) diff(ctx context.Context, command bfsyntax.Diff) error {
+func (r *execution) diff(ctx context.Context, command bfsyntax.Diff) error {
 	list, err := r.backend.StagedList(ctx)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// diffRows runs operations one after another, since several may touch one object.
+// diffRows applies the operations in sequence, since several may change the same object.
 func diffRows(state *bfconfig.State, ops []bfconfig.Op) ([]row, error) {
 	current := map[bfconfig.Ref]bfconfig.Object{}
 	var rows []row
@@ -101,14 +101,14 @@
 	{Name: "changes", Type: bfresult.TypeList},
 }
 
-func (r *run) history(ctx context.Context, command bfsyntax.History) error {
-	const usualLimit = 20
+func (r *execution) history(ctx context.Context, command bfsyntax.History) error {
+	const defaultLimit = 20
 	limit := command.Limit
 	if limit == 0 {
-		limit = usualLimit
+		limit = defaultLimit
 	}
-	limit = min(limit, mostVersions)
-	// One more than is shown tells what the last one shown changed.
+	limit = min(limit, maxVersions)
+	// The item after the last one shown is needed to compute its differences.
 	history, err := r.backend.History(ctx, command.Object, limit+1)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// historyRow is the row of item i, with what it changed against the one before it.
+// historyRow makes the row of item i, with its differences from the previous version.
 func historyRow(history History, i int) (row, error) {
 	item := history.Items[i]
 	after := objectAfter(item.Op)
--- a/lib/bfquery/doc.go
+++ b/lib/bfquery/doc.go
@@ -1,7 +1,7 @@
-// Package bfquery carries out operators' commands on a node.
+// Package bfquery executes operators' commands on a node.
 //
-// It sits between the language (bfgrammar) and the node (Backend) and knows no
-// transport: Serve takes the text of a request and answers with messages. What
-// a command means for the configuration is decided here by pure functions over
-// immutable states; what is kept or agreed is the backend's.
+// It connects the command language (bfgrammar) with the node (Backend) and is
+// independent of the transport: Serve takes the text of a request and emits
+// messages. Effects on the configuration are computed here by pure functions
+// over immutable states; storage and consensus belong to the backend.
 package bfquery
--- a/lib/bfquery/error.go
+++ b/lib/bfquery/error.go
@@ -12,13 +12,13 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// NotStagedError reports a staged change that does not exist.
+// NotStagedError reports that no change is staged under the name.
 type NotStagedError struct{ Name string }
 
 // Error names the change.
 func (e *NotStagedError) Error() string { return fmt.Sprintf("no change is staged as %s", e.Name) }
 
-// StagedExistsError reports another staged change under the name.
+// StagedExistsError reports that another change is staged under the name.
 type StagedExistsError struct {
 	Name   string
 	Author string
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("another change is staged as %s by %s; discard it or take another name", e.Name, e.Author)
 }
 
-// NoVersionError reports a version that does not exist or is no longer kept.
+// NoVersionError reports a version that does not exist or is no longer stored.
 type NoVersionError struct{ Version bfconfig.Version }
 
 // Error names the version.
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("version %d does not exist or is no longer kept", e.Version)
 }
 
-// NoInstanceError reports an instance that the node does not know.
+// NoInstanceError reports an instance that is not in the node's membership view.
 type NoInstanceError struct{ Instance string }
 
 // Error names the instance.
@@ -45,29 +45,29 @@
 	return fmt.Sprintf("instance %s is not a member", e.Instance)
 }
 
-// NoContentError reports a content under which no target ended, as far as is known.
-type NoContentError struct{ Content string }
+// UnknownContentError reports a request content that is not in quarantine.
+type UnknownContentError struct{ Content string }
 
 // Error names the content.
-func (e *NoContentError) Error() string {
+func (e *UnknownContentError) Error() string {
 	return fmt.Sprintf("no target ended under a request of content %s; show quarantine lists them", e.Content)
 }
 
-// NotStartedError reports a node whose start still waits for a current version.
+// NotStartedError reports that the node has not received a current configuration yet.
 type NotStartedError struct{}
 
-// Error says what the node waits for.
+// Error says where the node gets its configuration from.
 func (e *NotStartedError) Error() string {
 	return "this node's start still waits for a current version, from the table or its peers; ask another node"
 }
 
-// NoMembersError reports a part of the fleet in which the node knows no member.
+// NoMembersError reports a scope without members.
 type NoMembersError struct{ Scope bfsyntax.Scope }
 
-// Error names the part.
+// Error names the scope.
 func (e *NoMembersError) Error() string { return "no member is " + e.Scope.String() }
 
-// ChangedSinceError reports an undo of a version whose object a later one changed.
+// ChangedSinceError reports an undo of a version with an object that a later version changed.
 type ChangedSinceError struct {
 	Ref    bfconfig.Ref
 	Undone bfconfig.Version
@@ -80,29 +80,30 @@
 		e.Undone, e.Ref, e.Later)
 }
 
-// NotHeldError reports a version that the node does not hold yet.
-type NotHeldError struct {
+// NodeBehindError reports that the node's configuration is older than the version asked for.
+type NodeBehindError struct {
 	Version bfconfig.Version
 	Held    bfconfig.Version
 }
 
 // Error names both versions.
-func (e *NotHeldError) Error() string {
+func (e *NodeBehindError) Error() string {
 	return fmt.Sprintf("this node holds version %d, not yet version %d; try again", e.Held, e.Version)
 }
 
-// HistoryGoneError reports an undo that needs a version no longer kept.
-type HistoryGoneError struct {
+// HistoryExpiredError reports an undo that needs an object's earlier version, which is
+// no longer stored.
+type HistoryExpiredError struct {
 	Ref    bfconfig.Ref
 	Undone bfconfig.Version
 }
 
 // Error names the object and the version.
-func (e *HistoryGoneError) Error() string {
+func (e *HistoryExpiredError) Error() string {
 	return fmt.Sprintf("version %d can't be undone: what %s was before it is no longer kept", e.Undone, e.Ref)
 }
 
-// NothingToUndoError reports a version that left every object as it was.
+// NothingToUndoError reports an undo that would change no object.
 type NothingToUndoError struct{ Version bfconfig.Version }
 
 // Error names the version.
@@ -118,12 +119,12 @@
 	return fmt.Sprintf("no change ID was sent for %q; the client mints one for each stage, undo and confirm", e.Command)
 }
 
-// unexpectedError reports a value that no code should produce.
-type unexpectedError struct{ what string }
+// internalError reports a bug in this package or its backend.
+type internalError struct{ reason string }
 
-func (e *unexpectedError) Error() string { return "fault of the program: " + e.what }
+func (e *internalError) Error() string { return "internal error: " + e.reason }
 
-// resultOf turns the error of a command into its last result.
+// resultOf converts the error of a command to its final result.
 func resultOf(err error) bfresult.Result {
 	var unknown *bfstore.UnknownError
 	if errors.As(err, &unknown) {
@@ -149,7 +150,7 @@
 	}
 	kind := bfresult.FailureInternal
 	switch {
-	case isA[*NotHeldError](err), isA[*NotStartedError](err):
+	case isA[*NodeBehindError](err), isA[*NotStartedError](err):
 		kind = bfresult.FailureUnavailable
 	case isInvalid(err):
 		kind = bfresult.FailureInvalid
@@ -157,17 +158,17 @@
 	return bfresult.Failure{Kind: kind, Message: err.Error()}
 }
 
-// wrongCommand is an error of a Backend that says the command itself is wrong there.
-type wrongCommand interface {
+// invalidCommandError is a Backend's error for a command that is invalid on it.
+type invalidCommandError interface {
 	error
-	WrongCommand()
+	InvalidCommand()
 }
 
-// isInvalid reports whether the command itself was wrong, so that sending it again is of no use.
+// isInvalid reports whether the command itself is invalid, so that a retry can't succeed.
 func isInvalid(err error) bool {
-	return isA[wrongCommand](err) || isA[*bfplan.ExistsError](err) || isA[*NotStagedError](err) || isA[*StagedExistsError](err) ||
-		isA[*NoVersionError](err) || isA[*NoInstanceError](err) || isA[*NoContentError](err) || isA[*NoMembersError](err) || isA[*ChangedSinceError](err) ||
-		isA[*HistoryGoneError](err) || isA[*NothingToUndoError](err) || isA[*ChangeIDError](err) ||
+	return isA[invalidCommandError](err) || isA[*bfplan.ExistsError](err) || isA[*NotStagedError](err) || isA[*StagedExistsError](err) ||
+		isA[*NoVersionError](err) || isA[*NoInstanceError](err) || isA[*UnknownContentError](err) || isA[*NoMembersError](err) || isA[*ChangedSinceError](err) ||
+		isA[*HistoryExpiredError](err) || isA[*NothingToUndoError](err) || isA[*ChangeIDError](err) ||
 		isA[*bfconfig.FieldError](err) || isA[*bfconfig.DanglingError](err) || isA[*bfconfig.MissingError](err) ||
 		isA[*bfconfig.AmbiguousError](err) || isA[*bfconfig.OverlapError](err) || isA[*bfconfig.EmptyChangeError](err) ||
 		isA[*bfconfig.ChangeError](err)
--- a/lib/bfquery/explain.go
+++ b/lib/bfquery/explain.go
@@ -19,7 +19,7 @@
 	{Name: "why", Type: bfresult.TypeText},
 }
 
-func (r *run) explain(ctx context.Context, command bfsyntax.Explain) error {
+func (r *execution) explain(ctx context.Context, command bfsyntax.Explain) error {
 	at := command.At
 	if at.IsZero() {
 		at = r.backend.Now()
--- a/lib/bfquery/fake_test.go
+++ b/lib/bfquery/fake_test.go
@@ -13,27 +13,27 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// fakeNode is a node with its table in memory and a clock that only Wait moves.
+// fakeNode is a Backend with an in-memory store and a clock that only Wait advances.
 type fakeNode struct {
 	now    time.Time
 	states []*bfconfig.State
 	log    []VersionInfo
 	ops    [][]bfconfig.Op
 	staged map[string]StagedChange
-	// waiting makes the node one whose start waits.
-	waiting bool
-	// away makes every use of the table fail without an effect.
-	away bool
-	// loseAnswer makes the next commit take effect with its answer lost.
-	loseAnswer bool
-	// afterState runs once, right after the state was read.
+	// notStarted makes the node refuse commands that read its configuration.
+	notStarted bool
+	// storeDown makes every use of the store fail without effect.
+	storeDown bool
+	// loseResponse makes the next commit succeed but return Unknown.
+	loseResponse bool
+	// afterState runs once, right after the next read of the state.
 	afterState func()
 	confirms   int
-	// kept is how many of an object's newest versions History knows; 0 means all.
-	kept    int
-	census  []bfcensus.Census
-	drained []string
-	book    *bfquarantine.Book
+	// retained is the number of versions per object that History returns; 0 means all.
+	retained int
+	census   []bfcensus.Census
+	drained  []string
+	book     *bfquarantine.Book
 }
 
 func newFakeNode() *fakeNode {
@@ -50,8 +50,8 @@
 	return f
 }
 
-func (f *fakeNode) table() error {
-	if f.away {
+func (f *fakeNode) storeError() error {
+	if f.storeDown {
 		return &bfstore.UnavailableError{Reason: "table away", RetryAfter: 5 * time.Second}
 	}
 	return nil
@@ -65,7 +65,7 @@
 }
 
 func (f *fakeNode) Refuses(command bfsyntax.Command) error {
-	if f.waiting && ReadsState(command) {
+	if f.notStarted && ReadsState(command) {
 		return &NotStartedError{}
 	}
 	return nil
@@ -91,10 +91,10 @@
 		Name: request.Name, ChangeID: request.ChangeID, Author: request.Author, At: f.now,
 		Base: request.Base.Version(), Ops: request.Ops,
 	}
-	if f.table() == nil {
+	if f.storeError() == nil {
 		f.staged[request.Name] = staged
 	}
-	return staged, f.table()
+	return staged, f.storeError()
 }
 
 func (f *fakeNode) StagedList(context.Context) ([]StagedChange, error) {
@@ -103,7 +103,7 @@
 		list = append(list, staged)
 	}
 	slices.SortFunc(list, func(a, b StagedChange) int { return cmp.Compare(a.Name, b.Name) })
-	return list, f.table()
+	return list, f.storeError()
 }
 
 func (f *fakeNode) Discard(_ context.Context, name string) error {
@@ -116,7 +116,7 @@
 
 func (f *fakeNode) Confirm(_ context.Context, name, id, author string) (ConfirmOutcome, error) {
 	f.confirms++
-	if f.away {
+	if f.storeDown {
 		return NotAccepted{Reason: "the table is away", RetryAfter: 5 * time.Second}, nil
 	}
 	for _, version := range f.log {
@@ -130,16 +130,16 @@
 	}
 	for _, op := range staged.Ops {
 		if revision := f.State().Revision(op.Target()); revision > staged.Base {
-			by := f.log[revision-1]
-			return Conflict{Object: op.Target(), Version: revision, ChangeID: by.ChangeID, Author: by.Author}, nil
+			earlier := f.log[revision-1]
+			return Conflict{Object: op.Target(), Version: revision, ChangeID: earlier.ChangeID, Author: earlier.Author}, nil
 		}
 	}
 	if err := f.commit(bfconfig.NewChange(id, author, f.now, staged.Ops)); err != nil {
 		return nil, err
 	}
 	delete(f.staged, name)
-	if f.loseAnswer {
-		f.loseAnswer = false
+	if f.loseResponse {
+		f.loseResponse = false
 		return Unknown{ChangeID: id}, nil
 	}
 	return Committed{Version: f.State().Version()}, nil
@@ -171,27 +171,27 @@
 		if last == nil {
 			continue
 		}
-		if len(history.Items) == limit || f.kept > 0 && len(history.Items) == f.kept {
+		if len(history.Items) == limit || f.retained > 0 && len(history.Items) == f.retained {
 			history.Complete = false
 			break
 		}
 		info := f.log[i]
 		history.Items = append(history.Items, HistoryItem{info.Version, info.At, info.Author, info.ChangeID, last})
 	}
-	return history, f.table()
+	return history, f.storeError()
 }
 
 func (f *fakeNode) VersionOps(_ context.Context, version bfconfig.Version) ([]bfconfig.Op, error) {
 	if version < 1 || int(version) > len(f.ops) {
 		return nil, &NoVersionError{Version: version}
 	}
-	return f.ops[version-1], f.table()
+	return f.ops[version-1], f.storeError()
 }
 
 func (f *fakeNode) Versions(_ context.Context, limit int) ([]VersionInfo, error) {
 	list := slices.Clone(f.log)
 	slices.Reverse(list)
-	return list[:min(limit, len(list))], f.table()
+	return list[:min(limit, len(list))], f.storeError()
 }
 
 func (f *fakeNode) Members(context.Context) ([]Member, error) {
@@ -212,7 +212,7 @@
 	}, nil
 }
 
-// Census gives one census after another and then the last one for good.
+// Census returns the censuses in sequence, then the last one repeatedly.
 func (f *fakeNode) Census(context.Context, bfsyntax.Scope) (bfcensus.Census, error) {
 	if len(f.census) == 0 {
 		return bfcensus.Census{}, &bfstore.UnavailableError{Reason: "no member answers"}
--- a/lib/bfquery/force.go
+++ b/lib/bfquery/force.go
@@ -10,7 +10,7 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-var forceColumns = []bfresult.Column{
+var inForceColumns = []bfresult.Column{
 	{Name: "region", Type: bfresult.TypeText},
 	{Name: "domain", Type: bfresult.TypeText},
 	{Name: "oldest", Type: bfresult.TypeNumber},
@@ -18,12 +18,12 @@
 	{Name: "unreachable", Type: bfresult.TypeNumber},
 }
 
-func (r *run) inForce(ctx context.Context, command bfsyntax.InForce) error {
+func (r *execution) inForce(ctx context.Context, command bfsyntax.InForce) error {
 	census, err := r.backend.Census(ctx, command.Scope)
 	if err != nil {
 		return err
 	}
-	table := bfresult.Table{Name: "in-force", Columns: forceColumns}
+	table := bfresult.Table{Name: "in-force", Columns: inForceColumns}
 	for _, domain := range census.Sorted() {
 		table.Rows = append(table.Rows, row{
 			text(domain.Region), text(domain.Domain), number(domain.Oldest),
@@ -36,11 +36,11 @@
 	return r.message("%s", census)
 }
 
-// watchInterval is how often a watch looks; convergence is a matter of seconds.
+// watchInterval is the polling interval of a watch; a version spreads within seconds.
 const watchInterval = 500 * time.Millisecond
 
-// watch answers with a line at each step until the version is in force on every node.
-func (r *run) watch(ctx context.Context, command bfsyntax.Watch) error {
+// watch emits progress at each poll until the version is in force on every node or time is up.
+func (r *execution) watch(ctx context.Context, command bfsyntax.Watch) error {
 	version, err := r.watchedVersion(ctx, command)
 	if err != nil {
 		return err
@@ -48,9 +48,9 @@
 	if version == 0 {
 		return r.message("no version has been committed yet")
 	}
-	length := command.For
-	if length == 0 {
-		length = bfsyntax.UsualWatch
+	duration := command.For
+	if duration == 0 {
+		duration = bfsyntax.UsualWatch
 	}
 	start := r.backend.Now()
 	for {
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		step := bfcensus.Watch(census, version, r.backend.Now().Sub(start), length)
+		step := bfcensus.Watch(census, version, r.backend.Now().Sub(start), duration)
 		if err := r.emit(step.Progress); err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *run) watchedVersion(ctx context.Context, command bfsyntax.Watch) (bfconfig.Version, error) {
+func (r *execution) watchedVersion(ctx context.Context, command bfsyntax.Watch) (bfconfig.Version, error) {
 	if command.Version != 0 {
 		return command.Version, nil
 	}
--- a/lib/bfquery/release.go
+++ b/lib/bfquery/release.go
@@ -6,12 +6,13 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// ReleaseIn releases a content, as it is written in logs, in a node's book, or fails with
-// a NoContentError.
+// ReleaseIn releases a request content, given in the form that logs use, from the
+// quarantine book of a node. It returns an *UnknownContentError if the content is
+// invalid or not in quarantine.
 func ReleaseIn(book *bfquarantine.Book, text string, now time.Time) error {
 	content, ok := bfquarantine.ParseContent(text)
 	if !ok || !book.Release(content, now) {
-		return &NoContentError{Content: text}
+		return &UnknownContentError{Content: text}
 	}
 	return nil
 }
--- a/lib/bfquery/rows.go
+++ b/lib/bfquery/rows.go
@@ -10,7 +10,7 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// The rows here follow the columns that bfgrammar declares; Table.Check holds them to that.
+// Rows must match the columns that bfsyntax defines; Table.Check verifies this.
 
 type row = []bfresult.Cell
 
@@ -26,14 +26,14 @@
 	return rows
 }
 
-// sortedRows orders rows by their first column, so that the same answer reads the same from every node.
+// sortedRows orders rows by their first column, so that every node returns the same order.
 func sortedRows[T any](items []T, make func(T) row) []row {
 	rows := rowsOf(items, make)
 	slices.SortStableFunc(rows, func(a, b row) int { return bfresult.Compare(a[0], b[0]) })
 	return rows
 }
 
-// objectRows makes a row of each object of a kind; T is the kind's spec.
+// objectRows makes a row for each object of a kind; T is the kind's spec type.
 func objectRows[T bfconfig.Object](
 	state *bfconfig.State, kind bfconfig.Kind, make func(spec T, revision bfresult.Cell) row,
 ) ([]row, error) {
@@ -41,7 +41,7 @@
 	for _, object := range state.Objects(kind) {
 		spec, same := object.(T)
 		if !same {
-			return nil, &unexpectedError{what: "object " + object.Ref().String() + " of another kind"}
+			return nil, &internalError{reason: "object " + object.Ref().String() + " of another kind"}
 		}
 		rows = append(rows, make(spec, number(state.Revision(object.Ref()))))
 	}
@@ -51,14 +51,14 @@
 func eventRows(state *bfconfig.State, now time.Time) ([]row, error) {
 	return objectRows(state, bfconfig.KindEvent, func(e bfconfig.EventSpec, revision bfresult.Cell) row {
 		return row{
-			text(e.Name), text(phase(e, now)), bfresult.TimeCell(e.Start), bfresult.TimeCell(e.End),
+			text(e.Name), text(eventPhase(e, now)), bfresult.TimeCell(e.Start), bfresult.TimeCell(e.End),
 			bfresult.DurationCell(e.WarmUp), bfresult.ListCell(bfsyntax.OverrideTexts(e.Overrides)), revision,
 		}
 	})
 }
 
-// phase says where the event stands at a moment.
-func phase(e bfconfig.EventSpec, now time.Time) string {
+// eventPhase returns the phase of the event at a time.
+func eventPhase(e bfconfig.EventSpec, now time.Time) string {
 	switch {
 	case !now.Before(e.End):
 		return "over"
@@ -90,7 +90,7 @@
 	})
 }
 
-// methodsCell shows no methods as the command writes it, for they mean every method.
+// methodsCell shows an empty list, which matches every method, as "any".
 func methodsCell(methods []string) bfresult.Cell {
 	if len(methods) == 0 {
 		return bfresult.ListCell{"any"}
@@ -130,16 +130,16 @@
 }
 
 func quarantineRow(i bfquarantine.Item, now time.Time) row {
-	state, left := "noted", time.Duration(0)
+	state, remaining := "noted", time.Duration(0)
 	switch verdict := i.Worst.(type) {
 	case bfquarantine.Held:
-		state, left = "held", verdict.Until().Sub(now)
+		state, remaining = "held", verdict.Until().Sub(now)
 	case bfquarantine.Apart:
 		state = "apart"
 	}
 	return row{
 		text(i.Content.String()), text(state), number(i.Ends), number(i.Callers),
-		bfresult.DurationCell(now.Sub(i.Last).Truncate(time.Millisecond)), bfresult.DurationCell(left.Truncate(time.Millisecond)),
+		bfresult.DurationCell(now.Sub(i.Last).Truncate(time.Millisecond)), bfresult.DurationCell(remaining.Truncate(time.Millisecond)),
 	}
 }
 
--- a/lib/bfquery/run.go
+++ b/lib/bfquery/run.go
@@ -12,30 +12,30 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// Call is a command with what comes along with it.
+// Call is a command with its author and change ID.
 type Call struct {
 	Command bfsyntax.Command
-	// ChangeID is the client's ID for a command that needs one.
+	// ChangeID is the client's ID for the command, if bfsyntax.NeedsChangeID.
 	ChangeID string
 	Author   string
 }
 
-// run is one command being carried out.
-type run struct {
+// execution is the state of one running command.
+type execution struct {
 	Call
 	backend Backend
 	emit    func(bfresult.Result) error
 }
 
-// Run carries out one command and emits its results in their order.
+// Run executes one command and emits its results in order.
 //
-// An error means that the command was not carried out, or that emit failed; a
-// confirm that was not accepted is an Outcome and no error.
+// An error means that the command was not executed or that emit failed. A
+// confirm that was not accepted is reported as an Outcome, not as an error.
 func Run(ctx context.Context, call Call, backend Backend, emit func(bfresult.Result) error) error {
 	if err := backend.Refuses(call.Command); err != nil {
 		return err
 	}
-	r := &run{Call: call, backend: backend, emit: emit}
+	r := &execution{Call: call, backend: backend, emit: emit}
 	switch command := call.Command.(type) {
 	case bfsyntax.Stage:
 		return r.stage(ctx, command)
@@ -64,14 +64,14 @@
 	case bfsyntax.Help:
 		return r.message("%s", bfgrammar.HelpText(command.Topic))
 	}
-	return &unexpectedError{what: fmt.Sprintf("command of type %T", call.Command)}
+	return &internalError{reason: fmt.Sprintf("command of type %T", call.Command)}
 }
 
-// ReadsState reports whether the command answers from the node's own version.
+// ReadsState reports whether the command depends on the node's own configuration.
 //
-// A node that still waits at its start holds none. Its empty list of routes
-// would read as a fleet that lost its configuration, and a change staged there
-// as one made from nothing.
+// A node that has not received a configuration yet must refuse such commands: an
+// empty list of routes would look like lost configuration, and a change would be
+// staged on an empty base.
 func ReadsState(command bfsyntax.Command) bool {
 	switch c := command.(type) {
 	case bfsyntax.Stage, bfsyntax.Diff, bfsyntax.Explain, bfsyntax.Undo:
@@ -84,15 +84,15 @@
 	return false
 }
 
-func (r *run) message(format string, values ...any) error {
+func (r *execution) message(format string, values ...any) error {
 	return r.emit(bfresult.Message{Text: fmt.Sprintf(format, values...)})
 }
 
-func (r *run) done(format string, values ...any) error {
+func (r *execution) done(format string, values ...any) error {
 	return r.emit(bfresult.Outcome{Status: bfresult.StatusDone, Summary: fmt.Sprintf(format, values...)})
 }
 
-func (r *run) stage(ctx context.Context, command bfsyntax.Stage) error {
+func (r *execution) stage(ctx context.Context, command bfsyntax.Stage) error {
 	base := r.backend.State()
 	ops, err := bfplan.Plan(base, command.Edits)
 	if err != nil {
@@ -101,13 +101,12 @@
 	return r.stageOps(ctx, command.Name, base, ops)
 }
 
-// stageOps stages operations that were made from base.
-func (r *run) stageOps(ctx context.Context, name string, base *bfconfig.State, ops []bfconfig.Op) error {
+// stageOps stages operations that were computed from base.
+func (r *execution) stageOps(ctx context.Context, name string, base *bfconfig.State, ops []bfconfig.Op) error {
 	if r.ChangeID == "" {
 		return &ChangeIDError{Command: r.Command.String()}
 	}
-	// The same rules as at the commit, so that a wrong change is refused while
-	// its operator still looks at it.
+	// Validates with the rules of the commit, to report an invalid change early.
 	if _, _, err := base.Propose(bfconfig.NewChange(r.ChangeID, r.Author, r.backend.Now(), ops)); err != nil {
 		return err
 	}
@@ -120,28 +119,28 @@
 		staged.Name, staged.Base, staged.Name, staged.Name)
 }
 
-func (r *run) discard(ctx context.Context, command bfsyntax.Discard) error {
+func (r *execution) discard(ctx context.Context, command bfsyntax.Discard) error {
 	if err := r.backend.Discard(ctx, command.Name); err != nil {
 		return err
 	}
 	return r.done("discarded %s", command.Name)
 }
 
-func (r *run) drain(ctx context.Context, command bfsyntax.Drain) error {
+func (r *execution) drain(ctx context.Context, command bfsyntax.Drain) error {
 	if err := r.backend.Drain(ctx, command.Instance); err != nil {
 		return err
 	}
 	return r.done("%s is leaving: no new work, work in flight is finished", command.Instance)
 }
 
-func (r *run) release(command bfsyntax.Release) error {
+func (r *execution) release(command bfsyntax.Release) error {
 	if err := r.backend.Release(command.Content); err != nil {
 		return err
 	}
 	return r.done("%s runs again; ends of targets count anew", command.Content)
 }
 
-func (r *run) confirm(ctx context.Context, command bfsyntax.Confirm) error {
+func (r *execution) confirm(ctx context.Context, command bfsyntax.Confirm) error {
 	id := command.ChangeID
 	if id == "" {
 		id = r.ChangeID
@@ -191,5 +190,5 @@
 				name, name, o.ChangeID),
 		}, nil
 	}
-	return bfresult.Outcome{}, &unexpectedError{what: fmt.Sprintf("outcome of type %T", outcome)}
+	return bfresult.Outcome{}, &internalError{reason: fmt.Sprintf("outcome of type %T", outcome)}
 }
--- a/lib/bfquery/serve.go
+++ b/lib/bfquery/serve.go
@@ -8,17 +8,16 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// Serve carries out the commands of a request one after another, up to the
-// first that fails, and emits the messages of the answer; the last one is the
-// end message.
+// Serve executes the commands of a request in sequence until one fails and emits
+// the messages of the response, the last of which is the end message.
 //
-// The author comes from the caller's token; the request's own author field is a
-// note that a client could forge. An error means that emit failed or ctx ended.
+// The author comes from the caller's token, since a client could forge the
+// request's author field. An error means that emit failed or ctx ended.
 func Serve(
 	ctx context.Context, author string, request bfresult.CommandRequest, backend Backend,
 	emit func(bfresult.ResultMessage) error,
 ) error {
-	s := &service{backend: backend, emit: emit, status: bfresult.StatusDone}
+	s := &responder{backend: backend, emit: emit, status: bfresult.StatusDone}
 	commands, err := bfgrammar.Parse(request.Commands)
 	if err != nil {
 		if err := s.result(resultOf(err)); err != nil {
@@ -26,7 +25,7 @@
 		}
 		return s.end()
 	}
-	for _, call := range calls(author, request, commands) {
+	for _, call := range assignChangeIDs(author, request, commands) {
 		if err := s.run(ctx, call); err != nil {
 			return err
 		}
@@ -37,8 +36,8 @@
 	return s.end()
 }
 
-// calls hands the request's IDs to the commands that need one, in their order.
-func calls(author string, request bfresult.CommandRequest, commands []bfsyntax.Command) []Call {
+// assignChangeIDs pairs the request's IDs, in order, with the commands that need one.
+func assignChangeIDs(author string, request bfresult.CommandRequest, commands []bfsyntax.Command) []Call {
 	list := make([]Call, 0, len(commands))
 	ids := request.ChangeIDs
 	for _, command := range commands {
@@ -51,8 +50,8 @@
 	return list
 }
 
-// service is one request being answered.
-type service struct {
+// responder writes the response to one request.
+type responder struct {
 	backend Backend
 	emit    func(bfresult.ResultMessage) error
 	status  bfresult.Status
@@ -60,7 +59,7 @@
 	emitErr error
 }
 
-func (s *service) run(ctx context.Context, call Call) error {
+func (s *responder) run(ctx context.Context, call Call) error {
 	err := Run(ctx, call, s.backend, s.result)
 	if s.emitErr != nil {
 		return s.emitErr
@@ -69,14 +68,14 @@
 		return nil
 	}
 	if ctx.Err() != nil {
-		// The node stops or the client went away. Without an end message the
-		// client knows that it has not the whole answer.
+		// The node is shutting down or the client disconnected. The missing end
+		// message marks the response as truncated.
 		return ctx.Err()
 	}
 	return s.result(resultOf(err))
 }
 
-func (s *service) result(result bfresult.Result) error {
+func (s *responder) result(result bfresult.Result) error {
 	switch r := result.(type) {
 	case bfresult.Outcome:
 		s.status = r.Status
@@ -91,11 +90,11 @@
 	return s.send(message)
 }
 
-func (s *service) end() error {
+func (s *responder) end() error {
 	return s.send(bfresult.ResultMessage{End: &bfresult.EndMessage{Status: s.status}})
 }
 
-func (s *service) send(message bfresult.ResultMessage) error {
+func (s *responder) send(message bfresult.ResultMessage) error {
 	if err := s.emit(message); err != nil {
 		s.emitErr = err
 		return err
--- a/lib/bfquery/session_test.go
+++ b/lib/bfquery/session_test.go
@@ -30,17 +30,17 @@
 	os.Exit(m.Run())
 }
 
-// client sends requests to a node the way bfctl does, with an ID for each.
+// client sends requests to a node as bfctl does, with generated change IDs.
 type client struct {
-	node   *fakeNode
-	minted int
+	node      *fakeNode
+	changeIDs int
 }
 
 func (c *client) send(commands string) ([]bfresult.Result, bfresult.Status, error) {
 	request := bfresult.CommandRequest{Commands: commands, Author: "forged"}
 	for range 9 {
-		c.minted++
-		request.ChangeIDs = append(request.ChangeIDs, fmt.Sprintf("id-%d", c.minted))
+		c.changeIDs++
+		request.ChangeIDs = append(request.ChangeIDs, fmt.Sprintf("id-%d", c.changeIDs))
 	}
 	return c.request(request)
 }
@@ -63,8 +63,8 @@
 	return results, end.Status, err
 }
 
-// wien is a census of one domain, whose nodes in reach are counted by version.
-func wien(versions map[bfconfig.Version]int, unreachable ...string) bfcensus.Census {
+// domainCensus makes a census of one domain from the counts of its reachable nodes by version.
+func domainCensus(versions map[bfconfig.Version]int, unreachable ...string) bfcensus.Census {
 	domain := bfcensus.Domain{Region: "vienna", Domain: "wien-nord", Unreachable: len(unreachable)}
 	for version, count := range versions {
 		if domain.Nodes == 0 || version < domain.Oldest {
@@ -75,14 +75,15 @@
 	return bfcensus.Census{Domains: []bfcensus.Domain{domain}, Versions: versions, Unreachable: unreachable}
 }
 
-// A whole session of an operator as bfctl shows it, one paragraph of the script a request.
+// Compares a session as bfctl shows it with the golden file. Each paragraph of the
+// script is one request.
 func TestSessionGolden(t *testing.T) {
 	is := is.New(t)
 	script, err := os.ReadFile("testdata/session.txt")
 	is.NoErr(err)
 	node := newFakeNode()
 	node.census = []bfcensus.Census{
-		wien(map[bfconfig.Version]int{4: 2, 3: 1}, "portal-core-2"), wien(map[bfconfig.Version]int{4: 3}, "portal-core-2"),
+		domainCensus(map[bfconfig.Version]int{4: 2, 3: 1}, "portal-core-2"), domainCensus(map[bfconfig.Version]int{4: 3}, "portal-core-2"),
 	}
 	c := &client{node: node}
 	var got bytes.Buffer
@@ -105,28 +106,26 @@
 	is.Equal(node.drained, []string{"portal-core-1"})
 }
 
-func stageOne(t *testing.T, c *client, commands string) {
+func mustSend(t *testing.T, c *client, commands string) {
 	t.Helper()
 	if results, status, err := c.send(commands); status != bfresult.StatusDone || err != nil {
 		t.Fatalf("%s: %v %v %v", commands, results, status, err)
 	}
 }
 
-// Ines stages "change policy lookup queue 50" while Marta's change of the same
-// policy's deadline is committed, between the moment the fields are merged and
-// the moment they are staged. Taken as made on the newer version, Ines's whole
-// object would put the old deadline back without a word; held to the version
-// it was made from, her confirm answers with a conflict that names Marta.
-func TestStageIsHeldToTheStateItWasMadeFrom(t *testing.T) {
+// A change of an object that is committed while another change of the same object
+// is being staged must cause a conflict at confirm. Otherwise the staged object,
+// computed from the older state, would silently revert it.
+func TestConfirmDetectsChangeDuringStage(t *testing.T) {
 	is := is.New(t)
 	node := newFakeNode()
 	c := &client{node: node}
-	stageOne(t, c, "stage a create policy lookup class lookup deadline 2s; confirm a; stage b change policy lookup deadline 3s")
+	mustSend(t, c, "stage a create policy lookup class lookup deadline 2s; confirm a; stage b change policy lookup deadline 3s")
 	node.afterState = func() {
 		_, err := node.Confirm(context.Background(), "b", "marta-1", "marta")
 		is.NoErr(err)
 	}
-	stageOne(t, c, "stage c change policy lookup queue 50")
+	mustSend(t, c, "stage c change policy lookup queue 50")
 	results, status, err := c.send("confirm c")
 	is.NoErr(err)
 	is.Equal(status, bfresult.StatusConflict)
@@ -135,13 +134,13 @@
 	is.Equal(outcome.Object, "policy lookup")
 }
 
-// A whole fleet restarts while the table is away, and an operator asks a node
-// that waits. "No rows in routes" would read as a lost configuration, so it
-// says that it waits; what does not come from its own version is answered.
-func TestNodeThatWaitsAtItsStart(t *testing.T) {
+// A node without a configuration must report itself unavailable instead of
+// showing empty tables, which look like lost configuration. Commands that don't
+// read the configuration must work.
+func TestNodeNotStarted(t *testing.T) {
 	is := is.New(t)
 	node := newFakeNode()
-	node.waiting = true
+	node.notStarted = true
 	c := &client{node: node}
 	for _, command := range []string{
 		"show routes", "show events where name = a", "stage a create service docs", "diff a", "undo 1", "explain GET /a",
@@ -152,11 +151,10 @@
 		is.Equal(results[0].(bfresult.Failure).Kind, bfresult.FailureUnavailable)
 	}
 	is.Equal(len(node.staged), 0)
-	stageOne(t, c, "show members; show nodes; show staged; help")
+	mustSend(t, c, "show members; show nodes; show staged; help")
 }
 
-// A new fleet has no version. "Version 0 is in force everywhere" would tell the
-// operator that something was configured.
+// A watch before the first commit must not report version 0 as in force.
 func TestWatchBeforeTheFirstVersion(t *testing.T) {
 	is := is.New(t)
 	results, status, err := (&client{node: newFakeNode()}).send("watch version latest")
@@ -165,15 +163,15 @@
 	is.Equal(results, []bfresult.Result{bfresult.Message{Text: "no version has been committed yet"}})
 }
 
-// The commit takes effect and its answer is lost, so the operator reads
-// "unknown" with the ID. Asked again with that ID the node tells the version,
-// and there is one version. With the table away the answer is "not accepted".
-func TestConfirmAnswersTruthfully(t *testing.T) {
+// A confirm must report "unknown" with its ID if the response of the store is lost,
+// and "not accepted" if the store is unavailable. A retry with the ID must return
+// the committed version and not commit again.
+func TestConfirmOutcomes(t *testing.T) {
 	is := is.New(t)
 	node := newFakeNode()
 	c := &client{node: node}
-	stageOne(t, c, "stage a create service docs")
-	node.away = true
+	mustSend(t, c, "stage a create service docs")
+	node.storeDown = true
 	results, status, err := c.send("confirm a")
 	is.NoErr(err)
 	is.Equal(status, bfresult.StatusNotAccepted)
@@ -182,7 +180,7 @@
 	is.NoErr(err)
 	is.Equal(status, bfresult.StatusNotAccepted)
 	is.Equal(results[0].(bfresult.Outcome).Summary, "the platform does not answer, and nothing was written: table away")
-	node.away, node.loseAnswer = false, true
+	node.storeDown, node.loseResponse = false, true
 	results, status, err = c.send("confirm a; show services")
 	is.NoErr(err)
 	is.Equal(status, bfresult.StatusUnknown)
@@ -194,12 +192,12 @@
 	is.Equal(node.log[0].Author, "marta")
 }
 
-// A client sends a confirm without an ID. Committed without one it could not be
-// asked about after a lost answer, so the node refuses it and writes nothing.
+// Commands that write must be refused without a change ID, since their outcome
+// could not be looked up after a lost response.
 func TestWritingNeedsChangeID(t *testing.T) {
 	is := is.New(t)
 	c := &client{node: newFakeNode()}
-	stageOne(t, c, "stage a create service docs")
+	mustSend(t, c, "stage a create service docs")
 	for _, text := range []string{"stage b create service docs", "confirm a", "undo 1"} {
 		_, status, err := c.request(bfresult.CommandRequest{Commands: text})
 		is.NoErr(err)
@@ -209,9 +207,9 @@
 	is.Equal(c.node.confirms, 0)
 }
 
-// The connection to the client breaks in the middle of an answer: no end
-// message may follow the results that got lost, and no later command may run.
-func TestServeStopsWhenTheAnswerIsLost(t *testing.T) {
+// If the connection breaks during a response, no end message may follow and no
+// later command may run.
+func TestServeStopsWhenEmitFails(t *testing.T) {
 	is := is.New(t)
 	node := newFakeNode()
 	sent := 0
@@ -225,8 +223,8 @@
 	is.Equal(len(node.drained), 0)
 }
 
-// Each table's rows fit the columns declared for it.
-func TestRowsFitTheirColumns(t *testing.T) {
+// The rows of each table must match its columns.
+func TestRowsMatchColumns(t *testing.T) {
 	is := is.New(t)
 	c := &client{node: newFakeNode()}
 	for _, table := range bfsyntax.TableNames() {
--- a/lib/bfquery/show.go
+++ b/lib/bfquery/show.go
@@ -9,52 +9,52 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// mostVersions bounds what one command reads from the table for show versions:
-// at 96,000 changes a day the whole list would be all that the table could serve.
-const mostVersions = 1000
+// maxVersions is the maximum number of versions that one command reads from the
+// store: at 96,000 changes a day, reading all of them would overload it.
+const maxVersions = 1000
 
-func (r *run) show(ctx context.Context, command bfsyntax.Show) error {
+func (r *execution) show(ctx context.Context, command bfsyntax.Show) error {
 	rows, err := r.rows(ctx, command)
 	if err != nil {
 		return err
 	}
-	cut := command.Table == bfsyntax.TableVersions && len(rows) == mostVersions
+	truncated := command.Table == bfsyntax.TableVersions && len(rows) == maxVersions
 	table := bfresult.Table{Name: string(command.Table), Columns: bfsyntax.Columns(command.Table), Rows: rows}
 	if err := table.Check(); err != nil {
 		return err
 	}
-	if table.Rows, err = choose(command, rows); err != nil {
+	if table.Rows, err = selectRows(command, rows); err != nil {
 		return err
 	}
 	if err := r.emit(table); err != nil {
 		return err
 	}
-	if cut {
-		return r.message("only the newest %d versions were searched", mostVersions)
+	if truncated {
+		return r.message("only the newest %d versions were searched", maxVersions)
 	}
 	return nil
 }
 
-// choose filters, orders and limits rows; rows that compare equal keep their order.
-func choose(command bfsyntax.Show, rows [][]bfresult.Cell) ([][]bfresult.Cell, error) {
+// selectRows filters, sorts and limits rows; the sort is stable.
+func selectRows(command bfsyntax.Show, rows [][]bfresult.Cell) ([][]bfresult.Cell, error) {
 	filter, err := command.Filter()
 	if err != nil {
 		return nil, err
 	}
-	var chosen [][]bfresult.Cell
+	var selected [][]bfresult.Cell
 	for _, row := range rows {
 		if filter(row) {
-			chosen = append(chosen, row)
+			selected = append(selected, row)
 		}
 	}
-	slices.SortStableFunc(chosen, command.Compare)
-	if command.Limit > 0 && len(chosen) > command.Limit {
-		chosen = chosen[:command.Limit]
+	slices.SortStableFunc(selected, command.Compare)
+	if command.Limit > 0 && len(selected) > command.Limit {
+		selected = selected[:command.Limit]
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func (r *run) rows(ctx context.Context, command bfsyntax.Show) ([][]bfresult.Cell, error) {
+func (r *execution) rows(ctx context.Context, command bfsyntax.Show) ([][]bfresult.Cell, error) {
 	switch command.Table {
 	case bfsyntax.TableEvents:
 		return eventRows(r.backend.State(), r.backend.Now())
@@ -82,13 +82,14 @@
 		versions, err := r.backend.Versions(ctx, versionLimit(command))
 		return rowsOf(versions, versionRow), err
 	}
-	return nil, &unexpectedError{what: "table " + string(command.Table)}
+	return nil, &internalError{reason: "table " + string(command.Table)}
 }
 
-// versionLimit reads no more versions than are shown, where no condition or order needs more.
+// versionLimit returns the number of versions to read: the command's limit, unless a
+// condition or order needs more.
 func versionLimit(command bfsyntax.Show) int {
 	if command.Limit == 0 || command.Where != nil || command.Order != nil {
-		return mostVersions
+		return maxVersions
 	}
-	return min(command.Limit, mostVersions)
+	return min(command.Limit, maxVersions)
 }
--- a/lib/bfquery/undo.go
+++ b/lib/bfquery/undo.go
@@ -8,18 +8,17 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// undo stages what takes a version's change back.
+// undo stages the inverse of a version's change.
 //
-// It is staged and not committed at once since an operator who undoes is in a
-// hurry: diff shows what will happen, and confirm is one more word.
-func (r *run) undo(ctx context.Context, command bfsyntax.Undo) error {
+// It does not commit, so that the operator can review the inverse with diff first.
+func (r *execution) undo(ctx context.Context, command bfsyntax.Undo) error {
 	base := r.backend.State()
 	ops, err := r.backend.VersionOps(ctx, command.Version)
 	if err != nil {
 		return err
 	}
 	if base.Version() < command.Version {
-		return &NotHeldError{Version: command.Version, Held: base.Version()}
+		return &NodeBehindError{Version: command.Version, Held: base.Version()}
 	}
 	inverse, err := r.inverse(ctx, base, command.Version, ops)
 	if err != nil {
@@ -32,8 +31,8 @@
 	return r.stageOps(ctx, name, base, inverse)
 }
 
-// inverse puts each object that the version touched back to what it was.
-func (r *run) inverse(
+// inverse returns the operations that restore each object changed by the version.
+func (r *execution) inverse(
 	ctx context.Context, base *bfconfig.State, version bfconfig.Version, ops []bfconfig.Op,
 ) ([]bfconfig.Op, error) {
 	seen := map[bfconfig.Ref]bool{}
@@ -44,18 +43,18 @@
 			continue
 		}
 		seen[ref] = true
-		// The two newest items are the version's own and the one before it.
-		const newest = 2
-		history, err := r.backend.History(ctx, ref, newest)
+		// The latest two items are the version's own and the one before it.
+		const limit = 2
+		history, err := r.backend.History(ctx, ref, limit)
 		if err != nil {
 			return nil, err
 		}
-		back, err := inverseOp(base, version, ref, history)
+		undo, err := inverseOp(base, version, ref, history)
 		if err != nil {
 			return nil, err
 		}
-		if back != nil {
-			inverse = append(inverse, back)
+		if undo != nil {
+			inverse = append(inverse, undo)
 		}
 	}
 	if len(inverse) == 0 {
@@ -64,22 +63,21 @@
 	return inverse, nil
 }
 
-// inverseOp is the operation that puts one object back, or nil where there is nothing to do.
+// inverseOp returns the operation that restores one object, or nil if none is needed.
 //
-// An object that a later version changed is left alone: putting it back to what
-// it was before would take the later change back too, without a word to its
-// author.
+// It returns a *ChangedSinceError for an object that a later version changed, since
+// restoring it would silently revert the later change too.
 func inverseOp(
 	base *bfconfig.State, version bfconfig.Version, ref bfconfig.Ref, history History,
 ) (bfconfig.Op, error) {
 	if len(history.Items) == 0 {
-		return nil, &HistoryGoneError{Ref: ref, Undone: version}
+		return nil, &HistoryExpiredError{Ref: ref, Undone: version}
 	}
 	if later := max(history.Items[0].Version, base.Revision(ref)); later != version {
 		return nil, &ChangedSinceError{Ref: ref, Undone: version, Later: later}
 	}
 	if len(history.Items) < 2 && !history.Complete {
-		return nil, &HistoryGoneError{Ref: ref, Undone: version}
+		return nil, &HistoryExpiredError{Ref: ref, Undone: version}
 	}
 	if len(history.Items) >= 2 {
 		if before, wasPut := history.Items[1].Op.(bfconfig.Put); wasPut {
--- a/lib/bfquery/undo_test.go
+++ b/lib/bfquery/undo_test.go
@@ -15,8 +15,8 @@
 	"bilberryflow.org/lib/bfquery/bfsyntax"
 )
 
-// content is a state's objects without their revisions.
-func content(state *bfconfig.State) map[bfconfig.Ref]bfconfig.Object {
+// objectsOf returns the services of a state without their revisions.
+func objectsOf(state *bfconfig.State) map[bfconfig.Ref]bfconfig.Object {
 	objects := map[bfconfig.Ref]bfconfig.Object{}
 	for _, object := range state.Objects(bfconfig.KindService) {
 		objects[object.Ref()] = object
@@ -34,7 +34,7 @@
 	}).Draw(t, "edit")
 }
 
-// naivePlan runs edits on a map of slots by name and reports whether all of them fit.
+// naivePlan applies edits to a map of slots by name and reports whether all of them are valid.
 func naivePlan(slots map[string]int, edits []bfsyntax.Edit) (map[string]int, bool) {
 	next := map[string]int{}
 	for name, n := range slots {
@@ -63,25 +63,24 @@
 	return next, true
 }
 
-// Random staged changes and undos against a naive history. Undone, the objects
-// that a version touched are what they were before it; where a later version
-// touched one of them the undo is refused, since it would take that change back
-// without its author hearing of it.
+// Compares random edits and undos with a naive model. An undo must restore the
+// objects that the version changed, and must be refused if a later version changed
+// one of them.
 func TestPlanAndUndoAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		node := newFakeNode()
-		r := &run{backend: node}
-		naive := []map[string]int{{}}
+		r := &execution{backend: node}
+		model := []map[string]int{{}}
 		touched := [][]bfconfig.Ref{nil}
 		for range rapid.IntRange(1, 10).Draw(t, "steps") {
-			last := naive[len(naive)-1]
+			last := model[len(model)-1]
 			var ops []bfconfig.Op
 			var err error
 			var next map[string]int
 			var fits bool
-			if len(naive) > 1 && rapid.Bool().Draw(t, "undo") {
-				version := rapid.IntRange(1, len(naive)-1).Draw(t, "version")
-				next, fits = naiveUndo(naive, touched, version)
+			if len(model) > 1 && rapid.Bool().Draw(t, "undo") {
+				version := rapid.IntRange(1, len(model)-1).Draw(t, "version")
+				next, fits = naiveUndo(model, touched, version)
 				undone, _ := node.VersionOps(context.Background(), bfconfig.Version(version))
 				ops, err = r.inverse(context.Background(), node.State(), bfconfig.Version(version), undone)
 				if isA[*NothingToUndoError](err) && fits && fmt.Sprint(next) == fmt.Sprint(last) {
@@ -101,7 +100,7 @@
 			if err := node.commit(bfconfig.NewChange("id", "marta", node.now, ops)); err != nil {
 				t.Fatal(err)
 			}
-			naive, touched = append(naive, next), append(touched, node.log[len(node.log)-1].Objects)
+			model, touched = append(model, next), append(touched, node.log[len(node.log)-1].Objects)
 			if got := slotsOf(node.State()); fmt.Sprint(got) != fmt.Sprint(next) {
 				t.Fatalf("%v instead of %v", got, next)
 			}
@@ -111,7 +110,7 @@
 
 func slotsOf(state *bfconfig.State) map[string]int {
 	slots := map[string]int{}
-	for ref, object := range content(state) {
+	for ref, object := range objectsOf(state) {
 		slots[ref.Name] = object.(bfconfig.ServiceSpec).Slots
 	}
 	return slots
@@ -138,17 +137,17 @@
 	return next, true
 }
 
-// The version before the one to undo is no longer kept. Read as "the object did
-// not exist before", the undo would remove a service that is in use.
+// If the version before the one to undo is no longer stored, the undo must be
+// refused instead of removing the object.
 func TestUndoWithoutHistoryIsRefused(t *testing.T) {
 	is := is.New(t)
 	c := &client{node: newFakeNode()}
-	stageOne(t, c, "stage a create service docs slots 4; confirm a; stage b change service docs slots 9; confirm b")
-	c.node.kept = 1
-	r := &run{backend: c.node}
+	mustSend(t, c, "stage a create service docs slots 4; confirm a; stage b change service docs slots 9; confirm b")
+	c.node.retained = 1
+	r := &execution{backend: c.node}
 	_, err := r.inverse(context.Background(), c.node.State(), 2, c.node.ops[1])
-	var gone *HistoryGoneError
-	is.True(errors.As(err, &gone))
+	var expired *HistoryExpiredError
+	is.True(errors.As(err, &expired))
 	results, status, err := c.send("undo 2; confirm undo-2")
 	is.NoErr(err)
 	is.Equal(status, bfresult.StatusRefused)
