--- a/lib/bfrender/doc.go
+++ b/lib/bfrender/doc.go
@@ -1,3 +1,3 @@
-// Package bfrender writes results for people, as aligned tables and sentences,
-// and for scripts, as one JSON document a line.
+// Package bfrender formats command results as text, with aligned tables, and as
+// JSON, one document per line.
 package bfrender
--- a/lib/bfrender/json.go
+++ b/lib/bfrender/json.go
@@ -23,7 +23,7 @@
 	*bfresult.OutcomeMessage
 }
 
-// errorDocument gives the failure's own kind another name, for every document has a kind.
+// errorDocument encodes the failure's kind as "failure", since "kind" is the type of the document.
 type errorDocument struct {
 	Kind        string               `json:"kind"`
 	FailureKind bfresult.FailureKind `json:"failure"`
@@ -37,13 +37,13 @@
 	Rows    []rowDocument     `json:"rows"`
 }
 
-// rowDocument is a row as an object whose fields have the order of the columns.
+// rowDocument encodes a row as an object with its fields in the order of the columns.
 type rowDocument struct {
 	columns []bfresult.Column
 	cells   []json.RawMessage
 }
 
-// MarshalJSON writes the row as an object.
+// MarshalJSON encodes the row as an object.
 func (r rowDocument) MarshalJSON() ([]byte, error) {
 	var text bytes.Buffer
 	for i, column := range r.columns {
@@ -73,7 +73,7 @@
 	return json.NewEncoder(w).Encode(documentOf(message))
 }
 
-// documentOf names the kind of the one field that is set.
+// documentOf wraps the one field that is set in a document with its kind.
 func documentOf(m bfresult.ResultMessage) any {
 	switch {
 	case m.Table != nil:
--- a/lib/bfrender/render_test.go
+++ b/lib/bfrender/render_test.go
@@ -14,9 +14,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// The results hold what hurts: names with escape sequences and tabs, which
-// could clear an operator's screen or push a cell under another column, empty
-// cells, and text beside which a caret must still stand right.
+// results includes names with escape sequences and tabs, empty cells, and a syntax
+// error whose line needs replacements to keep the caret aligned.
 func results() []bfresult.Result {
 	columns := []bfresult.Column{
 		{Name: "name", Type: bfresult.TypeText}, {Name: "slots", Type: bfresult.TypeNumber},
@@ -48,7 +47,7 @@
 	}
 }
 
-func TestGolden(t *testing.T) {
+func TestOutputGolden(t *testing.T) {
 	is := is.New(t)
 	var text, documents bytes.Buffer
 	for _, result := range results() {
@@ -65,9 +64,9 @@
 	}
 }
 
-// The column of an error comes from a node's answer; whatever it is, the client
-// neither panics nor prints without end.
-func TestColumnsOutOfRange(t *testing.T) {
+// An invalid error column in a node's response must not cause a panic or unbounded
+// output.
+func TestErrorColumnOutOfRange(t *testing.T) {
 	is := is.New(t)
 	for _, column := range []int{-5, 0, 1, 1 << 60} {
 		var text bytes.Buffer
--- a/lib/bfrender/text.go
+++ b/lib/bfrender/text.go
@@ -11,19 +11,20 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// ResultError reports a result of a type that can't be rendered.
+// ResultError reports a result of an unsupported type.
 type ResultError struct{ Result bfresult.Result }
 
-// Error names the type.
+// Error returns the type.
 func (e *ResultError) Error() string { return fmt.Sprintf("result of unknown type %T", e.Result) }
 
-// Text writes a result for people.
+// Text writes a result as human-readable text. It returns a *ResultError for a result
+// of unknown type, a *bfresult.RowError for an invalid table, or the writer's error.
 func Text(w io.Writer, result bfresult.Result) error {
 	switch r := result.(type) {
 	case bfresult.Table:
 		return writeTable(w, r)
 	case bfresult.Message:
-		return writeLine(w, cleanLines(r.Text))
+		return writeLine(w, quoteUnsafeLines(r.Text))
 	case bfresult.Progress:
 		return writeLine(w, progressText(r))
 	case bfresult.Outcome:
@@ -44,15 +45,15 @@
 		return err
 	}
 	if len(t.Rows) == 0 {
-		return writeLine(w, "no rows in "+clean(t.Name))
+		return writeLine(w, "no rows in "+quoteUnsafe(t.Name))
 	}
-	const gap = 2
-	aligned := tabwriter.NewWriter(w, 0, 0, gap, ' ', 0)
+	const padding = 2
+	aligned := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
 	titles := make([]string, 0, len(t.Columns))
 	for _, column := range t.Columns {
-		titles = append(titles, clean(strings.ToUpper(column.Name)))
+		titles = append(titles, quoteUnsafe(strings.ToUpper(column.Name)))
 	}
-	// The writer keeps everything in memory until Flush, which reports its errors.
+	// Errors can be ignored here: the tabwriter buffers its output, and Flush reports them.
 	fmt.Fprintln(aligned, strings.Join(titles, "\t"))
 	for _, row := range t.Rows {
 		fmt.Fprintln(aligned, rowText(row))
@@ -63,9 +64,9 @@
 func rowText(row []bfresult.Cell) string {
 	texts := make([]string, 0, len(row))
 	for _, cell := range row {
-		text := clean(cell.String())
+		text := quoteUnsafe(cell.String())
 		if text == "" {
-			// An empty cell would make its neighbour look like its own.
+			// Keeps the columns distinguishable if a cell is empty.
 			text = "-"
 		}
 		texts = append(texts, text)
@@ -73,11 +74,11 @@
 	return strings.Join(texts, "\t")
 }
 
-// clean quotes text that a terminal would not show as it is.
+// quoteUnsafe quotes text that contains characters a terminal does not print.
 //
-// Names of tenants and instances come from callers; an escape sequence in one
+// Names of tenants and instances come from callers; escape sequences in them
 // could clear an operator's screen or hide a row.
-func clean(text string) string {
+func quoteUnsafe(text string) string {
 	unsafe := func(r rune) bool { return !unicode.IsGraphic(r) || r == unicode.ReplacementChar }
 	if strings.ContainsFunc(text, unsafe) {
 		return strconv.QuoteToGraphic(text)
@@ -85,10 +86,10 @@
 	return text
 }
 
-func cleanLines(text string) string {
+func quoteUnsafeLines(text string) string {
 	lines := strings.Split(text, "\n")
 	for i, line := range lines {
-		lines[i] = clean(line)
+		lines[i] = quoteUnsafe(line)
 	}
 	return strings.Join(lines, "\n")
 }
@@ -105,19 +106,19 @@
 }
 
 func outcomeText(o bfresult.Outcome) string {
-	text := clean(string(o.Status)) + ": " + cleanLines(o.Summary)
+	text := quoteUnsafe(string(o.Status)) + ": " + quoteUnsafeLines(o.Summary)
 	if o.RetryAfter > 0 {
 		text += "; try again in " + bfresult.FormatDuration(o.RetryAfter)
 	}
 	if o.ChangeID != "" && !strings.Contains(o.Summary, o.ChangeID) {
-		text += " (" + idName(o.Status) + " " + clean(o.ChangeID) + ")"
+		text += " (" + idLabel(o.Status) + " " + quoteUnsafe(o.ChangeID) + ")"
 	}
 	return text
 }
 
-// idName tells an ID that can be asked for again from one of another change,
-// which is found in the list of versions.
-func idName(status bfresult.Status) string {
+// idLabel distinguishes the command's own ID, which can be confirmed again, from the
+// ID of the conflicting change, which show versions lists.
+func idLabel(status bfresult.Status) string {
 	if status == bfresult.StatusConflict {
 		return "change"
 	}
@@ -125,16 +126,16 @@
 }
 
 func failureText(f bfresult.Failure) string {
-	text := clean(string(f.Kind)) + ": " + cleanLines(f.Message)
+	text := quoteUnsafe(string(f.Kind)) + ": " + quoteUnsafeLines(f.Message)
 	if f.Column < 1 || f.Excerpt == "" {
 		return text
 	}
-	return text + "\n  " + plain(f.Excerpt) + "\n  " + caretLine(f.Column)
+	return text + "\n  " + replaceNonGraphic(f.Excerpt) + "\n  " + caretLine(f.Column)
 }
 
-// plain replaces what a terminal would not show as one character, so that the
-// caret under the line stands at its place.
-func plain(line string) string {
+// replaceNonGraphic replaces characters that a terminal does not print with spaces, so
+// that the caret below the line is aligned.
+func replaceNonGraphic(line string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsGraphic(r) {
 			return r
@@ -143,8 +144,9 @@
 	}, line)
 }
 
-// caretLine is bounded since the column comes from the node's answer.
+// caretLine marks a column. The column comes from the node's response and is limited,
+// so that an invalid one can't produce unbounded output.
 func caretLine(column int) string {
-	const longest = 1000
-	return strings.Repeat(" ", min(column, longest)-1) + "^"
+	const maxColumn = 1000
+	return strings.Repeat(" ", min(column, maxColumn)-1) + "^"
 }
