--- a/lib/bfoperator/doc.go
+++ b/lib/bfoperator/doc.go
@@ -1,3 +1,3 @@
-// Package bfoperator is the operators' port of a node: commands for the query
-// language under a token, and the process's metrics.
+// Package bfoperator is the HTTP handler of a node's operator endpoint, which
+// executes commands, with token authentication, and exposes the process's metrics.
 package bfoperator
--- a/lib/bfoperator/handler.go
+++ b/lib/bfoperator/handler.go
@@ -15,38 +15,38 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// CommandPath is where commands are posted.
+// CommandPath is the URL path to which clients post commands.
 const CommandPath = "/v1/commands"
 
 const (
-	// maxCommand is the longest request in bytes.
-	maxCommand = 1 << 20
-	// maxDuration ends a request that watches for too long.
-	maxDuration = time.Hour
+	// maxRequestBytes is the maximum size of a request body.
+	maxRequestBytes = 1 << 20
+	// maxRequestDuration limits the duration of a request, such as a long watch.
+	maxRequestDuration = time.Hour
 )
 
-// Token lets one operator in.
+// Token authenticates one operator.
 type Token struct {
-	// Name is the author of what the operator does.
+	// Name is recorded as the author of the operator's changes.
 	Name   string `json:"name" jsonschema:"minLength=1,description=Author of the changes made under this token."`
 	Secret string `json:"secret" jsonschema:"minLength=16,description=What the operator's client sends."`
 }
 
-// anybody is the author where no token is asked for.
-const anybody = "anybody"
+// anonymousAuthor is the author of unauthenticated requests.
+const anonymousAuthor = "anybody"
 
-// Handler is the operators' port.
+// Handler serves the operator endpoint of a node.
 type Handler struct {
 	backend bfquery.Backend
-	// authors maps the hash of a secret to its author: comparing hashes tells
-	// nothing by its time about how much of a guess was right.
+	// authors maps the hash of a secret to its author. Comparing hashes prevents
+	// timing attacks on the secret.
 	authors map[[sha256.Size]byte]string
-	// open lets everybody in.
-	open bool
-	mux  *http.ServeMux
+	// allowAnonymous disables authentication.
+	allowAnonymous bool
+	mux            *http.ServeMux
 }
 
-// New makes the operators' port of a node.
+// New returns a handler that requires one of the tokens for commands.
 func New(backend bfquery.Backend, tokens []Token) *Handler {
 	h := &Handler{backend: backend, authors: map[[sha256.Size]byte]string{}, mux: http.NewServeMux()}
 	for _, token := range tokens {
@@ -57,29 +57,28 @@
 	return h
 }
 
-// NewOpen makes the operators' port of a node whose backend changes nothing: like
-// the metrics beside it, it asks for no token.
+// NewOpen returns a handler without authentication, for a backend that is read-only.
 func NewOpen(backend bfquery.Backend) *Handler {
 	h := New(backend, nil)
-	h.open = true
+	h.allowAnonymous = true
 	return h
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// author is whose token the request carries, or why none is.
+// author returns the author of the request's token, or the reason for refusing it.
 func (h *Handler) author(r *http.Request) (author, refusal string) {
-	if h.open {
-		return anybody, ""
+	if h.allowAnonymous {
+		return anonymousAuthor, ""
 	}
 	secret, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || secret == "" {
 		return "", "no token was sent"
 	}
-	given := sha256.Sum256([]byte(secret))
+	hash := sha256.Sum256([]byte(secret))
 	for known, name := range h.authors {
-		if subtle.ConstantTimeCompare(known[:], given[:]) == 1 {
+		if subtle.ConstantTimeCompare(known[:], hash[:]) == 1 {
 			return name, ""
 		}
 	}
@@ -94,7 +93,7 @@
 		return
 	}
 	var request bfresult.CommandRequest
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommand))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&request); err != nil {
 		http.Error(w, fmt.Sprintf("not a command request: %v", err), http.StatusBadRequest)
@@ -103,7 +102,7 @@
 	h.serve(w, r, author, request)
 }
 
-// serve streams the results, each as soon as it is there.
+// serve streams the results and flushes each one.
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, author string, request bfresult.CommandRequest) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	encoder, control := json.NewEncoder(w), http.NewResponseController(w)
@@ -113,10 +112,11 @@
 		}
 		return control.Flush()
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), maxDuration)
+	ctx, cancel := context.WithTimeout(r.Context(), maxRequestDuration)
 	defer cancel()
 	if err := bfquery.Serve(ctx, author, request, h.backend, emit); err != nil {
-		// Without its end message the client takes the answer for cut, which it is.
+		// Aborts the connection; the missing end message tells the client that the
+		// response is truncated.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/lib/bfoperator/handler_test.go
+++ b/lib/bfoperator/handler_test.go
@@ -9,9 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator whose token is wrong must read that it is the token, and one who
-// sent none that it was not sent: "a token is needed" sent both looking for the
-// wrong mistake. No command of either may run.
+// A missing and an invalid token must give different messages, and neither request
+// may run a command.
 func TestTokens(t *testing.T) {
 	is := is.New(t)
 	h := New(nil, []Token{{Name: "anna", Secret: "anna-secret-0123456789"}})
@@ -32,9 +31,9 @@
 		if c.header != "" {
 			request.Header.Set("Authorization", c.header)
 		}
-		answer := httptest.NewRecorder()
-		h.ServeHTTP(answer, request)
-		is.Equal(answer.Code, c.code)
-		is.True(strings.Contains(answer.Body.String(), c.text))
+		response := httptest.NewRecorder()
+		h.ServeHTTP(response, request)
+		is.Equal(response.Code, c.code)
+		is.True(strings.Contains(response.Body.String(), c.text))
 	}
 }
