--- a/lib/bfinspect/census.go
+++ b/lib/bfinspect/census.go
@@ -27,9 +27,9 @@
 
 // response is the result of the query to one member.
 type response struct {
-	member  bffleet.Member
-	version bftraffic.Version
-	reached bool
+	member    bffleet.Member
+	version   bftraffic.Version
+	reachable bool
 }
 
 // Census queries every member in the scope for the version in force on it.
@@ -46,10 +46,10 @@
 // Nodes queries every member for the version in force on it.
 func (b *Backend) Nodes(ctx context.Context) ([]bfquery.Node, error) {
 	var list []bfquery.Node
-	for _, a := range b.queryAll(ctx, b.parts.Fleet.Members()) {
+	for _, r := range b.queryAll(ctx, b.parts.Fleet.Members()) {
 		list = append(list, bfquery.Node{
-			Instance: a.member.Name(), Region: b.parts.Region, Domain: a.member.Domain,
-			Version: bfconfig.Version(a.version), Reachable: a.reached,
+			Instance: r.member.Name(), Region: b.parts.Region, Domain: r.member.Domain,
+			Version: bfconfig.Version(r.version), Reachable: r.reachable,
 		})
 	}
 	return list, ctx.Err()
@@ -106,16 +106,16 @@
 func (b *Backend) count(responses []response) bfcensus.Census {
 	domains := map[string]*bfcensus.Domain{}
 	census := bfcensus.Census{Versions: map[bfconfig.Version]int{}}
-	for _, a := range responses {
-		domain := domains[a.member.Domain]
+	for _, r := range responses {
+		domain := domains[r.member.Domain]
 		if domain == nil {
-			domain = &bfcensus.Domain{Region: b.parts.Region, Domain: a.member.Domain}
-			domains[a.member.Domain] = domain
+			domain = &bfcensus.Domain{Region: b.parts.Region, Domain: r.member.Domain}
+			domains[r.member.Domain] = domain
 		}
-		version := bfconfig.Version(a.version)
-		if !a.reached {
+		version := bfconfig.Version(r.version)
+		if !r.reachable {
 			domain.Unreachable++
-			census.Unreachable = append(census.Unreachable, a.member.Name())
+			census.Unreachable = append(census.Unreachable, r.member.Name())
 			continue
 		}
 		if domain.Nodes == 0 || version < domain.Oldest {
--- a/lib/bfinspect/inspect_test.go
+++ b/lib/bfinspect/inspect_test.go
@@ -79,14 +79,14 @@
 func TestCommandOutputGolden(t *testing.T) {
 	var output strings.Builder
 	b := newBackend(t)
-	for _, text := range []string{
+	for _, command := range []string{
 		"in force everywhere", "in force in domain nord", "in force in domain west", "in force at node portal-2", "in force at node nobody",
 		"show members", "show targets where service = vault", "show nodes where reachable = no",
 		"explain GET //portal.example/sheets/logo", "explain GET //portal.example/other", "explain GET /sheets/logo",
 		"show routes", "show versions", "confirm autumn", "drain portal-1", "show quarantine",
 		"release 135e03bf6d19a791a015dc102f6fbdfb", "history of route sheets",
 	} {
-		output.WriteString("> " + text + "\n" + runCommands(t, b, text) + "\n")
+		output.WriteString("> " + command + "\n" + runCommands(t, b, command) + "\n")
 	}
 	bfgolden.Check(t, filepath.Join("testdata", "operator.txt"), output.String())
 }
--- a/lib/bfquery/fake_test.go
+++ b/lib/bfquery/fake_test.go
@@ -30,22 +30,22 @@
 	afterState func()
 	confirms   int
 	// retained is the number of versions per object that History returns; 0 means all.
-	retained int
-	census   []bfcensus.Census
-	drained  []string
-	book     *bfquarantine.Book
+	retained   int
+	census     []bfcensus.Census
+	drained    []string
+	quarantine *bfquarantine.Book
 }
 
 func newFakeNode() *fakeNode {
 	f := &fakeNode{
-		now:    time.Date(2026, 12, 24, 15, 55, 0, 0, time.UTC),
-		states: []*bfconfig.State{bfconfig.Empty()},
-		staged: map[string]StagedChange{},
-		book:   bfquarantine.New("n"),
+		now:        time.Date(2026, 12, 24, 15, 55, 0, 0, time.UTC),
+		states:     []*bfconfig.State{bfconfig.Empty()},
+		staged:     map[string]StagedChange{},
+		quarantine: bfquarantine.New("n"),
 	}
 	for at, name := range []string{"held", "held", "held", "apart", "apart", "noted"} {
 		key := bfquarantine.KeyOf(bfquarantine.Request{Method: "GET", Target: "/" + name, Caller: "agency-7"})
-		f.book.Crashed(bfquarantine.Crash(at), []bfquarantine.Key{key}, f.now.Add(time.Duration(at-10)*time.Second))
+		f.quarantine.Crashed(bfquarantine.Crash(at), []bfquarantine.Key{key}, f.now.Add(time.Duration(at-10)*time.Second))
 	}
 	return f
 }
@@ -241,9 +241,9 @@
 	}, nil
 }
 
-func (f *fakeNode) Quarantine() []bfquarantine.Item { return f.book.List(f.Now()) }
+func (f *fakeNode) Quarantine() []bfquarantine.Item { return f.quarantine.List(f.Now()) }
 
-func (f *fakeNode) Release(content string) error { return ReleaseIn(f.book, content, f.Now()) }
+func (f *fakeNode) Release(content string) error { return ReleaseIn(f.quarantine, content, f.Now()) }
 
 func (f *fakeNode) Drain(_ context.Context, instance string) error {
 	if instance != "portal-core-1" {
--- a/lib/bfquery/undo.go
+++ b/lib/bfquery/undo.go
@@ -49,12 +49,12 @@
 		if err != nil {
 			return nil, err
 		}
-		undo, err := inverseOp(base, version, ref, history)
+		restore, err := inverseOp(base, version, ref, history)
 		if err != nil {
 			return nil, err
 		}
-		if undo != nil {
-			inverse = append(inverse, undo)
+		if restore != nil {
+			inverse = append(inverse, restore)
 		}
 	}
 	if len(inverse) == 0 {
--- a/lib/bfquery/undo_test.go
+++ b/lib/bfquery/undo_test.go
@@ -77,22 +77,22 @@
 			var ops []bfconfig.Op
 			var err error
 			var next map[string]int
-			var fits bool
+			var valid bool
 			if len(model) > 1 && rapid.Bool().Draw(t, "undo") {
 				version := rapid.IntRange(1, len(model)-1).Draw(t, "version")
-				next, fits = naiveUndo(model, touched, version)
+				next, valid = naiveUndo(model, touched, version)
 				undone, _ := node.VersionOps(context.Background(), bfconfig.Version(version))
 				ops, err = r.inverse(context.Background(), node.State(), bfconfig.Version(version), undone)
-				if isA[*NothingToUndoError](err) && fits && fmt.Sprint(next) == fmt.Sprint(last) {
+				if isA[*NothingToUndoError](err) && valid && fmt.Sprint(next) == fmt.Sprint(last) {
 					continue
 				}
 			} else {
 				edits := rapid.SliceOfN(rapid.Custom(serviceEdit), 1, 3).Draw(t, "edits")
-				next, fits = naivePlan(last, edits)
+				next, valid = naivePlan(last, edits)
 				ops, err = bfplan.Plan(node.State(), edits)
 			}
-			if (err == nil) != fits {
-				t.Fatalf("error %v, but it fits: %v", err, fits)
+			if (err == nil) != valid {
+				t.Fatalf("error %v, expected valid: %v", err, valid)
 			}
 			if err != nil {
 				continue
@@ -116,9 +116,9 @@
 	return slots
 }
 
-func naiveUndo(naive []map[string]int, touched [][]bfconfig.Ref, version int) (map[string]int, bool) {
+func naiveUndo(model []map[string]int, touched [][]bfconfig.Ref, version int) (map[string]int, bool) {
 	next := map[string]int{}
-	for name, n := range naive[len(naive)-1] {
+	for name, n := range model[len(model)-1] {
 		next[name] = n
 	}
 	for _, ref := range touched[version] {
@@ -130,7 +130,7 @@
 			}
 		}
 		delete(next, ref.Name)
-		if before, existed := naive[version-1][ref.Name]; existed {
+		if before, existed := model[version-1][ref.Name]; existed {
 			next[ref.Name] = before
 		}
 	}
