--- a/lib/bfslot/gate.go
+++ b/lib/bfslot/gate.go
@@ -8,43 +8,46 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Gate hands out the slots of one target, as its Queue decides.
+// Gate hands out the slots of one target in the order given by its Queue. It is safe
+// for concurrent use.
 type Gate struct {
 	timer *bftimer.Service
 
 	mu    sync.Mutex
 	queue *Queue
-	// granted has a channel for each request that waits: true for a slot, false for none.
+	// granted has a channel for each waiting request. It receives true when the request
+	// gets a slot, and false when its wait times out.
 	granted map[*Ticket]chan bool
 }
 
-// New makes a gate with no slots; Resize gives it some.
+// New returns a gate without slots; call Resize to add some.
 func New(timer *bftimer.Service) *Gate {
 	return &Gate{timer: timer, queue: NewQueue(0), granted: map[*Ticket]chan bool{}}
 }
 
-// Resize sets the number of slots.
+// Resize sets the number of slots and admits waiting requests to the free ones.
 func (g *Gate) Resize(slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.admit(g.queue.Resize(slots))
 }
 
-// Load is how many slots are in use, requests that wait included, and how many there are.
+// Load returns the number of running and waiting requests, and the number of slots.
 func (g *Gate) Load() (used, slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Load()
 }
 
-// Running is how long a request of a class holds a slot in the mean, 0 where none has.
+// Running returns the moving average of how long requests of a class hold a slot, or 0
+// before the first one has released its slot.
 func (g *Gate) Running(class string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Running(class)
 }
 
-// Slot is one request's place at the target; Release gives it back.
+// Slot is a slot held by one request until Release.
 type Slot struct {
 	gate  *Gate
 	class string
@@ -52,8 +55,8 @@
 	once  sync.Once
 }
 
-// Acquire gives the request a slot at once or within its patience. Its errors
-// are FullError and ctx's.
+// Acquire returns a slot, waiting for it for at most request.Patience. It returns a
+// FullError if no slot is free in time, or the error of ctx.
 func (g *Gate) Acquire(ctx context.Context, request Request) (*Slot, error) {
 	ticket, granted, err := g.enter(request)
 	if err != nil {
@@ -65,8 +68,8 @@
 	expiry := g.timer.After(request.Patience, func(time.Time) { g.leave(ticket) })
 	defer expiry.Stop()
 	select {
-	case has := <-granted:
-		if !has {
+	case gotSlot := <-granted:
+		if !gotSlot {
 			return nil, g.full()
 		}
 		return g.slot(request), nil
@@ -83,7 +86,8 @@
 	return &Slot{gate: g, class: request.Class, since: g.timer.Now()}
 }
 
-// enter takes a slot, or gives the ticket that stands for the request and its channel.
+// enter takes a free slot and returns a nil ticket, or queues the request and returns
+// its ticket and the channel that reports the outcome of the wait.
 func (g *Gate) enter(request Request) (*Ticket, <-chan bool, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,12 +100,12 @@
 	return ticket, granted, nil
 }
 
-// leave ends a wait without a slot, unless it was granted one already.
+// leave ends a wait without a slot, unless a slot was already granted.
 func (g *Gate) leave(ticket *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.queue.Leave(ticket) {
-		g.tell(ticket, false)
+		g.notify(ticket, false)
 	}
 }
 
@@ -111,20 +115,20 @@
 	return g.queue.Full()
 }
 
-// admit tells those that got a slot; it needs the lock.
+// admit notifies the requests that got a slot. The caller must hold mu.
 func (g *Gate) admit(tickets []*Ticket) {
 	for _, ticket := range tickets {
-		g.tell(ticket, true)
+		g.notify(ticket, true)
 	}
 }
 
-// tell needs the lock.
-func (g *Gate) tell(ticket *Ticket, has bool) {
-	g.granted[ticket] <- has
+// notify sends the outcome of a wait. The caller must hold mu.
+func (g *Gate) notify(ticket *Ticket, gotSlot bool) {
+	g.granted[ticket] <- gotSlot
 	delete(g.granted, ticket)
 }
 
-// Release gives the slot back.
+// Release gives the slot back; further calls do nothing.
 func (s *Slot) Release() {
 	s.once.Do(func() {
 		g := s.gate
--- a/lib/bfslot/gate_test.go
+++ b/lib/bfslot/gate_test.go
@@ -13,8 +13,8 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// under runs fn on a gate of a number of slots, in simulated time.
-func under(t *testing.T, slots int, fn func(is *is.I, g *Gate, group *bfgroup.Group)) {
+// withGate runs fn on a gate with a number of slots, in simulated time.
+func withGate(t *testing.T, slots int, fn func(is *is.I, g *Gate, group *bfgroup.Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		timer := bftimer.New(1)
@@ -30,8 +30,8 @@
 	})
 }
 
-func TestNoMoreThanTheSlots(t *testing.T) {
-	under(t, 2, func(is *is.I, g *Gate, _ *bfgroup.Group) {
+func TestAcquireNeverExceedsSlots(t *testing.T) {
+	withGate(t, 2, func(is *is.I, g *Gate, _ *bfgroup.Group) {
 		ctx := context.Background()
 		first, err := g.Acquire(ctx, Request{})
 		is.NoErr(err)
@@ -42,7 +42,7 @@
 		is.True(errors.As(err, &full))
 		is.True(full.RetryAfter > 0)
 		first.Release()
-		first.Release() // a second one gives nothing back
+		first.Release() // a second call has no effect
 		_, err = g.Acquire(ctx, Request{})
 		is.NoErr(err)
 		_, err = g.Acquire(ctx, Request{})
@@ -50,10 +50,10 @@
 	})
 }
 
-// A look-up holds a slot elsewhere while its nested call waits here. Callers'
-// own requests that came earlier, and rank higher, must not go before it.
+// Guards against nested calls, whose parents hold slots elsewhere, waiting behind
+// earlier or higher-ranked requests of callers.
 func TestNestedCallsGoFirst(t *testing.T) {
-	under(t, 1, func(is *is.I, g *Gate, group *bfgroup.Group) {
+	withGate(t, 1, func(is *is.I, g *Gate, group *bfgroup.Group) {
 		held, err := g.Acquire(context.Background(), Request{})
 		is.NoErr(err)
 		got := make(chan string, 3)
@@ -84,8 +84,8 @@
 	})
 }
 
-func TestPatienceEnds(t *testing.T) {
-	under(t, 1, func(is *is.I, g *Gate, _ *bfgroup.Group) {
+func TestAcquireTimesOut(t *testing.T) {
+	withGate(t, 1, func(is *is.I, g *Gate, _ *bfgroup.Group) {
 		_, err := g.Acquire(context.Background(), Request{})
 		is.NoErr(err)
 		began := time.Now()
@@ -94,14 +94,13 @@
 		is.True(errors.As(err, &full))
 		is.Equal(time.Since(began), 140*time.Millisecond)
 		used, _ := g.Load()
-		is.Equal(used, 1) // the one that gave up waits no more
+		is.Equal(used, 1) // the request that timed out has left the queue
 	})
 }
 
-// A caller leaves in the moment in which it is given a slot. The slot must not
-// be lost: a target would serve one request less for good.
-func TestSlotOfALeaverIsNotLost(t *testing.T) {
-	under(t, 1, func(is *is.I, g *Gate, group *bfgroup.Group) {
+// Guards against losing a slot that is granted at the moment its waiter is cancelled.
+func TestSlotOfCancelledWaiterIsNotLost(t *testing.T) {
+	withGate(t, 1, func(is *is.I, g *Gate, group *bfgroup.Group) {
 		for range 500 {
 			held, err := g.Acquire(context.Background(), Request{})
 			is.NoErr(err)
@@ -115,7 +114,7 @@
 				return nil
 			})
 			synctest.Wait()
-			cancel() // the waiter wakes for this, and is given the slot before it has left
+			cancel() // wakes the waiter, which is granted the slot before it leaves the queue
 			held.Release()
 			<-done
 			synctest.Wait()
@@ -125,11 +124,10 @@
 	})
 }
 
-// A fleet has more to do than it can. Requests that will be late anyway leave the
-// last slots to fresh ones, whose callers are still served in time; they don't wait
-// for a slot either. While there is room they run.
-func TestLateRequestsLeaveSlotsFree(t *testing.T) {
-	under(t, 8, func(is *is.I, g *Gate, _ *bfgroup.Group) {
+// Guards against late requests taking or waiting for the last slots, which are reserved
+// for requests that can still be on time.
+func TestLateRequestsLeaveReserveFree(t *testing.T) {
+	withGate(t, 8, func(is *is.I, g *Gate, _ *bfgroup.Group) {
 		ctx := context.Background()
 		var full *FullError
 		for range 6 {
@@ -147,10 +145,9 @@
 	})
 }
 
-// A target's slots are held for half a second each. A request that can wait for less
-// than its turn takes is refused at once and told how long that is; its caller, and
-// another target, still have the time that it would have waited in vain.
-func TestWaitInVainIsRefusedAtOnce(t *testing.T) {
+// Guards against queueing a request whose expected wait exceeds its limit: it must be
+// refused at once with the expected wait.
+func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
 	const held, slots = 500 * time.Millisecond, 5
 	is := is.New(t)
 	q := NewQueue(slots)
@@ -173,8 +170,8 @@
 		is.True(ticket != nil)
 		waits++
 	}
-	is.Equal(waits, slots) // one turn for each slot lasts as long as a slot is held
+	is.Equal(waits, slots) // each of them waits for at most one hold time
 	is.Equal(full.RetryAfter, held+held/slots)
 	_, err := q.Enter(Request{Class: "call", Nested: true, Patience: time.Millisecond})
-	is.NoErr(err) // a nested call goes before them and is always let wait
+	is.NoErr(err) // a nested call goes first and may always wait
 }
--- a/lib/bfslot/queue.go
+++ b/lib/bfslot/queue.go
@@ -8,87 +8,91 @@
 	"time"
 )
 
-// Request is what the queue needs to know of a request.
+// Request holds the properties of a request that the queue uses.
 type Request struct {
-	// Class labels requests of one kind; their running times are learned together.
+	// Class groups requests whose slot hold times are averaged together.
 	Class string
-	// Nested says that a target makes the request while it runs another one.
+	// Nested is set for a request that a target makes while it runs another one.
 	Nested bool
-	// Rank orders requests that wait; 0 goes first.
+	// Rank is the priority of a waiting request; 0 goes first.
 	Rank int
-	// Late says that the request is expected to miss its objective.
+	// Late is set for a request that is expected to miss its latency objective.
 	Late bool
 	// Patience is how long the request may wait for a slot.
 	Patience time.Duration
 }
 
-// FullError reports a request that got no slot.
+// FullError is returned for a request that got no slot.
 type FullError struct {
-	// RetryAfter is when a slot is expected to be free.
+	// RetryAfter is the expected time until a slot is free.
 	RetryAfter time.Duration
 }
 
-// Error gives the time to come back.
-func (e *FullError) Error() string { return fmt.Sprintf("no slot, come back in %v", e.RetryAfter) }
+// Error returns the message with the time to retry after.
+func (e *FullError) Error() string { return fmt.Sprintf("no free slot, retry after %v", e.RetryAfter) }
 
-// Queue decides who gets the slots of one target; it is not safe for concurrent use.
+// Queue assigns the slots of one target to requests. It is not safe for concurrent use.
 type Queue struct {
 	slots   int
 	used    int
 	waiting []*Ticket
 	arrived uint64
-	// running is the mean time that requests of a class hold a slot, held that of all.
-	running map[string]time.Duration
-	held    time.Duration
+	// meanHoldByClass and meanHold are moving averages of how long requests hold a
+	// slot: those of each class, and all of them.
+	meanHoldByClass map[string]time.Duration
+	meanHold        time.Duration
 }
 
-// Ticket is a request's place among those that wait.
+// Ticket represents a waiting request.
 type Ticket struct {
 	request Request
 	arrived uint64
-	// expected is how long the request is expected to hold a slot.
+	// expected is the time for which the request is expected to hold a slot.
 	expected time.Duration
 }
 
-// NewQueue makes a queue for a number of slots.
-func NewQueue(slots int) *Queue { return &Queue{slots: slots, running: map[string]time.Duration{}} }
+// NewQueue returns an empty queue for a number of slots.
+func NewQueue(slots int) *Queue {
+	return &Queue{slots: slots, meanHoldByClass: map[string]time.Duration{}}
+}
 
-// Load is how many slots are in use, requests that wait included, and how many there are.
+// Load returns the number of running and waiting requests, and the number of slots.
 func (q *Queue) Load() (used, slots int) { return q.used + len(q.waiting), q.slots }
 
-// Running is how long a request of a class holds a slot in the mean, 0 where none has.
-func (q *Queue) Running(class string) time.Duration { return q.running[class] }
+// Running returns the moving average of how long requests of a class hold a slot, or 0
+// before the first one has released its slot.
+func (q *Queue) Running(class string) time.Duration { return q.meanHoldByClass[class] }
 
-// Enter gives the request a slot, or a ticket where it has to wait. Its error is FullError.
+// Enter gives the request a slot and returns nil, or returns a ticket if it has to wait.
+// Its error is FullError.
 //
-// A request that would wait longer than it may is refused at once, by what drains
-// until its turn. One that waited in vain would come back later and have kept others
-// from their turn; those refused at once can be served elsewhere in time.
+// A request whose expected wait exceeds its limit is refused at once, so that another
+// target can still serve it in time. Waiting until the limit would delay its retry and
+// the requests behind it.
 func (q *Queue) Enter(request Request) (*Ticket, error) {
 	if q.used < q.slots-q.reserve(request) {
 		q.used++
 		return nil, nil
 	}
 	if request.Patience <= 0 || request.Late || q.slots == 0 {
-		return nil, &FullError{RetryAfter: q.drain(len(q.waiting))}
+		return nil, &FullError{RetryAfter: q.expectedWait(len(q.waiting))}
 	}
 	q.arrived++
-	t := &Ticket{request: request, arrived: q.arrived, expected: q.expected(request.Class)}
-	at, _ := slices.BinarySearchFunc(q.waiting, t, order)
-	if wait := q.drain(at); !request.Nested && wait > request.Patience {
+	t := &Ticket{request: request, arrived: q.arrived, expected: q.expectedHold(request.Class)}
+	at, _ := slices.BinarySearchFunc(q.waiting, t, compareTickets)
+	if wait := q.expectedWait(at); !request.Nested && wait > request.Patience {
 		return nil, &FullError{RetryAfter: wait}
 	}
 	q.waiting = slices.Insert(q.waiting, at, t)
 	return t, nil
 }
 
-// lateReserve is the part of the slots that late requests leave free. In a fleet
-// that has more to do than it can, they take each slot that comes free as often as
-// fresh ones do, and make those late in turn; the fleet stays late for as long as
-// callers go on asking.
+// lateReserve is the share of the slots that late requests must leave free. Without it,
+// late requests in an overloaded fleet take slots from new requests and make those
+// late too, and the fleet doesn't recover while the load lasts.
 const lateReserve = 0.15
 
-// reserve is how many slots the request leaves free.
+// reserve returns the number of slots that the request must leave free.
 func (q *Queue) reserve(request Request) int {
 	if !request.Late {
 		return 0
@@ -96,10 +100,10 @@
 	return int(math.Ceil(lateReserve * float64(q.slots)))
 }
 
-// order puts nested calls first, then higher ranks. Among equal ranks the one that
-// is expected to hold a slot for the shortest time goes first: where not all can
-// be served, most are so.
-func order(a, b *Ticket) int {
+// compareTickets orders waiting requests: nested calls first, then by rank. Within a
+// rank the shortest expected hold time goes first, which serves the most requests when
+// not all can be served.
+func compareTickets(a, b *Ticket) int {
 	return cmp.Or(
 		cmp.Compare(nestedFirst(a), nestedFirst(b)),
 		cmp.Compare(a.request.Rank, b.request.Rank),
@@ -115,7 +119,7 @@
 	return 1
 }
 
-// Leave ends a wait, and reports whether the request was still waiting.
+// Leave removes a waiting request, and reports whether it was still waiting.
 func (q *Queue) Leave(t *Ticket) bool {
 	at := slices.Index(q.waiting, t)
 	if at < 0 {
@@ -125,56 +129,56 @@
 	return true
 }
 
-// Full is the refusal of a request that waited for as long as it may.
-func (q *Queue) Full() *FullError { return &FullError{RetryAfter: q.drain(len(q.waiting))} }
+// Full returns the error for a request whose wait timed out.
+func (q *Queue) Full() *FullError { return &FullError{RetryAfter: q.expectedWait(len(q.waiting))} }
 
 const (
-	// usualRunning stands for a running time as long as none was measured.
-	usualRunning = 100 * time.Millisecond
-	// learnShare is how much one request counts in the mean of its class: about the
-	// last ten decide. heldShare is that in the mean of all, whose classes differ.
-	learnShare = 10
-	heldShare  = 30
+	// defaultHold is the expected hold time while there are no samples.
+	defaultHold = 100 * time.Millisecond
+	// classWindow and overallWindow are the numbers of requests over which the moving
+	// averages are taken; the average over all classes varies more and needs more.
+	classWindow   = 10
+	overallWindow = 30
 )
 
-// expected is how long a request of the class is expected to hold a slot.
-func (q *Queue) expected(class string) time.Duration {
-	if mean, known := q.running[class]; known {
+// expectedHold returns how long a request of the class is expectedHold to hold a slot.
+func (q *Queue) expectedHold(class string) time.Duration {
+	if mean, known := q.meanHoldByClass[class]; known {
 		return mean
 	}
-	return usualRunning
+	return defaultHold
 }
 
-// drain is how long it takes until one more request gets a slot with so many ahead of it.
-func (q *Queue) drain(ahead int) time.Duration {
-	held := cmp.Or(q.held, usualRunning)
+// expectedWait returns the time until a request with that many ahead of it gets a slot.
+func (q *Queue) expectedWait(ahead int) time.Duration {
+	held := cmp.Or(q.meanHold, defaultHold)
 	return held * time.Duration(1+ahead) / time.Duration(max(q.slots, 1))
 }
 
-// Resize sets the number of slots, and gives those that wait what is free.
+// Resize sets the number of slots, and returns the waiting requests that got one.
 func (q *Queue) Resize(slots int) []*Ticket {
 	q.slots = slots
 	return q.admit()
 }
 
-// Release takes back the slot of a request of a class that held it for a time, and
-// gives it to who is first.
+// Release frees the slot of a request of a class that held it for the time given, and
+// returns the waiting requests that got a slot.
 func (q *Queue) Release(class string, held time.Duration) []*Ticket {
-	q.running[class] = learn(q.running[class], held, learnShare)
-	q.held = learn(q.held, held, heldShare)
+	q.meanHoldByClass[class] = updateMean(q.meanHoldByClass[class], held, classWindow)
+	q.meanHold = updateMean(q.meanHold, held, overallWindow)
 	q.used--
 	return q.admit()
 }
 
-// learn counts one time in a mean, 0 before the first.
-func learn(mean, value time.Duration, share time.Duration) time.Duration {
+// updateMean returns the moving average after one more sample; mean is 0 before the first.
+func updateMean(mean, sample time.Duration, window time.Duration) time.Duration {
 	if mean == 0 {
-		return value
+		return sample
 	}
-	return mean + (value-mean)/share
+	return mean + (sample-mean)/window
 }
 
-// admit gives free slots to those that wait.
+// admit gives the free slots to the first waiting requests and returns these.
 func (q *Queue) admit() []*Ticket {
 	free := min(max(q.slots-q.used, 0), len(q.waiting))
 	admitted := slices.Clone(q.waiting[:free])
