--- a/lib/bfretry/budget.go
+++ b/lib/bfretry/budget.go
@@ -8,95 +8,95 @@
 )
 
 const (
-	// token is one retry, in the unit in which budgets count.
+	// token is the cost of one retry in the unit of Budget.tokens.
 	token = 1_000_000
-	// percentOfToken is what one success earns for each percent of share.
-	percentOfToken = token / 100
-	// maxSaved bounds what a budget saves, so that only recent successes count:
-	// an hour of quiet must not pay for a storm.
-	maxSaved = 20 * token
-	// floorInterval is how often a budget below one token is raised to one, so
-	// that a node with few requests can still retry now and then.
+	// tokenPercent is what one success adds for each percent of share.
+	tokenPercent = token / 100
+	// maxTokens caps the tokens of a budget, so that a long period without failures
+	// can't pay for a retry storm.
+	maxTokens = 20 * token
+	// floorInterval is how often a budget without tokens still allows one retry, for
+	// nodes that get few requests.
 	floorInterval = 10 * time.Second
-	// maxDepth is how many hops a call may go; hops below it do not retry.
+	// maxDepth is the number of hops that may retry; deeper ones don't.
 	maxDepth = 6
-	// The entry hop earns a half of the share and each of the five below it a
-	// tenth, so that together they earn the share and no more. The entry hop has
-	// most, since most calls go no deeper.
-	entryPart  = 2
-	deeperPart = 10
+	// The entry hop gets a half of the share and each of the five below it a tenth,
+	// which adds up to the whole share. Most calls go no deeper than the entry hop.
+	entryDivisor  = 2
+	deeperDivisor = 10
 )
 
-// Budget is the retries that one class may make at one entry node.
+// Budget is the token bucket of the retries of one class at one entry node.
 //
-// All methods may be called by many goroutines at once.
+// It is safe for concurrent use.
 type Budget struct {
-	saved atomic.Int64
-	// floorAt is when the floor last gave, in nanoseconds since 1970.
-	floorAt atomic.Int64
+	tokens atomic.Int64
+	// lastFloorAt is when the last retry beyond the tokens was allowed, in Unix nanoseconds.
+	lastFloorAt atomic.Int64
 }
 
-// Earn adds the share that one success brings at depth, the number of hops above this one.
+// Earn adds percent of a token, scaled for depth, after a success at this node. Depth is
+// the number of hops above this one.
 //
-// Only the success of a first copy earns: a retry that earned would pay for
-// further ones.
+// Call it for the success of a first attempt only: successes of retries would otherwise
+// pay for further retries.
 func (b *Budget) Earn(percent, depth int) {
 	earned := earnings(percent, depth)
 	for {
-		saved := b.saved.Load()
-		next := min(saved+earned, maxSaved)
-		if next == saved || b.saved.CompareAndSwap(saved, next) {
+		saved := b.tokens.Load()
+		next := min(saved+earned, maxTokens)
+		if next == saved || b.tokens.CompareAndSwap(saved, next) {
 			return
 		}
 	}
 }
 
 func earnings(percent, depth int) int64 {
-	whole := int64(max(percent, 0)) * percentOfToken
+	total := int64(max(percent, 0)) * tokenPercent
 	switch {
 	case depth == 0:
-		return whole / entryPart
+		return total / entryDivisor
 	case 0 < depth && depth < maxDepth:
-		return whole / deeperPart
+		return total / deeperDivisor
 	}
 	return 0
 }
 
-// take removes one token if there is one.
+// take removes one token, and reports whether a retry is allowed.
 func (b *Budget) take(now time.Time) bool {
 	for {
-		saved := b.saved.Load()
+		saved := b.tokens.Load()
 		if saved < token {
 			return b.takeFloor(now)
 		}
-		if b.saved.CompareAndSwap(saved, saved-token) {
+		if b.tokens.CompareAndSwap(saved, saved-token) {
 			return true
 		}
 	}
 }
 
-// takeFloor gives one token an interval, to exactly one of those who ask.
+// takeFloor allows one retry in each floorInterval, to one of the concurrent callers.
 func (b *Budget) takeFloor(now time.Time) bool {
-	last := b.floorAt.Load()
+	last := b.lastFloorAt.Load()
 	if now.UnixNano()-last < int64(floorInterval) {
 		return false
 	}
-	return b.floorAt.CompareAndSwap(last, now.UnixNano())
+	return b.lastFloorAt.CompareAndSwap(last, now.UnixNano())
 }
 
-// Saved is how many whole retries the budget holds beside its floor.
-func (b *Budget) Saved() int { return int(b.saved.Load() / token) }
+// Tokens returns the number of whole tokens, without the retry allowed each floorInterval.
+func (b *Budget) Tokens() int { return int(b.tokens.Load() / token) }
 
-// Budgets holds the budget of each class at one entry node; its zero value is empty.
+// Budgets holds the budget of each class at one entry node. Its zero value is empty.
 //
-// Classes come from the configuration, so their number is bounded by it.
+// It needs no eviction, since the configuration bounds the number of classes.
 type Budgets struct {
 	mu sync.Mutex
-	// byClass is copied for each new class, so that requests read it without a lock.
+	// byClass is copied on write, so that lookups need no lock.
 	byClass atomic.Pointer[map[string]*Budget]
 }
 
-// Of is the budget of class, made at first use.
+// Of returns the budget of class, which it creates at first use.
 func (b *Budgets) Of(class string) *Budget {
 	if held := b.byClass.Load(); held != nil {
 		if budget := (*held)[class]; budget != nil {
--- a/lib/bfretry/retry_test.go
+++ b/lib/bfretry/retry_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -24,16 +24,15 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// naiveBudget keeps whole lists: what was earned since the save was last full,
-// and when the floor gave.
+// naiveBudget is the reference for Budget, with a floating-point count of tokens.
 type naiveBudget struct {
-	saved   float64
+	tokens  float64
 	floorAt time.Time
 }
 
 func (n *naiveBudget) take(now time.Time) bool {
-	if n.saved >= 1 {
-		n.saved--
+	if n.tokens >= 1 {
+		n.tokens--
 		return true
 	}
 	if now.Sub(n.floorAt) >= 10*time.Second {
@@ -43,7 +42,7 @@
 	return false
 }
 
-// The naive version states each rule on its own, in the order of the package comment.
+// naiveRetries is the reference for Decide: it states each rule on its own.
 func naiveRetries(outcome Outcome, a Attempt, now time.Time, n *naiveBudget, pause time.Duration) bool {
 	notRun, isNotRun := outcome.(NotRun)
 	unknown, isUnknown := outcome.(Unknown)
@@ -65,7 +64,7 @@
 			// Eighths of a token are exact in both.
 			for range rapid.IntRange(0, 12).Draw(t, "successes") {
 				budget.Earn(25, 0)
-				naive.saved = min(naive.saved+0.125, 20)
+				naive.tokens = min(naive.tokens+0.125, 20)
 			}
 			attempt := Attempt{
 				Idempotent: rapid.Bool().Draw(t, "idempotent"), Resent: rapid.IntRange(0, 3).Draw(t, "resent") == 0,
@@ -91,7 +90,8 @@
 	})
 }
 
-// checkAnswer holds the answer to the outcome: what may have run is never told as not run.
+// checkAnswer fails if the answer doesn't match the outcome: a request that may have run
+// must never be reported as not run.
 func checkAnswer(t *rapid.T, outcome Outcome, answer Answer) {
 	want := fmt.Sprintf("%#v", AnswerUnknown{})
 	switch outcome := outcome.(type) {
@@ -102,18 +102,18 @@
 	case Unknown:
 	}
 	if got := fmt.Sprintf("%#v", answer); got != want {
-		t.Fatalf("caller told %s instead of %s", got, want)
+		t.Fatalf("caller got %s instead of %s", got, want)
 	}
 }
 
-// hops is a chain of six entry nodes, each in front of the next; sends counts
-// the copies that each sent on.
+// hops is a chain of six entry nodes, each in front of the next. sends counts the sends
+// of each.
 type hops struct {
 	budgets [6]*Budget
 	sends   [6]int
 	refuse  func(h *hops, hop int, retry bool) bool
 	naive   bool
-	// losesAnswers makes refuse mean that the answer is lost on its way back.
+	// losesAnswers makes refuse select the sends that run but whose answers are lost.
 	losesAnswers bool
 }
 
@@ -144,8 +144,8 @@
 	}
 }
 
-// send passes one copy down; what fails is refused, or where losesAnswers is
-// set has run all the way and loses its answer.
+// send sends to the next hop. A failing send is refused, or with losesAnswers runs and
+// loses its answer.
 func (h *hops) send(hop int, retry bool, now time.Time) Outcome {
 	fails := h.refuse(h, hop, retry)
 	if fails && !h.losesAnswers {
@@ -166,13 +166,11 @@
 	return h
 }
 
-// A call goes six hops deep and the last target refuses everything: the event
-// has started. Every hop above sees a refusal and could send again. The targets
-// on the way must not see more than 1+share times the requests, or the refusals
-// of one overloaded service bring down all six.
-func TestSixHopsDoNotMultiply(t *testing.T) {
+// Guards against retries multiplying over six hops, where the refusals of one overloaded
+// service would overload all six: no hop may send more than 1+share times the requests.
+func TestRetriesDoNotMultiplyOverHops(t *testing.T) {
 	const requests, share = 20_000, 0.10
-	const floors = 2 // one floor token at the first moment and one after ten seconds
+	const floors = 2 // retries beyond the tokens: at the start and after ten seconds
 	random := rand.New(rand.NewPCG(1, 2))
 	patterns := []struct {
 		name         string
@@ -183,9 +181,9 @@
 		{"the last refuses a third", func(_ *hops, hop int, _ bool) bool { return hop == 5 && random.IntN(3) == 0 }, false},
 		{"each refuses a twentieth", func(*hops, int, bool) bool { return random.IntN(20) == 0 }, false},
 		{"the first refuses a fifth", func(_ *hops, hop int, _ bool) bool { return hop == 0 && random.IntN(5) == 0 }, false},
-		// The worst: every hop has done the work and loses the answer whenever there is a retry for it.
+		// The worst case: every hop loses the answer to work done whenever a token is left to retry it.
 		{"each loses what can be retried", func(h *hops, hop int, retry bool) bool {
-			return !retry && h.budgets[hop].Saved() > 0
+			return !retry && h.budgets[hop].Tokens() > 0
 		}, true},
 		{"none refuses", func(*hops, int, bool) bool { return false }, false},
 	}
@@ -197,7 +195,7 @@
 		}
 		for hop, sends := range h.sends {
 			if bound := requests*(1+share) + float64((hop+1)*floors); float64(sends) > bound {
-				t.Errorf("%s: hop %d sent %d copies of %d requests", pattern.name, hop, sends, requests)
+				t.Errorf("%s: hop %d made %d sends for %d requests", pattern.name, hop, sends, requests)
 			}
 		}
 		t.Logf("%s: sends by hop %v for %d requests", pattern.name, h.sends, requests)
@@ -207,10 +205,9 @@
 	is.New(t).Equal(h.sends[5], 4*4*4*4*4*4) // three retries at each hop
 }
 
-// One request, and every budget full. Whatever the last target does, it must be
-// tried again at one hop only: by the hop next to it, or not there when the copy
-// is itself a retry of the first hop. With neither rule the last target would
-// get 3^6 copies of the one request.
+// Guards against one request being retried at several hops, which would send it to the
+// last target 3^6 times: only the hop next to that target retries, and not if it
+// received a retry itself.
 func TestOneRequestIsRetriedAtOneHop(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
@@ -230,16 +227,15 @@
 	}
 }
 
-// Many requests fail at the same moment and ask one budget. No token may be
-// given twice, or the bound above holds for one goroutine only.
-func TestBudgetGivesEachTokenOnce(t *testing.T) {
+// Guards against a token being taken twice by concurrent retries.
+func TestTokenIsTakenOnce(t *testing.T) {
 	is := is.New(t)
 	for range 200 {
 		var budgets Budgets
 		for range 400 {
 			budgets.Of("look-up").Earn(10, 0)
 		}
-		is.Equal(budgets.Of("look-up").Saved(), 20)
+		is.Equal(budgets.Of("look-up").Tokens(), 20)
 		var given atomic.Int64
 		var all sync.WaitGroup
 		begin := make(chan struct{})
@@ -255,7 +251,7 @@
 		}
 		close(begin)
 		all.Wait()
-		is.Equal(given.Load(), int64(21)) // twenty earned and the floor's one
+		is.Equal(given.Load(), int64(21)) // twenty tokens and the retry of one floorInterval
 	}
 }
 
