--- a/lib/bfbudget/account.go
+++ b/lib/bfbudget/account.go
@@ -7,64 +7,67 @@
 	"time"
 )
 
-// Options are what an Account works with.
+// Options configures an Account.
 type Options struct {
+	// Terms are the limits of the fleet for each service.
 	Terms Terms
-	// Nodes is the size of the fleet.
+	// Nodes returns the number of nodes in the fleet.
 	Nodes func() int
-	Now   func() time.Time
-	// Chance gives random numbers from 0 to 1.
+	// Now returns the current time.
+	Now func() time.Time
+	// Chance returns random numbers from 0 to 1.
 	Chance func() float64
-	// Opened is told of each service that is met for the first time and how to read
-	// how many repeats to it are left; nil where nobody asks.
+	// Opened is called when a service is first used, with a function that returns how
+	// many repeats to it are left. It may be nil.
 	Opened func(service string, left func() float64)
 }
 
-// Account is what one node may repeat, by service; its methods may be called by many
-// goroutines at once.
+// Account holds one node's part of the budget of each service. It is safe for concurrent
+// use.
 type Account struct {
 	options Options
 	mu      sync.Mutex
 	buckets atomic.Pointer[map[string]*bucket]
-	habits  habits
+	calls   callCounts
 }
 
-// New makes the account of a node that starts.
+// New returns an account without repeats to spend.
 func New(options Options) *Account { return &Account{options: options} }
 
-// Sent counts a request that is sent to a service, before any repeat of it.
+// Sent counts a request that is sent to a service for the first time, and adds the
+// repeats that it allows.
 func (a *Account) Sent(service string) {
-	a.of(service).earn(a.options.Terms, a.options.Nodes(), a.options.Now())
+	a.bucketOf(service).earn(a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
-// Take spends one repeat of a request to a service, and reports whether there was one.
+// Take spends one repeat on a request to a service, and reports whether one was left.
 func (a *Account) Take(service string) bool { return a.take(service, 1, 0) }
 
-// Return gives back a repeat that was taken and reached no target.
+// Return gives back a repeat that was taken but reached no target.
 func (a *Account) Return(service string) {
-	a.back(service, 1)
+	a.giveBack(service, 1)
 }
 
 func (a *Account) take(service string, amount, floor float64) bool {
-	return a.of(service).take(amount, floor, a.options.Terms, a.options.Nodes(), a.options.Now())
+	return a.bucketOf(service).take(amount, floor, a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
-func (a *Account) back(service string, amount float64) {
-	a.of(service).back(amount, a.options.Terms, a.options.Nodes(), a.options.Now())
+func (a *Account) giveBack(service string, amount float64) {
+	a.bucketOf(service).giveBack(amount, a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
-// of is the bucket of a service. Services come from the configuration, so their number
-// is bounded by it.
-func (a *Account) of(service string) *bucket {
+// bucketOf returns the bucket bucketOf a service. Buckets need no eviction, since the
+// configuration bounds the number bucketOf services.
+func (a *Account) bucketOf(service string) *bucket {
 	if held := a.buckets.Load(); held != nil {
 		if b := (*held)[service]; b != nil {
 			return b
 		}
 	}
-	return a.open(service)
+	return a.addBucket(service)
 }
 
-func (a *Account) open(service string) *bucket {
+func (a *Account) addBucket(service string) *bucket {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	next := map[string]*bucket{}
@@ -72,10 +75,10 @@
 		maps.Copy(next, *held)
 	}
 	if next[service] == nil {
-		b := &bucket{lots: a.options.Chance()}
+		b := &bucket{fraction: a.options.Chance()}
 		next[service] = b
 		if a.options.Opened != nil {
-			a.options.Opened(service, b.value)
+			a.options.Opened(service, b.current)
 		}
 	}
 	a.buckets.Store(&next)
--- a/lib/bfbudget/doc.go
+++ b/lib/bfbudget/doc.go
@@ -1,11 +1,12 @@
-// Package bfbudget decides which requests are sent once more, where all nodes of a
-// fleet share one budget of such repeats for each service and never ask each other.
+// Package bfbudget limits repeats, which are retries and the nested calls that retried
+// requests make. All nodes of a fleet share one budget of repeats for each service, and
+// each node spends its part of it without communication.
 //
-// A request that runs again makes its nested calls again, and those count as repeats
-// at the services that they go to. So a repeat is decided twice: where the request
-// began, by the budget of its own service, and at the node of the target that is to
-// run it, by the budgets of the services that its calls go to. The node of a target
-// makes those calls, sees how many a run makes, and holds the budget that pays them.
+// A request that runs again makes its nested calls again, and those count as repeats at
+// the services that they go to. So a retry is admitted twice: where the request entered,
+// by the budget of its own service, and at the node of the target that is to run it, by
+// the budgets of the services that its nested calls go to. That node sends the nested
+// calls, so it observes how many a run makes, and spends its own budget on them.
 //
-// It knows no connection and no request: those who ask bring what they observed.
+// The package does no I/O: callers pass in what they observe.
 package bfbudget
--- a/lib/bfbudget/fleet_test.go
+++ b/lib/bfbudget/fleet_test.go
@@ -14,25 +14,25 @@
 	tick   = 100 * time.Millisecond
 )
 
-// class is a kind of request of a simulated fleet.
+// class is a class of requests in a simulated fleet.
 type class struct {
 	name, service string
-	// calls are made by each run, with a chance each.
+	// calls are the indexes of the classes that a run calls, with a probability of chance.
 	calls  []int
 	chance float64
 }
 
-// fleet is a simulated fleet whose nodes decide by their accounts. Each request begins
-// at some node and runs at another one, beside which its calls begin.
+// fleet is a simulated fleet of nodes with an account each. A request enters at one node
+// and runs at another, which sends its nested calls.
 type fleet struct {
 	random   *rand.Rand
 	now      time.Time
 	terms    Terms
 	accounts []*Account
 	classes  []class
-	// sheds is the share of the arrivals that the targets of a service shed.
-	sheds map[string]float64
-	// requests and repeats are counted by service and tick, as the users count them.
+	// shedShare is the share of requests that the targets of a service shed.
+	shedShare map[string]float64
+	// requests and repeats are counts by service and tick.
 	requests, repeats map[string][]int
 	ticks             int
 	served, failed    int
@@ -41,7 +41,7 @@
 func newFleet(seed uint64, nodes, ticks int, terms Terms) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(0, 0), terms: terms, ticks: ticks,
-		sheds: map[string]float64{}, requests: map[string][]int{}, repeats: map[string][]int{},
+		shedShare: map[string]float64{}, requests: map[string][]int{}, repeats: map[string][]int{},
 	}
 	for range nodes {
 		f.accounts = append(f.accounts, f.account())
@@ -62,17 +62,17 @@
 	in[service][f.now.Sub(time.Unix(0, 0))/tick]++
 }
 
-func (f *fleet) any() *Account { return f.accounts[f.random.IntN(len(f.accounts))] }
+func (f *fleet) randomNode() *Account { return f.accounts[f.random.IntN(len(f.accounts))] }
 
-// maxSent is how many targets a request is sent to at most.
-const maxSent = 3
+// maxAttempts bounds the attempts of one request.
+const maxAttempts = 3
 
-// request takes a caller's request to its end, and reports whether it was served.
+// request runs a caller's request with its retries, and reports whether it was served.
 func (f *fleet) request(entry *Account, kind int) bool {
 	c := f.classes[kind]
 	f.count(f.requests, c.service)
 	entry.Sent(c.service)
-	for sent := range maxSent {
+	for sent := range maxAttempts {
 		if sent > 0 && !entry.Take(c.service) {
 			break
 		}
@@ -87,9 +87,9 @@
 	return false
 }
 
-// send has a target run the request; reached is false where its node refuses.
+// send makes one attempt; reached is false if the target's node refuses it.
 func (f *fleet) send(c class, sent int, inherited bool) (reached, served bool) {
-	node := f.any()
+	node := f.randomNode()
 	run, ok := node.Begin(c.name, originOf(sent, inherited))
 	if !ok {
 		return false, false
@@ -98,18 +98,18 @@
 	if sent > 0 || inherited {
 		f.count(f.repeats, c.service)
 	}
-	if f.random.Float64() < f.sheds[c.service] {
+	if f.random.Float64() < f.shedShare[c.service] {
 		return true, false
 	}
 	served = true
 	if len(c.calls) > 0 && f.random.Float64() < c.chance {
-		served = f.together(node, c.calls, run)
+		served = f.callAll(node, c.calls, run)
 	}
 	return true, served
 }
 
-// together makes calls at once: all are sent before one of those that were shed is repeated.
-func (f *fleet) together(node *Account, kinds []int, run *Run) bool {
+// callAll makes calls concurrently: all are sent before any shed one is retried.
+func (f *fleet) callAll(node *Account, kinds []int, run *Run) bool {
 	missing := []int{}
 	for _, kind := range kinds {
 		c := f.classes[kind]
@@ -123,17 +123,17 @@
 		run.Shed("")
 	}
 	for _, kind := range missing {
-		if !f.again(node, kind, run) {
+		if !f.retryCall(node, kind, run) {
 			run.Fail()
 		}
 	}
 	return !run.HasFailed()
 }
 
-// again repeats a call until it is served or may not be sent any more.
-func (f *fleet) again(node *Account, kind int, run *Run) bool {
+// retryCall retries a call until it is served or may not be retried.
+func (f *fleet) retryCall(node *Account, kind int, run *Run) bool {
 	c := f.classes[kind]
-	for sent := 1; sent < maxSent && run.Take(c.service); sent++ {
+	for sent := 1; sent < maxAttempts && run.Take(c.service); sent++ {
 		reached, served := f.send(c, sent, run.IsRepeat())
 		switch {
 		case served:
@@ -157,7 +157,7 @@
 	return First{}
 }
 
-// sums are the sums over each window, by the tick at which it begins.
+// sums returns the sum over each window, indexed by its first tick.
 func sums(ticks []int) []int {
 	const length = int(window / tick)
 	all := []int{}
@@ -171,8 +171,8 @@
 	return all
 }
 
-// excess is by how many repeats the worst window of a service has more than its
-// requests allow: those of the window, of the one before it or half before it.
+// excess returns the most repeats beyond the limit in any window of a service. The limit
+// is based on the requests of that window, or of the one a half or a whole window earlier.
 func (f *fleet) excess(service string) (most float64) {
 	requests, repeats := sums(f.requests[service]), sums(f.repeats[service])
 	const length = int(window / tick)
@@ -195,13 +195,9 @@
 	return sum
 }
 
-// Look-ups of one service call a second one, whose runs may call a third. Targets shed
-// anything from nothing to nine tenths; nodes have unequal shares of the callers, and all
-// of them may be started anew in the middle. The callers see some look-ups fail. In no
-// window may a service get more repeats than the terms allow, nested ones counted.
-//
-// Without the decision at the target's node the second service gets the calls of each
-// repeated look-up on top of all the repeats that its own budget allows.
+// Guards against a service receiving more repeats in any window than the terms allow,
+// including the nested calls of repeats, for random call trees, shed rates and node loads
+// and with a restart of all nodes.
 func TestFleetStaysWithinItsTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 60).Draw(t, "nodes")
@@ -217,7 +213,7 @@
 			{name: "approval", service: "portal"},
 		}
 		for _, service := range []string{"portal", "vault", "store"} {
-			f.sheds[service] = rapid.Float64Range(0, 0.9).Draw(t, "sheds of "+service)
+			f.shedShare[service] = rapid.Float64Range(0, 0.9).Draw(t, "sheds of "+service)
 		}
 		perTick := rapid.IntRange(1, 3*nodes).Draw(t, "requests in a tick")
 		restart := rapid.IntRange(0, f.ticks).Draw(t, "restart")
@@ -226,7 +222,7 @@
 		for at := range f.ticks {
 			f.now = time.Unix(0, 0).Add(time.Duration(at) * tick)
 			if at == restart {
-				f.startAnew()
+				f.restartNodes()
 			}
 			for range perTick * loads[at*len(loads)/f.ticks] {
 				f.request(f.unequalNode(unequal), f.random.IntN(2)*3)
@@ -240,18 +236,17 @@
 	})
 }
 
-// A fleet of one, whose service sheds nine tenths of all it is sent. Lots drawn apart from
-// each other gave it 83 repeats in a window for 81 allowed: a node that may save a whole
-// repeat has to wait for one.
-func TestFleetOfOneWaitsForWholeRepeats(t *testing.T) {
+// Guards against a node that may save a whole repeat spending fractions instead, which
+// can exceed the limit of a window.
+func TestSingleNodeWaitsForWholeRepeats(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(0x3d, 1, 300, Terms{Ratio: 0.2, Slack: 21, Window: window})
 	f.classes = []class{{name: "look-up", service: "portal"}, {}, {}, {name: "approval", service: "portal"}}
-	f.sheds["portal"] = 0.9
+	f.shedShare["portal"] = 0.9
 	for at := range f.ticks {
 		f.now = time.Unix(0, 0).Add(time.Duration(at) * tick)
 		if at == 0 {
-			f.startAnew()
+			f.restartNodes()
 		}
 		for range 3 {
 			f.request(f.unequalNode(3), f.random.IntN(2)*3)
@@ -268,13 +263,13 @@
 	return all
 }
 
-func (f *fleet) startAnew() {
+func (f *fleet) restartNodes() {
 	for i := range f.accounts {
 		f.accounts[i] = f.account()
 	}
 }
 
-// unequalNode draws a node; the higher the power, the more of the requests begin at few.
+// unequalNode returns a random node; a higher power concentrates requests on fewer nodes.
 func (f *fleet) unequalNode(power float64) *Account {
 	at := 1.0
 	for range int(power) {
@@ -283,9 +278,9 @@
 	return f.accounts[int(at*float64(len(f.accounts)))]
 }
 
-// shedding plays a fleet of 28 whose look-ups make 1.4 calls each to a service that sheds
-// more than a third of them, after a calm in which the nodes saved.
-func shedding(seed uint64) *fleet {
+// simulateShedding simulates a fleet whose look-ups make 1.4 calls on average to a service that
+// sheds more than a third of them for ten seconds, after a period without simulateShedding.
+func simulateShedding(seed uint64) *fleet {
 	const nodes, seconds = 28, 40
 	f := newFleet(seed, nodes, seconds*int(time.Second/tick), Terms{Ratio: 0.2, Slack: 31, Window: window})
 	f.classes = []class{
@@ -294,12 +289,12 @@
 	}
 	for at := range f.ticks {
 		f.now = time.Unix(0, 0).Add(time.Duration(at) * tick)
-		f.sheds["vault"] = 0
+		f.shedShare["vault"] = 0
 		if f.now.After(time.Unix(15, 0)) && f.now.Before(time.Unix(25, 0)) {
-			f.sheds["vault"] = 0.38
+			f.shedShare["vault"] = 0.38
 		}
 		for range 11 {
-			if f.request(f.any(), 0) {
+			if f.request(f.randomNode(), 0) {
 				f.served++
 			} else {
 				f.failed++
@@ -309,27 +304,24 @@
 	return f
 }
 
-// A service sheds a third of its arrivals for ten seconds. Callers see look-ups fail
-// whose calls were shed. The repeats go to the shed calls, each of which saves a run,
-// and not to look-ups that would make all their calls again; and they are used, though
-// one node alone saves less than one.
-func TestShedCallsGetTheRepeats(t *testing.T) {
+// Guards against repeats going to whole look-ups instead of the shed calls that would
+// save them, and against repeats staying unused where a node may save less than one.
+func TestRepeatsGoToShedCalls(t *testing.T) {
 	is := is.New(t)
-	f := shedding(7)
+	f := simulateShedding(7)
 	is.True(f.excess("vault") <= 0)
-	is.True(f.totalRepeats("vault") > 200) // a third of the 600 or so that are allowed
+	is.True(f.totalRepeats("vault") > 200) // a third of those allowed
 	is.True(f.totalRepeats("portal") < f.totalRepeats("vault")/4)
-	is.True(f.failed < failedAllAlike)
+	is.True(f.failed < failedWithoutPreference)
 }
 
-// failedAllAlike is how many look-ups of that load fail where all shed calls get a repeat
-// alike, whatever else their run lacks (this seed, by the same replay).
-const failedAllAlike = 362
+// failedWithoutPreference is the number of look-ups of this simulation that fail without the
+// preference for runs that lack one call only.
+const failedWithoutPreference = 362
 
-// All runs of a class fail at a service whose other class makes no calls and pays for
-// the repeats: its callers earn ten times what the failing class does. The service that
-// the failing runs call must not get their calls again and again.
-func TestCallsArePaidWhereTheyGo(t *testing.T) {
+// Guards against a class that makes no calls paying for retries of another class of the
+// same service, whose nested calls would exceed the limit of the service that they go to.
+func TestNestedCallsSpendTheirOwnServicesBudget(t *testing.T) {
 	is := is.New(t)
 	const nodes, seconds = 20, 30
 	f := newFleet(3, nodes, seconds*int(time.Second/tick), Terms{Ratio: 0.2, Slack: 20, Window: window})
@@ -338,12 +330,12 @@
 		{name: "probe", service: "vault"},
 		{name: "approval", service: "portal"},
 	}
-	f.sheds["vault"] = 0.5
+	f.shedShare["vault"] = 0.5
 	for at := range f.ticks {
 		f.now = time.Unix(0, 0).Add(time.Duration(at) * tick)
-		f.request(f.any(), 0)
+		f.request(f.randomNode(), 0)
 		for range 20 {
-			f.request(f.any(), 2)
+			f.request(f.randomNode(), 2)
 		}
 	}
 	is.True(f.excess("vault") <= 0)
--- a/lib/bfbudget/run.go
+++ b/lib/bfbudget/run.go
@@ -6,23 +6,24 @@
 	"sync/atomic"
 )
 
-// Origin is the sealed set of reasons for which a run is there: First, Again and Inherited.
+// Origin is why a request is sent. It is a sealed interface, implemented by First, Again
+// and Inherited.
 type Origin interface{ origin() }
 
-// First is a request's first sending.
+// First is the first attempt of a request.
 type First struct{}
 
-// Again is a sending that follows an earlier one of the same request.
+// Again is a retry of a request.
 type Again struct{}
 
-// Inherited is the first sending of a nested call whose parent is a repeat.
+// Inherited is the first attempt of a nested call whose parent run is a repeat.
 type Inherited struct{}
 
 func (First) origin()     {}
 func (Again) origin()     {}
 func (Inherited) origin() {}
 
-// Run is one request that the target beside the node works on, as seen by its nested calls.
+// Run is one request that the node's target runs, with the state of its nested calls.
 type Run struct {
 	account *Account
 	class   string
@@ -30,16 +31,17 @@
 	failed  atomic.Bool
 
 	mu sync.Mutex
-	// made is how many calls of the run went to each service, reserved what was taken
-	// for them and is not used yet.
+	// made is the number of calls of the run by service, reserved the repeats that were
+	// taken for them and not used yet.
 	made     map[string]int
 	reserved map[string]float64
-	// open is how many calls are in progress, shed how many of these a target shed.
+	// open is the number of calls in progress, shed the number of these that a target shed.
 	open, shed int
 }
 
-// Begin opens a run of a class; ok is false where it is a repeat whose calls the
-// budgets don't bear. End must be called once.
+// Begin starts a run of a class. For a repeat it reserves the repeats for the expected
+// nested calls; ok is false if the budgets don't allow them. If ok is true, End must be
+// called once.
 func (a *Account) Begin(class string, origin Origin) (run *Run, ok bool) {
 	run = &Run{account: a, class: class}
 	switch origin.(type) {
@@ -48,9 +50,9 @@
 	case Again, Inherited:
 		run.repeat = true
 	}
-	for service, calls := range a.habits.of(class) {
+	for service, calls := range a.calls.estimate(class) {
 		if !a.take(service, calls, a.floor(service, origin)) {
-			run.giveBack()
+			run.returnUnused()
 			return nil, false
 		}
 		if run.reserved == nil {
@@ -61,36 +63,38 @@
 	return run, true
 }
 
-// floor is what a run leaves of what the node may spend on calls.
+// floor returns the balance that a run must leave for other calls to the service.
 func (a *Account) floor(service string, origin Origin) float64 {
 	switch origin.(type) {
 	case Inherited:
-		// Refused, it would fail the parent, whose repeat is paid and running.
-		return -a.options.Terms.part(owedShare, a.options.Nodes())
+		// A refusal would fail the parent run, which is already paid for.
+		return -a.options.Terms.nodeShare(owedShare, a.options.Nodes())
 	default:
-		return a.kept(service)
+		return a.reserve(service)
 	}
 }
 
-// kept is what only calls that are the last ones missing to their run may spend.
-func (a *Account) kept(service string) float64 {
-	return callsShare * a.of(service).most(a.options.Terms, a.options.Nodes(), a.options.Now())
+// reserve returns the balance that is reserved as callsShare describes.
+func (a *Account) reserve(service string) float64 {
+	return callsShare * a.bucketOf(service).maxSavings(a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
-// isPlenty reports whether more is left than what is kept, and a repeat beside it.
-func (a *Account) isPlenty(service string) bool { return a.of(service).value() >= a.kept(service)+1 }
+// hasSpare reports whether at least one repeat is left beyond the reserve.
+func (a *Account) hasSpare(service string) bool {
+	return a.bucketOf(service).current() >= a.reserve(service)+1
+}
 
-// IsRepeat reports whether the target works on the request as a repeat.
+// IsRepeat reports whether the run is a repeat.
 func (r *Run) IsRepeat() bool { return r.repeat }
 
-// Fail notes that a call of the run failed: the run is likely to.
+// Fail records that a nested call failed, so that the run is likely to fail.
 func (r *Run) Fail() { r.failed.Store(true) }
 
-// HasFailed reports whether a call of the run failed. To repeat another of its calls
-// would spend a repeat on a run that fails all the same.
+// HasFailed reports whether a nested call failed. Retrying other calls of the run would
+// waste repeats on a run that fails anyway.
 func (r *Run) HasFailed() bool { return r.failed.Load() }
 
-// Call counts a nested call of the run to a service; EndCall must follow.
+// Call counts a nested call to a service. EndCall must follow.
 func (r *Run) Call(service string) {
 	if !r.repeat {
 		r.account.Sent(service)
@@ -107,30 +111,27 @@
 	}
 	r.mu.Unlock()
 	if r.repeat && paid < 1 {
-		// More calls than any run of the class made of late, or a class of which none
-		// has ended yet. That leaves a debt of what one node runs at once at most: until
-		// it is paid no repeat that makes such calls begins here.
-		r.account.of(service).charge(1 - paid)
+		// The run makes more calls than estimated for its class. The debt is bounded by
+		// the runs in progress at this node: until it is paid, no repeat that makes such
+		// calls begins here.
+		r.account.bucketOf(service).charge(1 - paid)
 	}
 }
 
-// Shed counts a call that a target shed, and reports whether it is worth while to hear
-// of the other calls in progress before one of them is repeated: where there is little
-// left to spend.
+// Shed records that a target shed a call. It reports whether the caller should await the
+// other calls in progress before it retries, which is so while repeats are scarce.
 func (r *Run) Shed(service string) (waits bool) {
 	r.mu.Lock()
 	r.shed++
 	others := r.open > r.shed
 	r.mu.Unlock()
-	return others && !r.account.isPlenty(service)
+	return others && !r.account.hasSpare(service)
 }
 
-// Take spends a repeat on a call of the run that was shed.
+// Take spends a repeat on a shed call of the run, and reports whether one was left.
 //
-// A run needs all its calls. One that has two to repeat costs twice as much to save, and
-// each repeat may be shed again: where repeats are scarce, those that lack one call get
-// them. In a replay of 4,400 requests, a quarter of which ran while 0.38 of their calls
-// were shed, 339 failed so, and 362 where all asked alike.
+// A run needs all its calls, so a run that lacks several costs more to save, and each
+// retry may be shed again. While repeats are scarce, only runs that lack one call get them.
 func (r *Run) Take(service string) bool {
 	if r.HasFailed() {
 		return false
@@ -140,12 +141,12 @@
 	r.mu.Unlock()
 	floor := 0.0
 	if several {
-		floor = r.account.kept(service)
+		floor = r.account.reserve(service)
 	}
 	return r.account.take(service, 1, floor)
 }
 
-// EndCall counts the end of a call; wasShed says that a target shed it on the way.
+// EndCall counts the end of a call; wasShed is set if Shed was called for it.
 func (r *Run) EndCall(wasShed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,22 +156,23 @@
 	}
 }
 
-// End closes the run, which has been handed to the target, and learns what it called.
+// End ends a run that was sent to the target, returns the unused repeats and updates the
+// call estimate of its class.
 func (r *Run) End() {
-	r.giveBack()
+	r.returnUnused()
 	r.mu.Lock()
 	made := maps.Clone(r.made)
 	r.mu.Unlock()
-	r.account.habits.learn(r.class, made)
+	r.account.calls.record(r.class, made)
 }
 
-// giveBack returns what was reserved and not used.
-func (r *Run) giveBack() {
+// returnUnused returns the reserved repeats that were not used.
+func (r *Run) returnUnused() {
 	r.mu.Lock()
 	left := r.reserved
 	r.reserved = nil
 	r.mu.Unlock()
 	for service, amount := range left {
-		r.account.back(service, amount)
+		r.account.giveBack(service, amount)
 	}
 }
--- a/lib/bfbudget/run_test.go
+++ b/lib/bfbudget/run_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// alone makes the account of a fleet of one, and what lets a minute pass for it: then what
-// was earned lately counts no more in what it may save.
-func alone(terms Terms) (a *Account, rest func()) {
+// singleNode returns the account of a fleet of one node, and a function that advances its
+// clock by a minute, after which recent earnings no longer raise the ceiling.
+func singleNode(terms Terms) (a *Account, advanceMinute func()) {
 	now := time.Unix(0, 0)
 	a = New(Options{
 		Terms: terms, Nodes: func() int { return 1 }, Now: func() time.Time { return now }, Chance: func() float64 { return 0 },
@@ -17,34 +17,33 @@
 	return a, func() { now = now.Add(time.Minute) }
 }
 
-// sent fills an account by requests to a service.
-func sent(a *Account, service string, count int) {
+// sendMany counts a number of requests to a service.
+func sendMany(a *Account, service string, count int) {
 	for range count {
 		a.Sent(service)
 	}
 }
 
-// A run that repeats a request makes its calls again, and the service that they go to
-// counts them. What is there for them is taken before the run begins, and what it did
-// not use is given back.
-func TestRepeatedRunPaysItsCalls(t *testing.T) {
+// Guards against a repeat starting without repeats for its nested calls, and against
+// losing those that it reserves and doesn't use.
+func TestRepeatReservesItsNestedCalls(t *testing.T) {
 	is := is.New(t)
-	a, rest := alone(Terms{Ratio: 1, Slack: 20, Window: time.Second})
+	a, rest := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	first, ok := a.Begin("look-up", First{})
 	is.True(ok)
 	first.Call("vault")
 	first.Call("vault")
 	first.End()
-	is.True(!a.begins("look-up")) // two calls would be repeats, and 1.7 are there
+	is.True(!a.begins("look-up")) // needs two repeats, and 1.7 are left
 
-	sent(a, "vault", 20)
+	sendMany(a, "vault", 20)
 	rest()
 	again, ok := a.Begin("look-up", Again{})
 	is.True(ok)
-	is.Equal(a.of("vault").value(), 10.0-2) // half of the slack was there
+	is.Equal(a.bucketOf("vault").current(), 10.0-2) // half of the slack was saved
 	again.Call("vault")
 	again.End()
-	is.Equal(a.of("vault").value(), 10.0-1)
+	is.Equal(a.bucketOf("vault").current(), 10.0-1)
 }
 
 func (a *Account) begins(class string) bool {
@@ -52,29 +51,28 @@
 	return ok
 }
 
-// A nested call that is shed is repeated from what is left, while a request that makes
-// such calls is not: three quarters of what is saved are kept for calls.
-func TestCallsGoBeforeTheirParents(t *testing.T) {
+// Guards against repeats of whole requests spending the savings reserved for shed calls.
+func TestSavingsAreReservedForShedCalls(t *testing.T) {
 	is := is.New(t)
-	a, _ := alone(Terms{Ratio: 1, Slack: 20, Window: time.Second})
+	a, _ := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	first, _ := a.Begin("look-up", First{})
 	first.Call("vault")
 	first.End()
-	sent(a, "vault", 4) // four of the ten that may be saved
+	sendMany(a, "vault", 4) // of at most ten saved
 	is.True(!a.begins("look-up"))
 	is.True(a.Take("vault"))
 }
 
-// A nested call of a repeated run calls on in turn. Refused, it would fail the run that
-// was paid for already: it may leave a debt up to a bound, which later requests pay.
-func TestInheritedRunsMayLeaveADebt(t *testing.T) {
+// Guards against refusing a nested call of a repeat, which would waste the parent run, and
+// against an unbounded debt for such calls.
+func TestInheritedRunsLeaveBoundedDebt(t *testing.T) {
 	is := is.New(t)
-	a, _ := alone(Terms{Ratio: 1, Slack: 20, Window: time.Second})
+	a, _ := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	first, _ := a.Begin("probe", First{})
 	first.Call("store")
 	first.End()
-	for a.of("store").value() > 0 {
-		a.of("store").charge(1)
+	for a.bucketOf("store").current() > 0 {
+		a.bucketOf("store").charge(1)
 	}
 	begun := 0
 	for range 20 {
@@ -84,97 +82,94 @@
 			begun++
 		}
 	}
-	is.Equal(begun, 3)        // to four below nothing at most
-	is.True(!a.Take("store")) // nor is any other request repeated there meanwhile
-	is.True(a.of("store").value() >= -4)
+	is.Equal(begun, 3)        // the balance stays at -4 or above
+	is.True(!a.Take("store")) // no other repeats while in debt
+	is.True(a.bucketOf("store").current() >= -4)
 }
 
-// A repeat was granted, and every node refused the request since it was full: nothing
-// reached a target, and the next request may have it.
+// Guards against losing a repeat that was taken but reached no target.
 func TestUnusedRepeatIsReturned(t *testing.T) {
 	is := is.New(t)
-	a, _ := alone(Terms{Ratio: 1, Slack: 20, Window: time.Second})
-	sent(a, "portal", 2)
+	a, _ := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
+	sendMany(a, "portal", 2)
 	is.True(a.Take("portal"))
 	is.True(!a.Take("portal"))
-	sent(a, "portal", 1)
+	sendMany(a, "portal", 1)
 	a.Return("portal")
 	is.True(a.Take("portal"))
 }
 
-// A node of a large fleet saves a third of a repeat at most. Each third time that one is
-// asked for it sends one, or none would ever be sent; where it may save a whole one it waits.
-func TestLotsDivideWhatIsLessThanOne(t *testing.T) {
+// Guards against a node that may save only a third of a repeat never sending any: every
+// third take must succeed. A node that may save a whole one waits for it.
+func TestFractionsAddUpToRepeats(t *testing.T) {
 	is := is.New(t)
-	b := &bucket{lots: 0.1}
+	b := &bucket{fraction: 0.1}
 	now := time.Unix(0, 0)
 	third := Terms{Slack: 1 / savedShare / 3, Window: time.Second}
 	granted := 0
 	for range 300 {
-		b.left = 1.0 / 3
+		b.balance = 1.0 / 3
 		if b.take(1, 0, third, 1, now) {
 			granted++
 		}
-		is.Equal(b.left, 0.0)
+		is.Equal(b.balance, 0.0)
 	}
 	is.Equal(granted, 100)
-	b.left = 1.0 / 3
+	b.balance = 1.0 / 3
 	is.True(!b.take(1, 0, Terms{Slack: 1 / savedShare, Window: time.Second}, 1, now))
-	is.Equal(b.left, 1.0/3)
+	is.Equal(b.balance, 1.0/3)
 }
 
-// A class makes two calls a run, and none any more after the release of its target.
-// Nothing is to be held for them some hundred runs later.
-func TestHabitsAreForgotten(t *testing.T) {
+// Guards against reserving repeats for calls that a class no longer makes.
+func TestCallCountsDecay(t *testing.T) {
 	is := is.New(t)
-	var h habits
-	h.learn("look-up", map[string]int{"vault": 2})
+	var h callCounts
+	h.record("look-up", map[string]int{"vault": 2})
 	for range 100 {
-		h.learn("look-up", nil)
+		h.record("look-up", nil)
 	}
-	is.True(h.of("look-up")["vault"] < 0.5)
+	is.True(h.estimate("look-up")["vault"] < 0.5)
 	for range 200 {
-		h.learn("look-up", nil)
+		h.record("look-up", nil)
 	}
-	is.Equal(len(h.of("look-up")), 0)
+	is.Equal(len(h.estimate("look-up")), 0)
 }
 
-// The fleet was taken for one node, and is one of ten: what the node saved on that
-// belief is cut to its true part with the next request.
-func TestSavingsFollowTheFleet(t *testing.T) {
+// Guards against a node keeping savings above its part when the fleet grows.
+func TestSavingsShrinkAsFleetGrows(t *testing.T) {
 	is := is.New(t)
 	nodes, now := 1, time.Unix(0, 0)
 	a := New(Options{
 		Terms: Terms{Ratio: 1, Slack: 20, Window: time.Second}, Nodes: func() int { return nodes },
 		Now: func() time.Time { return now }, Chance: func() float64 { return 0 },
 	})
-	sent(a, "portal", 30)
+	sendMany(a, "portal", 30)
 	nodes, now = 10, now.Add(10*recentSpan)
-	sent(a, "portal", 1)
-	is.True(a.of("portal").value() < 2) // its tenth of what is saved, and what the last one earned
+	sendMany(a, "portal", 1)
+	is.True(a.bucketOf("portal").current() < 2) // a tenth of the savings, and the last request's earnings
 }
 
-// Two calls of one run are shed, and repeats are scarce: to save the run would cost two.
-// One call of another run is shed, and gets what there is.
-func TestRunThatLacksOneCallGetsTheRepeat(t *testing.T) {
+// Guards against scarce repeats going to a run that lacks two calls before one that lacks
+// one.
+func TestRunLackingOneCallIsPreferred(t *testing.T) {
 	is := is.New(t)
-	a, rest := alone(Terms{Ratio: 1, Slack: 20, Window: time.Second})
+	a, rest := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	two, _ := a.Begin("look-up", First{})
 	one, _ := a.Begin("look-up", First{})
 	for _, run := range []*Run{two, two, one, one} {
 		run.Call("vault") // earns 0.85 each
 	}
-	is.True(two.Shed("vault")) // waits to hear of the other one
+	is.True(two.Shed("vault")) // awaits the other call
 	is.True(!two.Shed("vault"))
 	is.True(one.Shed("vault"))
 	is.True(!two.Take("vault"))
 	is.True(one.Take("vault"))
 	one.EndCall(true)
 	two.Fail()
-	is.True(!two.Take("vault")) // it fails all the same
-	sent(a, "vault", 20)
+	is.True(!two.Take("vault")) // it fails anyway
+	sendMany(a, "vault", 20)
 	rest()
-	is.True(!one.Shed("vault")) // nothing is to be waited for where there is plenty
+	is.True(!one.Shed("vault")) // no need to wait with repeats to spare
 	again, _ := a.Begin("look-up", First{})
 	again.Call("vault")
 	again.Call("vault")
