--- a/lib/bfwalk/doc.go
+++ b/lib/bfwalk/doc.go
@@ -1,4 +1,4 @@
-// Package bfwalk decides how long a request looks for a target with a free slot, how
-// long it waits at one, and when a refused caller is told to come back. It knows no
-// clock, no connection and no request: those who ask bring what they observed.
+// Package bfwalk decides how long a request goes from one full target to the next in
+// search of a free slot, how long it queues at one, and when a refused caller should
+// retry. It uses no clock and does no I/O: callers pass in what they observe.
 package bfwalk
--- a/lib/bfwalk/odds.go
+++ b/lib/bfwalk/odds.go
@@ -6,19 +6,18 @@
 	"bilberryflow.org/lib/bfshare"
 )
 
-// Odds holds, for each service, how often targets that were asked lately took the
-// request; its zero value is empty. Services come from the configuration, so their
-// number is bounded by it.
+// Odds holds the recent acceptance rate of each service: the share of sends that its
+// targets accepted. Its zero value is empty, and it is safe for concurrent use. It needs
+// no eviction, since the configuration bounds the number of services.
 //
-// Where most take it, one refusal is chance: the next target is worth asking, and a
-// refused caller may come back soon. Where few do, the service has less room than
-// work, and each further question takes the time of all for next to nothing.
+// At a high rate the next target is likely to accept, and a refused caller may retry
+// soon. At a low rate the service is overloaded, and further attempts are mostly wasted.
 type Odds struct{ byService sync.Map }
 
-// Note counts a question to a target of the service.
-func (o *Odds) Note(service string, took bool) { o.share(service).Note(took) }
+// Note counts a send to a target of the service, and whether the target accepted it.
+func (o *Odds) Note(service string, accepted bool) { o.share(service).Note(accepted) }
 
-// Of is the share of questions that were taken, 1 before the first.
+// Of returns the acceptance rate of the service, from 0 to 1; it is 1 before the first send.
 func (o *Odds) Of(service string) float64 { return o.share(service).Value() }
 
 func (o *Odds) share(service string) *bfshare.Share {
