--- a/lib/bffleet/doc.go
+++ b/lib/bffleet/doc.go
@@ -1,7 +1,7 @@
-// Package bffleet is what one node knows of the others: who they are, which
-// service's target runs beside each, how full it is and whether it answers.
+// Package bffleet holds one node's view of the other nodes: the service of the target
+// at each, its load and its health. It chooses the target for each request.
 //
-// Who is there is read from the platform's store and swapped whole. How a target
-// fares comes with the answers of its node, which decides on its own what it
-// takes: a stale belief here costs a refusal and never a wrong run.
+// The membership is read from the platform's store and replaced atomically. Load and
+// health are reported with the answers of each target's node. That node admits requests
+// on its own, so stale data here can cause a refusal but never an incorrect run.
 package bffleet
--- a/lib/bffleet/fleet_test.go
+++ b/lib/bffleet/fleet_test.go
@@ -31,59 +31,57 @@
 
 var start = time.Unix(1000, 0)
 
-// untilBoth is how many picks choose each of two equal targets at least once: one
-// is left out with a chance of 2^-60.
-const untilBoth = 60
+// picksUntilBoth is the number of picks after which each of two equal targets was chosen, but
+// for a probability of 2^-60.
+const picksUntilBoth = 60
 
-// The own domain's target is preferred while it has room, and when it is full for as
-// long as the turn there comes soon and the other domain's target is nearly full: a hop
-// costs more. With many waiting there the request would be late, and goes to the other
-// domain; so it does when that has all its slots free.
-func TestOwnDomainFirstWhileItHasRoom(t *testing.T) {
+// Guards against requests leaving their failure domain while it has free slots or a short
+// wait, and against staying there when they would be late or the other domain is idle.
+func TestOwnDomainIsPreferredWithinReason(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "sued")})
-	picks(f, start, untilBoth) // so neither is chosen for want of news
+	picks(f, start, picksUntilBoth) // so that neither is chosen for its missing report
 	is.Equal(picks(f, start, 20)["10.0.0.1:1"], 20)
 	own := f.view.Load().members["10.0.0.1:1"]
 	look := Demand{Service: "portal", Running: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
 	other := f.view.Load().members["10.0.0.2:1"]
 	other.Told(8, 10, start)
-	own.Told(10, 10, start) // the turn comes in 10 ms
+	own.Told(10, 10, start) // a wait of 10 ms
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.1:1"], 20)
-	own.Told(25, 10, start) // in 160 ms
+	own.Told(25, 10, start) // of 160 ms
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.2:1"], 20)
 	other.Told(0, 10, start)
 	own.Told(12, 10, start) // a hop costs less than the last slots of a domain
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.2:1"], 20)
 }
 
-// A target joins in another domain while the own one has room. It must get work
-// soon all the same, or it earns nothing and nobody knows how it fares.
-func TestTargetWithoutNewsIsChosen(t *testing.T) {
+// Guards against a new target in another domain never being chosen, and so never
+// reporting its load, while the node's own domain has free slots.
+func TestTargetWithoutReportIsChosen(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord")})
 	picks(f, start, 5)
 	f.Change([]Member{member(2, "sued")}, nil)
-	got := picks(f, start.Add(10*time.Millisecond), untilBoth)
+	got := picks(f, start.Add(10*time.Millisecond), picksUntilBoth)
 	is.Equal(got["10.0.0.2:1"], 1)
-	got = picks(f, start.Add(1200*time.Millisecond), untilBoth)
-	is.Equal(got["10.0.0.2:1"], 1) // still nothing was heard of it
+	got = picks(f, start.Add(1200*time.Millisecond), picksUntilBoth)
+	is.Equal(got["10.0.0.2:1"], 1) // still no report
 	f.view.Load().members["10.0.0.2:1"].Told(0, 10, start.Add(2*time.Second))
 	got = picks(f, start.Add(5*time.Second), 10)
 	is.Equal(got["10.0.0.2:1"], 0)
 }
 
-// A node refuses since its target leaves. It is passed over, for longer each
-// time, and is chosen again at once when it has taken a request.
-func TestSetAsideGrowsAndEnds(t *testing.T) {
+// Guards against a target that refuses requests being tried too often, or not again at
+// once after it accepted a request.
+func TestSuspensionGrowsAndEnds(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
 	target := f.view.Load().members["10.0.0.1:1"]
 	other := f.view.Load().members["10.0.0.2:1"]
-	// The other one is overfull, and chosen only while the target is set aside.
+	// The other target is overloaded, and chosen only while the target is suspended.
 	pick := func(now time.Time) *Target {
 		other.Told(30, 10, now)
 		return f.Pick(Demand{Service: "portal"}, now, nil).Target()
@@ -92,7 +90,7 @@
 	is.Equal(pick(now), target)
 	for _, length := range []time.Duration{100, 200, 400, 800, 1500, 1500} {
 		target.SetAside(now)
-		target.SetAside(now) // a second refusal in the same absence does not lengthen it
+		target.SetAside(now) // a second refusal doesn't extend the suspension
 		is.Equal(pick(now.Add(length*time.Millisecond-1)), other)
 		now = now.Add(length * time.Millisecond)
 		is.Equal(pick(now), target)
@@ -102,10 +100,9 @@
 	is.Equal(pick(now), target)
 }
 
-// The only target that an entry knows of a service refused a moment ago. It is asked
-// again: to refuse the caller without asking anybody would be no answer to its
-// request. A target whose node takes no connection is not.
-func TestOnlyTargetIsAskedThoughSetAside(t *testing.T) {
+// Guards against refusing a request without an attempt because its service's only target
+// is suspended. An unreachable target is excluded all the same.
+func TestOnlyTargetIsChosenThoughSuspended(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord")})
@@ -132,9 +129,8 @@
 	is.True(picks(f, start, 200)["10.0.0.1:1"] > 20) // it recovers
 }
 
-// A target failed everything and gets no more requests. When it works again
-// nobody would hear of it, so its failures are forgotten with time.
-func TestFailuresAreForgotten(t *testing.T) {
+// Guards against a target that failed all requests never being tried again.
+func TestFailureRateDecays(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
@@ -145,17 +141,17 @@
 	is.True(picks(f, start.Add(15*time.Second), 100)["10.0.0.1:1"] > 20)
 }
 
-func TestToldLoadIsForgotten(t *testing.T) {
+func TestLoadReportDecays(t *testing.T) {
 	is := is.New(t)
 	target := &Target{member: member(1, "nord")}
 	target.Begin()
 	target.Told(9, 10, start)
-	is.Equal(target.load(start), 1.0) // nine there, and one more
+	is.Equal(target.load(start), 1.0) // nine in use, and one more
 	is.True(target.load(start.Add(3*time.Second)) < 0.3)
 }
 
-// A member's row is written anew with other slots; what was known of the others stays.
-func TestUnchangedMembersKeepWhatIsKnown(t *testing.T) {
+// Guards against losing the state of unchanged members when another member changes.
+func TestUnchangedMembersKeepState(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
@@ -181,8 +177,7 @@
 	is.Equal(wrong.Field, "inbound")
 }
 
-// The members' table may hold any bytes, and what passes for a member is one that a
-// request can be sent to.
+// Guards against accepting rows to which no request can be sent.
 func FuzzDecodeMember(f *testing.F) {
 	value, err := member(1, "nord").Encode()
 	if err != nil {
@@ -194,14 +189,14 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		m, err := DecodeMember(key, value)
 		if err == nil && (m.Inbound != key || m.Service == "" || m.Domain == "" || m.Slots < 1 || !bfheader.IsAddress(m.Inbound) || !bfheader.IsAddress(m.Peer)) {
-			t.Fatalf("%+v passes for a member", m)
+			t.Fatalf("%+v was accepted as a member", m)
 		}
 	})
 }
 
-// A node's link is slow, and a target of the service stands beside it. A download
-// from another target would take the link twice.
-func TestSlowLinkKeepsDownloadsAtHome(t *testing.T) {
+// Guards against a node with a slow link fetching downloads from another target, which
+// uses the link twice, while its own target can serve them.
+func TestSlowLinkKeepsDownloadsLocal(t *testing.T) {
 	is := is.New(t)
 	const megabit = 1e6 / 8
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord", LinkBytes: 5 * megabit})
@@ -215,11 +210,9 @@
 	is.Equal(f.Pick(Demand{Service: "portal", Bytes: 500}, start, nil).Target(), other)
 }
 
-// The links of the own domain's nodes are taken up by long answers. A download is
-// sent to another domain before it waits for its whole objective; a short answer,
-// which passes the long ones, stays at home; and the wait shrinks as the links
-// drain, whether or not anything is heard of it.
-func TestDownloadsGoWhereTheLinkIsFree(t *testing.T) {
+// Guards against downloads waiting for a busy link while another domain's is free, against
+// short answers avoiding that link, and against outdated backlog reports.
+func TestDownloadsAvoidBusyLinks(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "sued")})
@@ -236,10 +229,9 @@
 	is.Equal(f.Pick(download, start, nil).Target(), near)
 }
 
-// A target fails half of its requests, and this node has sent it none. The word of
-// the node beside it is enough to choose another; it counts for less as it ages, so
-// that the target is tried again.
-func TestToldFailuresCount(t *testing.T) {
+// Guards against ignoring failures reported by a target's node, and against old reports
+// excluding the target for good.
+func TestReportedFailuresCount(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
@@ -248,8 +240,7 @@
 	is.True(picks(f, start.Add(15*time.Second), 100)["10.0.0.1:1"] > 20)
 }
 
-// One target takes twice the mean of its service, by its node's word. Requests with
-// little time to spare go to the other one.
+// Guards against sending requests with little time left to a target reported as slow.
 func TestSlowTargetGetsRequestsWithTimeToSpare(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
@@ -269,22 +260,21 @@
 	is.True(count(10*time.Second) > 20)
 }
 
-// Of a target in another domain nothing was ever heard. The news costs its bytes all the
-// same: a request with a long body stays at home, and the next one without gets it.
-func TestNewsIsGotByShortRequests(t *testing.T) {
+// Guards against probing a target in another domain with a long request, whose bytes cost
+// more than the report is worth.
+func TestTargetWithoutReportGetsShortRequests(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "sued")})
 	f.view.Load().members["10.0.0.1:1"].Told(2, 10, start)
 	long := Demand{Service: "portal", Bytes: 6000, Objective: time.Second, Left: time.Second}
-	is.Equal(picksOf(f, long, start, untilBoth)["10.0.0.1:1"], untilBoth)
-	is.Equal(picks(f, start, untilBoth)["10.0.0.2:1"], 1)
+	is.Equal(picksOf(f, long, start, picksUntilBoth)["10.0.0.1:1"], picksUntilBoth)
+	is.Equal(picks(f, start, picksUntilBoth)["10.0.0.2:1"], 1)
 }
 
-// A request was refused, and other domains refuse most of what they are asked. It goes on
-// to the targets of its own domain that it has not asked, though one of another domain is
-// believed to be the better choice, and nowhere once they are asked.
-func TestNearChoiceStaysInTheDomain(t *testing.T) {
+// Guards against Near choices in another domain, even when its target costs less or no
+// other is left.
+func TestNearChoiceStaysInDomain(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord"), member(3, "sued")})
--- a/lib/bffleet/member.go
+++ b/lib/bffleet/member.go
@@ -10,33 +10,34 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// Member is a node whose target takes work, as it is written in the store.
+// Member is a node whose target accepts requests, as stored in the members' table.
 type Member struct {
-	// Inbound is where the node takes requests from other nodes; it names the member.
+	// Inbound is the address at which the node accepts requests from other nodes. It
+	// identifies the member.
 	Inbound string `cbor:"1,keyasint"`
-	// Peer is where the node takes calls from other nodes.
+	// Peer is the address at which the node accepts peer calls from other nodes.
 	Peer string `cbor:"2,keyasint"`
-	// Service is the service of the target beside the node.
+	// Service is the service of the node's target.
 	Service string `cbor:"3,keyasint"`
 	// Domain is the failure domain of the node.
 	Domain string `cbor:"4,keyasint"`
-	// Slots is how many requests the target works on at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int `cbor:"5,keyasint"`
 	// LinkMbps is the bandwidth of the node's link in whole Mbit/s.
 	LinkMbps int `cbor:"6,keyasint,omitempty"`
-	// Revision is that of the row in the store; the row itself does not hold it.
+	// Revision is the revision of the row in the store. The stored row itself lacks it.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
 	// Instance is the name of the node's instance, for operators.
 	Instance string `cbor:"8,keyasint,omitempty"`
-	// Incarnation and Address are the target's, StartedMilli when it started in Unix
-	// milliseconds, 0 where it does not say. A node that is started again recalls its
-	// target by them.
+	// Incarnation and Address identify the target. StartedMilli is its start time in Unix
+	// milliseconds, 0 if the target doesn't report one. A restarted node uses them to find
+	// its target again.
 	Incarnation  string `cbor:"9,keyasint,omitempty"`
 	Address      string `cbor:"10,keyasint,omitempty"`
 	StartedMilli int64  `cbor:"11,keyasint,omitempty"`
 }
 
-// Started is when the target started by its own clock, zero where it does not say.
+// Started returns when the target started by its own clock, or the zero time if unknown.
 func (m Member) Started() time.Time {
 	if m.StartedMilli == 0 {
 		return time.Time{}
@@ -44,38 +45,39 @@
 	return time.UnixMilli(m.StartedMilli)
 }
 
-// HasTarget reports whether the member names a target that is beside its node.
+// HasTarget reports whether the member names a target on the same host as its node.
 func (m Member) HasTarget() bool {
 	node, _, _ := net.SplitHostPort(m.Inbound)
 	target, _, err := net.SplitHostPort(m.Address)
 	return err == nil && m.Incarnation != "" && node == target
 }
 
-// Name is what operators call the member: its instance, or its address where the
-// row does not tell that.
+// Name returns the name of the member for operators: its instance, or else its inbound
+// address.
 func (m Member) Name() string { return cmp.Or(m.Instance, m.Inbound) }
 
-// Encode writes the member as a row's value.
+// Encode returns the member as the value of a row.
 func (m Member) Encode() ([]byte, error) { return bfcodec.Marshal(m) }
 
-// MemberError reports a row that can't be a member's.
+// MemberError reports a row that is no valid member.
 type MemberError struct {
 	Key   string
 	Field string
 }
 
-// Error names the row's key and the field.
+// Error returns the message with the row's key and the field.
 func (e *MemberError) Error() string {
-	return fmt.Sprintf("row %q is no member's: %s is missing or out of range", e.Key, e.Field)
+	return fmt.Sprintf("row %q is not a valid member: %s is missing or out of range", e.Key, e.Field)
 }
 
-// maxSlots is more than any target has.
+// maxSlots bounds the slots of a valid member.
 const maxSlots = 100_000
 
-// DecodeMember reads the value of the row of a key.
+// DecodeMember decodes and validates the value of the row with a key. Its errors are
+// MemberError and those of bfcodec.
 //
-// A row may come from another writer. One that lacks a field, or lies under another's
-// key, would have requests sent to an address where no node is.
+// Other writers may have stored invalid rows. A row with a missing field or under the
+// wrong key would direct requests to an address without a node.
 func DecodeMember(key string, value []byte) (Member, error) {
 	var m Member
 	if err := bfcodec.Unmarshal(value, "member", &m); err != nil {
--- a/lib/bffleet/standing.go
+++ b/lib/bffleet/standing.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Standing is what a node believes of one target, for operators.
+// Standing is the status of one target as a node sees it, for operators.
 type Standing struct {
 	Member Member
-	// InFlight is how many of the node's own requests are there.
+	// InFlight is the number of the node's own requests at the target.
 	InFlight int
-	// Used and Slots are the load that was told last, Age ago; Slots is 0 where none was.
+	// Used and Slots are the last reported load, and Age is the age of that report.
+	// Slots is 0 if there is none.
 	Used, Slots int
 	Age         time.Duration
-	// Lost says that the target's node is being looked for, Aside that the target is
-	// passed over for a while.
+	// Lost is set while the target's node is unreachable and being probed, Aside while
+	// the target is suspended.
 	Lost, Aside bool
 }
 
-// Takes reports whether the target gets requests.
+// Takes reports whether the target is eligible for requests.
 func (s Standing) Takes() bool { return !s.Lost && !s.Aside }
 
-// Word is the state in a word.
+// Word returns the name of the state.
 func (s Standing) Word() string {
 	switch {
 	case s.Lost:
@@ -34,26 +35,26 @@
 	return "ready"
 }
 
-// Why tells what the state comes from.
+// Why returns the reason for the state.
 func (s Standing) Why() string {
 	switch {
 	case s.Lost:
-		return "its node takes no connection and is being looked for"
+		return "its node accepts no connections and is being probed"
 	case s.Aside:
-		return "its node refused lately for another reason than want of slots"
+		return "its node recently refused a request for a reason other than lack of slots"
 	case s.Slots == 0:
 		return "nothing was heard of its load yet"
 	}
 	return fmt.Sprintf("%d of %d slots in use %v ago", s.Used, s.Slots, s.Age.Round(time.Millisecond))
 }
 
-// Standings lists what is believed of all members' targets, by domain and name.
+// Standings returns the status of all members' targets, ordered by domain and name.
 func (f *Fleet) Standings(now time.Time) []Standing {
 	var list []Standing
 	for _, t := range f.view.Load().members {
 		s := Standing{Member: t.member, InFlight: int(t.inFlight.Load()), Lost: t.probing.Load()}
-		s.Aside = !s.Lost && t.aside(now)
-		if told := t.told.Load(); told != nil {
+		s.Aside = !s.Lost && t.isSuspended(now)
+		if told := t.lastLoad.Load(); told != nil {
 			s.Used, s.Slots, s.Age = told.used, told.slots, now.Sub(told.when)
 		}
 		list = append(list, s)
--- a/lib/bffleet/target.go
+++ b/lib/bffleet/target.go
@@ -8,56 +8,56 @@
 	"bilberryflow.org/lib/bfshare"
 )
 
-// Target is one member's target as requests are sent to it.
+// Target is one member's target, with its observed load and health.
 //
-// All methods may be called by many goroutines at once.
+// It is safe for concurrent use.
 type Target struct {
 	member   Member
 	inFlight atomic.Int32
-	// told is the load that its node last told.
-	told atomic.Pointer[toldLoad]
-	// backlog is how busy its node's link was when it last told.
-	backlog atomic.Pointer[toldBacklog]
-	// away is how the target is set aside, nil while it takes work.
-	away atomic.Pointer[absence]
+	// lastLoad is the last reported load, nil before the first report.
+	lastLoad atomic.Pointer[loadReport]
+	// backlog is the last reported backlog of the node's link, nil if there was none.
+	backlog atomic.Pointer[backlogReport]
+	// suspended is the current or last suspension, nil after the target accepted a request.
+	suspended atomic.Pointer[suspension]
 	// failing is the share of recent answers that were failures.
 	failing bfshare.Share
-	// judged is when the last answer was counted, in nanoseconds since 1970.
-	judged atomic.Int64
-	// track is how the target fares by its node's word.
-	track atomic.Pointer[toldTrack]
-	// slowness is how long the target takes, in 1/65536 of the mean of its service.
+	// countedAt is when the last answer was counted, in Unix nanoseconds.
+	countedAt atomic.Int64
+	// health is the failure rate that the target's node last reported.
+	health atomic.Pointer[healthReport]
+	// slowness is the target's run time over the mean of its service, in units of
+	// 1/65536; 0 if unknown.
 	slowness atomic.Uint32
-	// probing says that the target's node is being looked for, and that no request
-	// goes there until it is found.
+	// probing is set while the target's node is unreachable and gets no requests.
 	probing atomic.Bool
-	// probed is when the target was last chosen for want of news, in nanoseconds since 1970.
-	probed atomic.Int64
+	// chosenAt is when the target was last chosen, in Unix nanoseconds.
+	chosenAt atomic.Int64
 }
 
-// toldLoad is a target's load at one moment.
-type toldLoad struct {
+// loadReport is a reported load of a target.
+type loadReport struct {
 	used, slots int
-	// own is how many of this node's requests were there when it was told.
+	// own is the number of this node's requests at the target when it was reported.
 	own  int
 	when time.Time
 }
 
-// toldBacklog is how long a node's link takes for its long answers, at one moment.
-type toldBacklog struct {
+// backlogReport is the time that a node's link needed for its pending long answers.
+type backlogReport struct {
 	length time.Duration
 	when   time.Time
 }
 
-// ToldBacklog takes the backlog of the node's link that came with an answer.
+// ToldBacklog records the backlog of the node's link as reported with an answer.
 func (t *Target) ToldBacklog(length time.Duration, now time.Time) {
 	if length > 0 || t.backlog.Load() != nil {
-		t.backlog.Store(&toldBacklog{length, now})
+		t.backlog.Store(&backlogReport{length, now})
 	}
 }
 
-// linkWait is how long a long answer is expected to wait for the node's link, by
-// what was told and has drained since.
+// linkWait returns the expected time that a long answer waits for the node's link: the
+// last report less the time since.
 func (t *Target) linkWait(now time.Time) time.Duration {
 	told := t.backlog.Load()
 	if told == nil {
@@ -66,140 +66,141 @@
 	return max(told.length-now.Sub(told.when), 0)
 }
 
-// toldTrack is the share of requests that a target fails, as its node told it.
-type toldTrack struct {
+// healthReport is the share of requests that a target fails, as reported by its node.
+type healthReport struct {
 	failing float64
 	when    time.Time
 }
 
-// absence is a time during which a target gets no requests.
-type absence struct {
+// suspension is a period in which a target gets no requests.
+type suspension struct {
 	until  time.Time
 	length time.Duration
 }
 
-// Member is who the target is.
+// Member returns the member that the target belongs to.
 func (t *Target) Member() Member { return t.member }
 
-// Begin counts a request that is sent to the target; End must follow.
+// Begin counts a request sent to the target. End must follow.
 func (t *Target) Begin() { t.inFlight.Add(1) }
 
-// End takes back a Begin.
+// End reverts one Begin.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Told takes the load that came with an answer.
+// Told records the load as reported with an answer.
 func (t *Target) Told(used, slots int, now time.Time) {
-	t.told.Store(&toldLoad{used: used, slots: slots, own: int(t.inFlight.Load()), when: now})
+	t.lastLoad.Store(&loadReport{used: used, slots: slots, own: int(t.inFlight.Load()), when: now})
 }
 
 const (
-	// firstAbsence is how long a target is passed over after it first refused
-	// for a reason other than want of slots; about two exchanges between zones.
-	firstAbsence = 100 * time.Millisecond
-	// lastAbsence bounds the doubling: a target that takes work again is found
-	// within about that time.
-	lastAbsence = 1500 * time.Millisecond
+	// minSuspension is the first suspension of a target that refused a request for a
+	// reason other than lack of slots: about two round trips between zones.
+	minSuspension = 100 * time.Millisecond
+	// maxSuspension bounds the doubling, and so the time until a recovered target is
+	// used again.
+	maxSuspension = 1500 * time.Millisecond
 )
 
-// SetAside passes the target over for a while, longer each time in a row, and
-// gives how long; 0 means that it is passed over already.
+// SetAside suspends the target and returns for how long. Each consecutive suspension is
+// twice as long as the one before. It returns 0 if the target is suspended already.
 func (t *Target) SetAside(now time.Time) time.Duration {
-	length := firstAbsence
-	if before := t.away.Load(); before != nil {
+	length := minSuspension
+	if before := t.suspended.Load(); before != nil {
 		if now.Before(before.until) {
 			return 0
 		}
-		length = min(2*before.length, lastAbsence)
+		length = min(2*before.length, maxSuspension)
 	}
-	t.away.Store(&absence{until: now.Add(length), length: length})
+	t.suspended.Store(&suspension{until: now.Add(length), length: length})
 	return length
 }
 
-// Present ends an absence: the target's node has taken a request.
+// Present ends a suspension, after the target's node accepted a request.
 func (t *Target) Present() {
-	if t.away.Load() != nil {
-		t.away.Store(nil)
+	if t.suspended.Load() != nil {
+		t.suspended.Store(nil)
 	}
 }
 
-// LookFor has the target get no requests until Found, and reports whether nobody
-// looks for it yet.
+// LookFor excludes the target from requests until Found. It reports whether the caller
+// should start probing, which is false if probing is in progress.
 //
-// A request that is sent to find out whether a lost machine is back waits for a
-// connection that nobody takes: a nested call is late then, and its parent fails.
+// Probes replace requests here, since a request to an unreachable machine waits for its
+// connection until it is late, and a late nested call fails its parent.
 func (t *Target) LookFor() bool { return t.probing.CompareAndSwap(false, true) }
 
-// Found ends LookFor: the target's node takes connections.
+// Found ends LookFor, after the target's node accepted a connection.
 func (t *Target) Found() {
 	t.Present()
 	t.probing.Store(false)
 }
 
-// aside reports whether the target is passed over for a while.
-func (t *Target) aside(now time.Time) bool {
-	away := t.away.Load()
+// isSuspended reports whether the target is suspended.
+func (t *Target) isSuspended(now time.Time) bool {
+	away := t.suspended.Load()
 	return away != nil && now.Before(away.until)
 }
 
-// whole is 1 in the unit in which slowness is held.
-const whole = 1 << 16
+// slownessUnit is a slowness of 1.
+const slownessUnit = 1 << 16
 
-// Judge counts an answer as a success or a failure of the target's own.
+// Judge counts an answer as a success or a failure of the target.
 func (t *Target) Judge(failed bool, now time.Time) {
-	t.judged.Store(now.UnixNano())
+	t.countedAt.Store(now.UnixNano())
 	t.failing.Note(failed)
 }
 
-// pardon is how fast failures lose their weight while no answer comes. A target
-// that is passed over for its failures would else never show that it works again.
-const pardon = 3 * time.Second
+// failureDecay is the time constant of the failure rate while there are no answers. A
+// target that is avoided for its failures would otherwise never be tried again.
+const failureDecay = 3 * time.Second
 
-// failure is the share of failures that the target is believed to answer with: what
-// this node saw, connections that broke included, or what the target's node told.
-func (t *Target) failure(now time.Time) float64 {
-	// The time of day may have jumped back since.
-	age := max(now.UnixNano()-t.judged.Load(), 0)
-	seen := t.failing.Value() * math.Exp(-float64(age)/float64(pardon))
-	told := t.track.Load()
+// failureRate returns the estimated share of requests that fail: the higher of what this
+// node observed, including broken connections, and what the target's node reported.
+func (t *Target) failureRate(now time.Time) float64 {
+	// The wall clock may have been set back.
+	age := max(now.UnixNano()-t.countedAt.Load(), 0)
+	seen := t.failing.Value() * math.Exp(-float64(age)/float64(failureDecay))
+	told := t.health.Load()
 	if told == nil {
 		return seen
 	}
-	return max(seen, told.failing*math.Exp(-float64(now.Sub(told.when))/float64(pardon)))
+	return max(seen, told.failing*math.Exp(-float64(now.Sub(told.when))/float64(failureDecay)))
 }
 
-// ToldTrack takes how the target fares by its node's word: the share of requests
-// that it fails, and its time over the mean of its service, 0 where that is unknown.
+// ToldTrack records the target's health as reported by its node: the share of requests
+// that it fails, and its run time over the mean of its service, 0 if unknown.
 func (t *Target) ToldTrack(failing, slowness float64, now time.Time) {
-	t.track.Store(&toldTrack{failing: failing, when: now})
+	t.health.Store(&healthReport{failing: failing, when: now})
 	if slowness > 0 {
-		t.slowness.Store(uint32(min(slowness, maxSlowness) * whole))
+		t.slowness.Store(uint32(min(slowness, maxSlowness) * slownessUnit))
 	}
 }
 
-// maxSlowness bounds what a target's slowness counts.
+// maxSlowness bounds the slowness that is recorded.
 const maxSlowness = 4
 
-// slow is the target's time over the mean of its service.
-func (t *Target) slow() float64 {
+// relativeRunTime returns the target's run time over the mean of its service.
+func (t *Target) relativeRunTime() float64 {
 	ratio := t.slowness.Load()
 	if ratio == 0 {
 		return 1
 	}
-	return float64(ratio) / whole
+	return float64(ratio) / slownessUnit
 }
 
-// forgetting is how fast a told load loses its weight.
-const forgetting = 500 * time.Millisecond
+// loadDecay is the time constant with which a load report loses weight.
+const loadDecay = 500 * time.Millisecond
 
-// load is the share of the target's slots that are believed in use, with one more request.
+// load returns the estimated share of the target's slots in use, including one more
+// request. It exceeds 1 if requests would wait.
 func (t *Target) load(now time.Time) float64 {
 	own := float64(t.inFlight.Load())
 	slots := float64(max(t.member.Slots, 1))
 	used := own
-	if told := t.told.Load(); told != nil {
+	if told := t.lastLoad.Load(); told != nil {
 		slots = float64(max(told.slots, 1))
 		others := float64(told.used - told.own)
-		used = max(own+others*math.Exp(-float64(now.Sub(told.when))/float64(forgetting)), 0)
+		used = max(own+others*math.Exp(-float64(now.Sub(told.when))/float64(loadDecay)), 0)
 	}
 	return (used + 1) / slots
 }
