--- a/lib/bfpacer/doc.go
+++ b/lib/bfpacer/doc.go
@@ -1,3 +1,3 @@
-// Package bfpacer shares a slow link between the long answers of one node, piece by piece,
-// so that short messages do not wait behind them.
+// Package bfpacer paces the long answers of a node on a slow link, so that short messages
+// don't wait behind them.
 package bfpacer
--- a/lib/bfpacer/pacer.go
+++ b/lib/bfpacer/pacer.go
@@ -9,30 +9,30 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Pacer keeps long answers from filling the machine's link.
+// Pacer limits the rate at which long answers are written to the machine's link. It is
+// safe for concurrent use, and a nil Pacer paces nothing.
 //
-// All connections share the link's queue. A download written as fast as its
-// connection takes it puts a window of bytes there, and each short answer behind
-// a few of them comes a tenth of a second late on a slow link. Paced to what the
-// link has left, downloads wait in the process instead, and short answers pass.
+// All connections share the link's queue. Unpaced downloads fill it with a TCP window
+// each, which delays short answers on a slow link by a tenth of a second. Paced downloads
+// wait in the process instead, where short answers overtake them.
 //
-// The download that began first goes first: five at a time, each with a fifth of
-// the link, would all end when the last one of a row ends.
+// Downloads are served in the order in which they began. Sharing the link evenly between
+// them would end all of them as late as the last one.
 type Pacer struct {
 	timer *bftimer.Service
-	// rate is in bytes a second; 0 means that nothing is paced.
+	// rate is in bytes per second; 0 disables pacing.
 	rate float64
 
 	mu sync.Mutex
-	// free is when the link has taken what was let go.
-	free time.Time
-	// begun counts the answers, backlog the bytes of those in progress.
+	// freeAt is when the link has sent the bytes granted so far.
+	freeAt time.Time
+	// begun is the number of answers so far, backlog the unsent bytes of those in progress.
 	begun   uint64
 	backlog int64
-	// waiting holds the pieces that may not go yet, the answer that began first in front.
+	// waiting holds the pieces that wait for the link, in the order of their answers.
 	waiting []*piece
-	// armed says that next is going to be called.
-	armed bool
+	// scheduled is set while a timer for next is pending.
+	scheduled bool
 }
 
 // piece is a part of an answer that waits for the link.
@@ -43,43 +43,40 @@
 }
 
 const (
-	// pacedShare is the part of the link that all traffic together may take; what the
-	// node does not count (connections, other calls) needs the rest. Measured over 30 s
-	// of 66 instances on links of 5 Mbit/s, one run each: the median of look-ups was
-	// 235 ms with 0.9 and 221 ms with 0.75, and more of both together were in time.
+	// pacedShare is the part of the bandwidth used by the traffic that the pacer counts.
+	// The rest is for traffic that it doesn't count, such as connection set-up and calls.
 	pacedShare = 0.75
-	// headerBytes is what a message takes beside its body: its header's lines and
-	// those of its packets.
+	// headerBytes is the size of the headers of a message and its packets.
 	headerBytes = 500
-	// pacedFrom is the length from which an answer is long.
-	pacedFrom = 16 << 10
-	// Piece is the size of the pieces it is written in: 7 ms at 5 Mbit/s.
+	// minPacedBytes is the length in bytes from which an answer is long.
+	minPacedBytes = 16 << 10
+	// Piece is the size in bytes in which long answers are written: 7 ms at 5 Mbit/s.
 	Piece = 4 << 10
-	// pacedBelow is the bandwidth in Mbit/s below which answers are paced; on a
-	// faster link a download of 90 kB takes 7 ms at most.
-	pacedBelow = 100
-	// pacedLag is how much of the link's time may be made good after a timer that
-	// fired late; more would fill the link's queue at once.
-	pacedLag = 20 * time.Millisecond
+	// maxPacedMbps is the bandwidth in Mbit/s below which answers are paced. A faster link
+	// sends a download of 90 kB in 7 ms.
+	maxPacedMbps = 100
+	// maxCatchUp bounds the idle time of the link that may be made up for after a late
+	// timer. More would fill the link's queue.
+	maxCatchUp = 20 * time.Millisecond
 )
 
-// New makes the pacer of a link of a bandwidth in Mbit/s.
+// New returns the pacer of a link with a bandwidth in Mbit/s.
 func New(timer *bftimer.Service, mbps float64) *Pacer {
 	const bytesOfMbit = 1e6 / 8
 	p := &Pacer{timer: timer}
-	if mbps < pacedBelow {
+	if mbps < maxPacedMbps {
 		p.rate = mbps * bytesOfMbit * pacedShare
 	}
 	return p
 }
 
-// Paces reports whether an answer of that length is paced.
+// Paces reports whether an answer of a length in bytes, negative if unknown, is paced.
 func (p *Pacer) Paces(length int64) bool {
-	return p != nil && p.rate > 0 && (length < 0 || length >= pacedFrom)
+	return p != nil && p.rate > 0 && (length < 0 || length >= minPacedBytes)
 }
 
-// Charge counts a message that goes at once, with a body of a number of bytes, so
-// that long answers leave it its part of the link.
+// Charge counts a message that is sent without pacing, so that long answers leave room for
+// it. Body is the length of its body in bytes.
 func (p *Pacer) Charge(body int) {
 	if p == nil || p.rate <= 0 {
 		return
@@ -89,38 +86,38 @@
 	p.take(body+headerBytes, p.timer.Now())
 }
 
-// take counts bytes that go to the link; it needs the lock.
+// take counts bytes sent on the link. The caller must hold mu.
 func (p *Pacer) take(bytes int, now time.Time) {
-	if late := now.Add(-pacedLag); p.free.Before(late) {
-		p.free = late
+	if late := now.Add(-maxCatchUp); p.freeAt.Before(late) {
+		p.freeAt = late
 	}
-	p.free = p.free.Add(p.length(int64(bytes)))
+	p.freeAt = p.freeAt.Add(p.duration(int64(bytes)))
 }
 
-// Backlog is how long the link takes for the long answers in progress.
+// Backlog returns how long the link needs for the rest of the long answers in progress.
 func (p *Pacer) Backlog() time.Duration {
 	if p == nil || p.rate <= 0 {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.length(p.backlog)
+	return p.duration(p.backlog)
 }
 
-// length is how long the link takes for a number of bytes.
-func (p *Pacer) length(bytes int64) time.Duration {
+// duration returns how long the link needs for a number of bytes.
+func (p *Pacer) duration(bytes int64) time.Duration {
 	return time.Duration(float64(bytes) / p.rate * float64(time.Second))
 }
 
-// Answer is one long answer on its way; End must be called.
+// Answer is one long answer in progress; End must be called.
 type Answer struct {
 	pacer *Pacer
 	order uint64
-	// left is what the answer still counts for in the backlog.
+	// left is the number of bytes of the answer in the backlog.
 	left int64
 }
 
-// Begin takes a long answer of a length, negative where it is not known.
+// Begin starts a long answer of a length in bytes, negative if unknown.
 func (p *Pacer) Begin(length int64) *Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +127,7 @@
 	return a
 }
 
-// End takes back what the answer counts for.
+// End removes the answer from the backlog.
 func (a *Answer) End() {
 	a.pacer.mu.Lock()
 	defer a.pacer.mu.Unlock()
@@ -138,7 +135,8 @@
 	a.left = 0
 }
 
-// Wait waits until a number of bytes may go.
+// Wait waits until a number of bytes may be sent. It returns the error of ctx if that ends
+// first.
 func (a *Answer) Wait(ctx context.Context, bytes int) error {
 	w := a.pacer.enter(a, bytes)
 	if w == nil {
@@ -153,12 +151,12 @@
 	}
 }
 
-// enter lets bytes go, or gives the piece that waits.
+// enter grants the bytes at once and returns nil, or queues a piece and returns it.
 func (p *Pacer) enter(a *Answer, bytes int) *piece {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.timer.Now()
-	if len(p.waiting) == 0 && !p.free.After(now) {
+	if len(p.waiting) == 0 && !p.freeAt.After(now) {
 		p.grant(a, bytes, now)
 		return nil
 	}
@@ -170,34 +168,34 @@
 		return 1
 	})
 	p.waiting = slices.Insert(p.waiting, at, w)
-	p.arm(now)
+	p.schedule(now)
 	return w
 }
 
-// arm has next called once the link is free; it needs the lock.
-func (p *Pacer) arm(now time.Time) {
-	if p.armed || len(p.waiting) == 0 {
+// schedule schedules next for when the link is free. The caller must hold mu.
+func (p *Pacer) schedule(now time.Time) {
+	if p.scheduled || len(p.waiting) == 0 {
 		return
 	}
-	p.armed = true
-	p.timer.After(p.free.Sub(now), p.next)
+	p.scheduled = true
+	p.timer.After(p.freeAt.Sub(now), p.next)
 }
 
-// next lets the first piece go once the link is free.
+// next grants the first waiting piece if the link is free.
 func (p *Pacer) next(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.armed = false
-	if len(p.waiting) > 0 && !p.free.After(now) {
+	p.scheduled = false
+	if len(p.waiting) > 0 && !p.freeAt.After(now) {
 		first := p.waiting[0]
 		p.waiting = p.waiting[1:]
 		p.grant(first.answer, first.bytes, now)
 		close(first.granted)
 	}
-	p.arm(now)
+	p.schedule(now)
 }
 
-// grant lets bytes go; it needs the lock.
+// grant counts bytes of an answer as sent. The caller must hold mu.
 func (p *Pacer) grant(a *Answer, bytes int, now time.Time) {
 	p.take(bytes, now)
 	counted := min(int64(bytes), a.left)
@@ -205,7 +203,7 @@
 	p.backlog -= counted
 }
 
-// leave ends a wait.
+// leave removes a waiting piece.
 func (p *Pacer) leave(w *piece) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lib/bfpacer/pacer_test.go
+++ b/lib/bfpacer/pacer_test.go
@@ -13,7 +13,7 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// paceAll has answers of a length begin one after another and gives when each has left.
+// paceAll sends answers of a length concurrently, and returns the time at which each ended.
 func paceAll(t *testing.T, pacer *Pacer, group *bfgroup.Group, answers int, length int) []time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -38,9 +38,9 @@
 	return ends
 }
 
-// Five downloads begin at once on a slow link. Each with a fifth of the link, all
-// five would come late; one after another, most of them are in time.
-func TestLongAnswersLeaveInTheirOrder(t *testing.T) {
+// Guards against concurrent downloads sharing the link evenly, which would make all of them
+// late.
+func TestLongAnswersAreSentInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		group := bfgroup.New(context.Background())
@@ -48,11 +48,11 @@
 		group.Go("timer", timer.Run)
 		const mbps, length = 5, 100 << 10
 		pacer := New(timer, mbps)
-		each := pacer.length(length)
+		each := pacer.duration(length)
 		ends := paceAll(t, pacer, group, 5, length)
 		for i, end := range ends {
-			is.True(end <= time.Duration(i+1)*each)        // no more than the link's share
-			is.True(end >= time.Duration(i+1)*each-each/2) // and in the order of their begin
+			is.True(end <= time.Duration(i+1)*each)        // at the full rate
+			is.True(end >= time.Duration(i+1)*each-each/2) // one after another
 		}
 		is.Equal(pacer.Backlog(), time.Duration(0))
 		group.Cancel()
@@ -60,21 +60,21 @@
 	})
 }
 
-// A caller leaves in the middle of its download. What the download had left no
-// longer counts, or the node would refuse others for a link that is free.
-func TestBacklogForgetsWhatIsNotSent(t *testing.T) {
+// Guards against the rest of a cancelled download staying in the backlog, which would make
+// the link look busy.
+func TestEndRemovesUnsentBacklog(t *testing.T) {
 	is := is.New(t)
 	pacer := New(bftimer.New(1), 5)
 	answer := pacer.Begin(1 << 20)
-	is.True(pacer.Backlog() > 3*pacer.length(1<<20)/4)
+	is.True(pacer.Backlog() > 3*pacer.duration(1<<20)/4)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range 10 { // more than pacedLag lets go at once
+	for range 10 { // more than maxCatchUp grants at once
 		if answer.Wait(ctx, Piece) != nil {
 			break
 		}
 	}
-	is.True(pacer.Backlog() > 3*pacer.length(1<<20)/4)
+	is.True(pacer.Backlog() > 3*pacer.duration(1<<20)/4)
 	answer.End()
 	is.Equal(pacer.Backlog(), time.Duration(0))
 	is.Equal(len(pacer.waiting), 0)
