--- a/lib/bfadmit/class.go
+++ b/lib/bfadmit/class.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// job is one request that runs or waits.
+// job is a running or queued request.
 type job struct {
 	request Request
 	class   *class
 	tenant  *tenant
-	// level is how many slots and waiters its tenant had when it came.
+	// level is the number of running and queued requests that its tenant had on arrival.
 	level     int
 	running   bool
 	startedAt time.Time
 }
 
-// tenant is one tenant's requests in one class; it exists while there are any.
+// tenant holds one tenant's requests in one class. It is removed with the last of them.
 type tenant struct {
 	name  string
 	inUse int
-	// turn grows with each start: of two tenants with as many slots the one
-	// served longer ago is first. A new tenant comes last, so that nobody gains
-	// by leaving and returning.
+	// turn is the gate's turn at the tenant's last start. Of two tenants with equal slots
+	// the least recently served is first. A new tenant is last, so that there is no gain
+	// in leaving and returning.
 	turn  uint64
 	queue []*job
-	// kept counts those of queue that a sweep has kept so far.
+	// kept is the number of jobs in queue that the current sweep has kept so far.
 	kept int
-	// levels are those of its starts in the gate's window, the oldest first.
+	// levels are the levels of its starts in the gate's window, the oldest first.
 	levels []int
 }
 
@@ -39,20 +39,21 @@
 	tenantLimit int
 	inUse       int
 	queued      int
-	// passed counts the starts of other classes since this one could have started last.
+	// passed is the number of consecutive times that another class was started although
+	// this one could have been.
 	passed int
-	// recent counts its starts in the gate's window, and levels those of each level.
+	// recent is the number of its starts in the gate's window, and levels that by level.
 	recent  int
 	levels  [maxLevel + 1]int
 	service meter
 	tenants map[string]*tenant
-	// active are the tenants with waiters.
+	// active are the tenants with queued requests.
 	active []*tenant
-	// returnAt is the time that was last given to a refused caller to come back.
-	returnAt time.Time
+	// retryAt is the retry time that was last given to a refused caller.
+	retryAt time.Time
 }
 
-// discipline is the order in which one tenant's requests wait.
+// discipline is the order of one tenant's queue.
 type discipline int
 
 const (
@@ -61,7 +62,7 @@
 	earliestDeadline
 )
 
-// place is the index in t's queue at which a request of deadline would wait.
+// place returns the index in t's queue at which a request with a deadline is inserted.
 func (d discipline) place(t *tenant, deadline time.Time) int {
 	switch d {
 	case lastIn:
@@ -77,7 +78,7 @@
 	return len(t.queue)
 }
 
-// tenant returns the tenant of that name, made with turn if there is none.
+// tenant returns the tenant with a name, which it creates with turn if there is none.
 func (c *class) tenant(name string, turn uint64) *tenant {
 	t := c.tenants[name]
 	if t == nil {
@@ -87,7 +88,7 @@
 	return t
 }
 
-func (c *class) forget(t *tenant) {
+func (c *class) removeIfEmpty(t *tenant) {
 	if t.inUse == 0 && len(t.queue) == 0 {
 		delete(c.tenants, t.name)
 	}
@@ -119,7 +120,7 @@
 	return (c.concurrency == 0 || c.inUse < c.concurrency) && (c.tenantLimit == 0 || t.inUse < c.tenantLimit)
 }
 
-// next is the waiter to start first, nil when none may start.
+// next returns the job to start next, or nil if none may start.
 func (c *class) next() *job {
 	var best *tenant
 	for _, t := range c.active {
@@ -133,13 +134,13 @@
 	return best.queue[0]
 }
 
-// before is the order of service: fewer slots first, then the longer unserved.
+// before is the order of tenants: fewer slots first, then the least recently served.
 func before(level int, turn uint64, otherLevel int, otherTurn uint64) bool {
 	return level < otherLevel || level == otherLevel && turn < otherTurn
 }
 
-// ahead counts the waiters that would start before one at index place of t's
-// queue, when each start counts as one slot more for its tenant.
+// ahead returns the number of queued jobs that would start before one at index place of
+// t's queue, if nothing finishes meanwhile: each start adds a slot to its tenant.
 func (c *class) ahead(t *tenant, place int) int {
 	count := place
 	for _, other := range c.active {
@@ -155,7 +156,7 @@
 	return count
 }
 
-// longest is the newest waiter of the tenant with the most, and how many that is.
+// longest returns the last job in the longest queue of any tenant, and that queue's length.
 func (c *class) longest() (*job, int) {
 	var most *tenant
 	for _, t := range c.active {
@@ -169,15 +170,15 @@
 	return most.queue[len(most.queue)-1], len(most.queue)
 }
 
-// starves reports whether the class is due its minimum share.
-func (c *class) starves() bool { return c.passed >= minShareEvery }
+// isStarved reports whether the class is due for its minimum share.
+func (c *class) isStarved() bool { return c.passed >= minShareEvery }
 
-// goesBefore is the order between classes that may start.
+// goesBefore is the order of the classes that may start a job.
 func (c *class) goesBefore(other *class) bool {
-	if c.starves() != other.starves() {
-		return c.starves()
+	if c.isStarved() != other.isStarved() {
+		return c.isStarved()
 	}
-	if !c.starves() && c.priority != other.priority {
+	if !c.isStarved() && c.priority != other.priority {
 		return c.priority > other.priority
 	}
 	return c.passed > other.passed
--- a/lib/bfadmit/estimate.go
+++ b/lib/bfadmit/estimate.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// returnShare is the part of the capacity that is promised to callers told to
-	// come back: one in two, so that new callers are served meanwhile.
-	returnShare = 2
-	// longestReturn bounds RetryAfter: what lies further ahead can't be known.
-	longestReturn = 30 * time.Second
-	// shortestReturn spreads returns while no service time is known.
-	shortestReturn = time.Millisecond
+	// retryDivisor is the part of the capacity that is planned for retries, as 1 in so many,
+	// so that new requests are served meanwhile.
+	retryDivisor = 2
+	// maxRetryAfter bounds RetryAfter, since longer estimates are unreliable.
+	maxRetryAfter = 30 * time.Second
+	// minRetryInterval is the least interval between retries, for when the service time is
+	// not known yet.
+	minRetryInterval = time.Millisecond
 )
 
-// rate is how fast starts come to a class, seen from one of its waiters.
+// rate describes how fast jobs of a class start.
 type rate struct {
-	// before is how many starts of other classes come first.
+	// before is the number of queued jobs of other classes that start first.
 	before int
-	// left is what other classes leave of window starts.
+	// left is the share that other classes leave, in starts out of window.
 	left int
-	// slots are those not held by capped classes of higher priority.
+	// slots is the number of slots not held by capped classes of higher priority.
 	slots int
-	// busy means that no slot is free, and idle is for how long no request has started or ended.
+	// busy is set if no slot is free. idle is the time since a request last started or
+	// ended.
 	busy bool
 	idle time.Duration
 }
 
-// rateOf weighs what goes before class c: the waiters of higher classes, and
-// by their share of recent starts those who will come meanwhile. It is the
-// waiting time of a priority queue after Cobham.
+// rateOf estimates the rate of class c after Cobham's waiting time of a priority
+// queue. It counts the queued jobs of higher classes, and uses their share of
+// recent starts for those that will arrive meanwhile.
 func (g *Gate) rateOf(now time.Time, c *class) rate {
 	slots := g.capacity.effective(now)
 	r := rate{left: window, slots: slots, busy: g.inUse >= slots, idle: now.Sub(g.progress)}
@@ -40,7 +42,7 @@
 		switch {
 		case other.priority <= c.priority:
 		case other.concurrency > 0 && other.concurrency < g.capacity.slots:
-			// It can't take more than its cap, however many wait.
+			// It can't use more than its cap, however long its queue.
 			r.slots -= min(other.concurrency, other.inUse+other.queued)
 		default:
 			r.before += other.queued
@@ -52,14 +54,15 @@
 	return r
 }
 
-// wait is how long until a waiter is expected to start.
+// wait is the expected time until a job starts.
 type wait struct {
 	total time.Duration
-	// steady is the part that stays as long if nothing moves until later.
+	// steady is the part that doesn't change with time while nothing starts or ends.
 	steady time.Duration
 }
 
-// waitOf is the wait of a waiter that takes own starts of class c, with tenantAhead of its tenant's before it.
+// waitOf returns the wait of a job that starts with the own-th start of class c and
+// has tenantAhead jobs of its tenant before it.
 func (g *Gate) waitOf(c *class, r rate, own, tenantAhead int) wait {
 	starts := own + r.before
 	for _, other := range g.order {
@@ -67,9 +70,9 @@
 			starts += min(other.queued, own)
 		}
 	}
-	// However many of higher classes wait, the minimum share comes in its turn.
+	// The minimum share of the class bounds the starts of higher classes.
 	starts = min(starts*window/r.left, own*minShareEvery+len(g.order))
-	line := time.Duration(starts) * g.service.mean / time.Duration(r.slots)
+	queueing := time.Duration(starts) * g.service.mean / time.Duration(r.slots)
 	var caps time.Duration
 	if c.concurrency > 0 {
 		caps = time.Duration(own) * g.serviceOf(c) / time.Duration(c.concurrency)
@@ -78,13 +81,13 @@
 		caps = max(caps, time.Duration(tenantAhead+1)*g.serviceOf(c)/time.Duration(c.tenantLimit))
 	}
 	if !r.busy {
-		return wait{total: max(line, caps), steady: max(line, caps)}
+		return wait{total: max(queueing, caps), steady: max(queueing, caps)}
 	}
-	// Starts are expected evenly from the last one on. A target that hangs
-	// finishes nothing, so no average shows it: the next start is expected no
-	// sooner than the time for which nothing has moved, else all who came would
-	// wait to their deadlines.
-	return wait{total: max(line-r.idle, r.idle, caps), steady: caps}
+	// Starts are expected at even intervals after the last one. A target that hangs
+	// finishes nothing and so doesn't change the averages. Therefore the next start is
+	// expected no sooner than after another idle time, or else all jobs would wait until
+	// their deadlines.
+	return wait{total: max(queueing-r.idle, r.idle, caps), steady: caps}
 }
 
 func (g *Gate) serviceOf(c *class) time.Duration {
@@ -94,39 +97,38 @@
 	return g.service.mean
 }
 
-// retryAfter gives a refused caller a time of its own: the first at which the
-// backlog is expected to be gone, then one after another at the rate that the
-// target can serve. Were all told the same time, they would return together
-// and be refused together.
+// retryAfter returns the retry delay for a refused caller. Retries are scheduled
+// from when the backlog is expected to be served, at intervals that the target
+// can serve, since callers with equal delays would be refused together again.
 func (g *Gate) retryAfter(now time.Time, c *class) time.Duration {
 	r := g.rateOf(now, c)
 	clear := now.Add(g.waitOf(c, r, c.queued+1, 0).total)
-	interval := returnShare * g.service.mean * window / time.Duration(r.left*r.slots)
-	interval = max(interval, shortestReturn)
-	if c.returnAt.Before(clear) {
-		c.returnAt = clear
+	interval := retryDivisor * g.service.mean * window / time.Duration(r.left*r.slots)
+	interval = max(interval, minRetryInterval)
+	if c.retryAt.Before(clear) {
+		c.retryAt = clear
 	}
-	c.returnAt = c.returnAt.Add(interval)
-	if latest := now.Add(longestReturn); c.returnAt.After(latest) {
-		c.returnAt = latest
-		return longestReturn/2 + g.jitter(longestReturn/2)
+	c.retryAt = c.retryAt.Add(interval)
+	if latest := now.Add(maxRetryAfter); c.retryAt.After(latest) {
+		c.retryAt = latest
+		return maxRetryAfter/2 + g.jitter(maxRetryAfter/2)
 	}
-	return c.returnAt.Sub(now) + g.jitter(interval)
+	return c.retryAt.Sub(now) + g.jitter(interval)
 }
 
 func (g *Gate) jitter(below time.Duration) time.Duration {
 	return time.Duration(g.random.Int64N(int64(below)))
 }
 
-// planned is a waiter in the order of service.
+// planned is a queued job with its sort key in the order of service.
 type planned struct {
 	job   *job
 	level int
 	turn  uint64
 }
 
-// sweep refuses the waiters whose start or deadline has become out of reach,
-// and notes when the next one will.
+// sweep refuses the queued jobs that are expected to miss their deadline or the end of
+// draining, and sets nextRefusal.
 func (g *Gate) sweep(now time.Time) {
 	if g.queued == 0 {
 		return
@@ -137,11 +139,12 @@
 			next = min(next, g.sweepClass(now, c))
 		}
 	}
-	// The first moment after, since up to it the waiter may still start.
+	// One nanosecond later, since the job may still start at that time.
 	g.nextRefusal = now.Add(next).Add(1)
 }
 
-// sweepClass returns how long those that it kept stay within reach if nothing moves.
+// sweepClass returns how long the jobs that it kept can still be in time while nothing
+// starts or ends.
 func (g *Gate) sweepClass(now time.Time, c *class) time.Duration {
 	r := g.rateOf(now, c)
 	overtaking := overtakingOf(c)
@@ -153,7 +156,7 @@
 		latest := p.job.request.Deadline.Sub(now) - g.serviceOf(c)
 		toDrain := latest
 		if g.draining {
-			toDrain = g.drainBy.Sub(now)
+			toDrain = g.drainUntil.Sub(now)
 		}
 		switch {
 		case wait.total > toDrain && g.draining:
@@ -163,22 +166,22 @@
 		default:
 			kept++
 			t.kept++
-			next = min(next, wait.lasts(r, min(latest, toDrain)))
+			next = min(next, wait.validFor(r, min(latest, toDrain)))
 		}
 	}
 	return next
 }
 
-// lasts is how long latest, the longest wait that will do, stays enough if nothing moves.
-func (w wait) lasts(r rate, latest time.Duration) time.Duration {
+// validFor returns how long the wait stays within latest while nothing starts or ends.
+func (w wait) validFor(r rate, latest time.Duration) time.Duration {
 	if r.busy {
-		// After d more without progress, idle+d are expected and latest-d are left.
+		// After a time d without progress, a wait of idle+d is expected and latest-d is left.
 		return min(latest-w.steady, (latest-r.idle)/2)
 	}
 	return latest - w.steady
 }
 
-// plan lists the waiters of c in the order of service.
+// plan returns the queued jobs of c in the order of service.
 func (g *Gate) plan(c *class) []planned {
 	g.planned = g.planned[:0]
 	for _, t := range c.active {
--- a/lib/bfadmit/gate.go
+++ b/lib/bfadmit/gate.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// minShareEvery is the minimum share of a class that waits: one start in so many.
+	// minShareEvery is the minimum share of a class with a queue: one start in so many.
 	minShareEvery = 10
-	// admitMargin times the expected wait must fit before the deadline of one who
-	// comes, though once is enough to stay: the wait is a mean, and of those let in
-	// at its very edge most would be refused again after they have waited.
+	// admitMargin times the expected wait must fit before the deadline of a new request.
+	// The wait is a mean, so most of those queued with less margin would be refused later.
 	admitMargin = 2
-	// drainGrace is how long after Drain a waiter may still start: a target that
-	// leaves gets no new work after a few seconds.
+	// drainGrace is how long after Drain a queued request may still start, since the
+	// target accepts no new work after a few seconds.
 	drainGrace = 2 * time.Second
-	// queuePerSlot bounds all waiters of a gate whose Config gives no bound.
+	// queuePerSlot is the default bound of the queue, in requests per slot.
 	queuePerSlot = 256
 	// maxClasses bounds the idle classes kept for their measured service times.
 	maxClasses = 256
 )
 
-// Config is what a gate is made from.
+// Config configures a Gate.
 type Config struct {
-	// Slots is how many requests the target runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Queue is how many requests of all classes may wait; 0 means queuePerSlot for each slot.
+	// Queue bounds the queued requests of all classes; 0 means queuePerSlot for each slot.
 	Queue int
-	// ColdSince and ColdStart give the time over which the gate grows from one slot to all.
+	// ColdSince and ColdStart are the start and the length of the period in which the gate
+	// grows from one slot to all.
 	ColdSince time.Time
 	ColdStart time.Duration
-	// Seed is of the random spread of RetryAfter.
+	// Seed seeds the random spread of RetryAfter.
 	Seed uint64
 }
 
-// Gate is the exact admission to one target.
+// Gate admits requests to one target.
 //
-// It is not safe for use by several goroutines. The slices of notices that its
-// methods return are valid until the next call.
+// It is not safe for concurrent use. The slices of notices that its methods return
+// are valid until the next call.
 type Gate struct {
 	capacity   capacity
 	maxQueue   int
@@ -49,7 +49,7 @@
 
 	jobs    map[string]*job
 	classes map[string]*class
-	// order is the classes by priority, the highest first, then by name.
+	// order holds the classes by priority, the highest first, then by name.
 	order   []*class
 	inUse   int
 	queued  int
@@ -61,14 +61,14 @@
 	progress    time.Time
 	nextRefusal time.Time
 	draining    bool
-	drainBy     time.Time
+	drainUntil  time.Time
 
-	// What follows is reused from call to call.
+	// Buffers that are reused between calls.
 	notices []Notice
 	planned []planned
 }
 
-// NewGate makes an empty gate.
+// NewGate returns an empty gate.
 func NewGate(config Config) *Gate {
 	g := &Gate{
 		capacity: newCapacity(config.Slots, config.ColdSince, config.ColdStart),
@@ -84,7 +84,8 @@
 	return g
 }
 
-// Offer decides on a new request; the notices are for others that it displaced or let start.
+// Offer decides on a new request. The notices are for other requests that started or were
+// refused meanwhile.
 func (g *Gate) Offer(now time.Time, request Request) (Verdict, []Notice) {
 	g.notices = g.notices[:0]
 	if g.jobs[request.ID] != nil {
@@ -102,19 +103,19 @@
 	t := c.tenant(request.Tenant, g.turn+1)
 	j := &job{request: request, class: c, tenant: t, level: t.inUse + len(t.queue)}
 	if g.inUse < g.capacity.effective(now) && c.hasRoom(t) {
-		// Whatever the estimate says: only what runs can correct an estimate that
-		// has grown longer than every deadline.
+		// Start without regard to the estimate: only finished requests can correct an
+		// estimate that has grown longer than every deadline.
 		g.jobs[request.ID] = j
 		g.run(now, j)
 		g.sweep(now) // others wait longer now
 		return Run{}, g.notices
 	}
 	verdict := g.queue(now, j)
-	c.forget(t)
+	c.removeIfEmpty(t)
 	return verdict, g.notices
 }
 
-// settleIf settles if the limits or time alone have changed something since the last settle.
+// settleIf calls settle if changed limits or the passage of time require it.
 func (g *Gate) settleIf(now time.Time, limitsChanged bool) {
 	due := g.inUse < g.capacity.effective(now) || !now.Before(g.nextRefusal)
 	if g.queued > 0 && (limitsChanged || due) {
@@ -122,7 +123,7 @@
 	}
 }
 
-// queue decides on a request that can't run at once.
+// queue decides on a request that can't start at once.
 func (g *Gate) queue(now time.Time, j *job) Verdict {
 	c, request := j.class, j.request
 	place := g.discipline.place(j.tenant, request.Deadline)
@@ -135,9 +136,9 @@
 	if !g.makeRoom(now, j) {
 		return Refuse{reason: QueueFull, retryAfter: g.retryAfter(now, c)}
 	}
-	g.turn++ // a new tenant's turn is now its own
+	g.turn++ // makes the turn of a new tenant unique
 	g.jobs[request.ID] = j
-	// The place may have moved: a tenant's own waiter can't be displaced by it.
+	// makeRoom doesn't change place, since it never displaces a job of the same tenant.
 	c.enqueue(j, place)
 	g.queued++
 	g.settle(now)
@@ -147,7 +148,8 @@
 	return g.takeNotice(request.ID)
 }
 
-// takeNotice makes the notice to a request its verdict, as the request was not yet told to wait.
+// takeNotice removes the notice for a request that was not yet answered, and returns its
+// verdict.
 func (g *Gate) takeNotice(id string) Verdict {
 	at := slices.IndexFunc(g.notices, func(n Notice) bool { return n.id == id })
 	verdict := g.notices[at].verdict
@@ -155,11 +157,11 @@
 	return verdict
 }
 
-// makeRoom displaces a waiter where as many wait as may, and reports whether j may wait.
+// makeRoom displaces a queued job if the queue is full, and reports whether j may wait.
 //
-// In a full class the newest of the tenant with the most waiters goes, for a
-// tenant with at least two fewer: one tenant's flood costs that tenant only. In
-// a full gate a waiter of the lowest class goes, for a higher one.
+// If the class is full, the last job of the tenant with the longest queue is displaced by
+// a tenant with at least two fewer, so that one tenant's flood affects that tenant only.
+// If the gate is full, a job of the lowest class is displaced by one of a higher class.
 func (g *Gate) makeRoom(now time.Time, j *job) bool {
 	if j.class.queued >= j.request.Queue {
 		victim, most := j.class.longest()
@@ -192,31 +194,32 @@
 
 func (g *Gate) removeWaiter(j *job) {
 	j.class.dequeue(j)
-	j.class.forget(j.tenant)
+	j.class.removeIfEmpty(j.tenant)
 	g.queued--
 	delete(g.jobs, j.request.ID)
 }
 
-// Finish gives back the slot of a request that ran.
+// Finish frees the slot of a running request. It returns an UnknownRequestError if no
+// request with that ID is running.
 func (g *Gate) Finish(now time.Time, id string, outcome Outcome) ([]Notice, error) {
 	g.notices = g.notices[:0]
 	j := g.jobs[id]
 	if j == nil || !j.running {
 		return nil, &UnknownRequestError{ID: id}
 	}
-	g.learn(now, j, outcome)
+	g.recordOutcome(now, j, outcome)
 	delete(g.jobs, id)
 	g.inUse--
 	j.class.inUse--
 	j.tenant.inUse--
-	j.class.forget(j.tenant)
+	j.class.removeIfEmpty(j.tenant)
 	g.progress = now
 	g.settle(now)
 	return g.notices, nil
 }
 
-// learn takes from the end of a request what it says about the target.
-func (g *Gate) learn(now time.Time, j *job, outcome Outcome) {
+// recordOutcome updates the capacity and the service times from the outcome of a request.
+func (g *Gate) recordOutcome(now time.Time, j *job, outcome Outcome) {
 	ran := now.Sub(j.startedAt)
 	switch outcome {
 	case Done:
@@ -224,8 +227,8 @@
 		g.service.add(ran)
 		j.class.service.add(ran)
 	case Abandoned:
-		// It would have run longer than this; to leave it out would hide a target
-		// so slow that nobody waits for its answers.
+		// The request would have run for longer. Ignoring it would hide a target so slow
+		// that all its requests are abandoned.
 		if ran > g.serviceOf(j.class) {
 			g.service.add(ran)
 			j.class.service.add(ran)
@@ -236,7 +239,7 @@
 	}
 }
 
-// Cancel removes a waiter; false means that there is none of that ID.
+// Cancel removes a queued request; false means that none with that ID is queued.
 func (g *Gate) Cancel(now time.Time, id string) ([]Notice, bool) {
 	g.notices = g.notices[:0]
 	j := g.jobs[id]
@@ -248,14 +251,15 @@
 	return g.notices, true
 }
 
-// Advance does what became due by time alone; NextWake says when.
+// Advance starts and refuses the requests that are due by time alone. NextWake returns when
+// to call it.
 func (g *Gate) Advance(now time.Time) []Notice {
 	g.notices = g.notices[:0]
 	g.settle(now)
 	return g.notices
 }
 
-// NextWake is when Advance should be called next; false means that only other calls change anything.
+// NextWake returns when Advance should be called next; false means that no call is needed.
 func (g *Gate) NextWake(now time.Time) (time.Time, bool) {
 	if g.queued == 0 {
 		return time.Time{}, false
@@ -267,21 +271,20 @@
 	return next, true
 }
 
-// Drain refuses all new work from now on.
+// Drain refuses all new requests from now on.
 //
-// A waiter that is expected to start within drainGrace keeps its place, as it
-// has waited and elsewhere would wait anew; the others are refused at once, so
-// that another target can take them in time.
+// A queued request that is expected to start within drainGrace keeps its place. The
+// others are refused at once, so that another target can still serve them in time.
 func (g *Gate) Drain(now time.Time) []Notice {
 	g.notices = g.notices[:0]
 	if !g.draining {
-		g.draining, g.drainBy = true, now.Add(drainGrace)
+		g.draining, g.drainUntil = true, now.Add(drainGrace)
 	}
 	g.settle(now)
 	return g.notices
 }
 
-// Resize takes another number of slots that the target announced.
+// Resize sets the number of slots that the target announced, and resets the limit to it.
 func (g *Gate) Resize(now time.Time, slots int) []Notice {
 	g.notices = g.notices[:0]
 	g.capacity.resize(slots)
@@ -289,18 +292,17 @@
 	return g.notices
 }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether no request is running or queued.
 func (g *Gate) Idle() bool { return len(g.jobs) == 0 }
 
-// Load is how full the target is.
+// Load returns the load of the target.
 func (g *Gate) Load(now time.Time) Load {
 	return Load{inUse: g.inUse, queued: g.queued, slots: g.capacity.effective(now), serviceTime: g.service.mean}
 }
 
-// settle starts whoever may start and refuses whoever can't any more.
+// settle starts the queued jobs that may start and refuses those that can't be in time.
 //
-// After it no slot is free that a waiter may take, and no waiter is left that
-// is expected to be late.
+// After it, no queued job could use a free slot, and none is expected to be late.
 func (g *Gate) settle(now time.Time) {
 	for g.inUse < g.capacity.effective(now) {
 		j := g.next()
@@ -315,7 +317,8 @@
 	g.sweep(now)
 }
 
-// next is the waiter to start, nil when none may; the other classes that could have started are passed.
+// next returns the job to start, or nil if none may start. It counts the other classes
+// that could have started one as passed.
 func (g *Gate) next() *job {
 	var best *job
 	for _, c := range g.order {
@@ -342,10 +345,11 @@
 	j.class.inUse++
 	g.inUse++
 	g.progress = now
-	g.history.add(begun{class: j.class, tenant: j.tenant, level: min(j.level, maxLevel)})
+	g.history.add(startRecord{class: j.class, tenant: j.tenant, level: min(j.level, maxLevel)})
 }
 
-// classOf is the request's class under the request's limits; changed means that they are other ones than before.
+// classOf returns the class of the request with the limits in the request. Changed reports
+// whether these differ from before.
 func (g *Gate) classOf(request Request) (c *class, changed bool) {
 	c = g.classes[request.Class]
 	if c == nil {
@@ -370,7 +374,7 @@
 	})
 }
 
-// dropIdleClasses bounds the gate's memory when classes come and go with the configuration.
+// dropIdleClasses bounds the memory for classes that the configuration no longer has.
 func (g *Gate) dropIdleClasses() {
 	if len(g.order) < maxClasses {
 		return
--- a/lib/bfadmit/gate_test.go
+++ b/lib/bfadmit/gate_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// The naive version takes the same steps as the real gate. After each
-// one both must have said the same to the same requests, in the same order, no
-// more slots may be in use than there are, and nothing may become due before NextWake.
+// Compares the gate with a naive model step by step: both must give the same verdicts to
+// the same requests, never use more slots than there are, and change nothing before
+// NextWake.
 func TestGateAgreesWithNaive(t *testing.T) {
-	reached := map[string]int{}
+	cases := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.SampledFrom([]int{1, 2, 3, 8}).Draw(t, "slots")
 		cold := time.Duration(rapid.IntRange(0, 2).Draw(t, "cold")) * 100 * time.Millisecond
@@ -22,42 +22,42 @@
 		gate := NewGate(Config{Slots: slots, Queue: queue, ColdSince: start, ColdStart: cold})
 		naive := &naiveGate{
 			capacity: newCapacity(slots, start, cold), maxQueue: queue, limits: map[string]Request{},
-			passed: map[string]int{}, turns: map[string]int{}, births: map[string]int{}, services: map[string]*meter{},
+			passed: map[string]int{}, turns: map[string]int{}, generations: map[string]int{}, services: map[string]*meter{},
 		}
-		// In the second mix the lower classes live by their minimum share.
+		// In the second mix the lower classes mostly run by their minimum share.
 		mixes := [][]int{{0, 1, 2}, {0, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2}}
 		classes := rapid.SampledFrom(mixes).Draw(t, "mix")
 		now := start
-		defer func() { reached["wrapped"] += map[bool]int{true: 1}[naive.wrapped] }()
+		defer func() { cases["wrapped"] += map[bool]int{true: 1}[naive.wrapped] }()
 		for i := range rapid.IntRange(300, 600).Draw(t, "steps") {
 			naive.notices = nil
-			now = later(t, gate, now)
-			said := step(t, gate, naive, now, i, classes)
-			sort.Strings(said)
+			now = advanceTime(t, gate, now)
+			verdicts := step(t, gate, naive, now, i, classes)
+			sort.Strings(verdicts)
 			sort.Strings(naive.notices)
-			if !slices.Equal(said, naive.notices) {
-				t.Fatalf("step %d said %q, naive %q", i, said, naive.notices)
+			if !slices.Equal(verdicts, naive.notices) {
+				t.Fatalf("step %d: got verdicts %q, naive model %q", i, verdicts, naive.notices)
 			}
-			for _, s := range said {
-				reached[s[4:]]++
+			for _, s := range verdicts {
+				cases[s[4:]]++
 			}
 			checkHistory(t, gate)
 			load := gate.Load(now)
 			waiting := naive.filter(func(j *naiveJob) bool { return !j.running })
 			if load.InUse() != naive.running("", "") || load.InUse() > slots || load.Queued() != len(waiting) {
-				t.Fatalf("load %+v, naive %d running and %d waiting", load, naive.running("", ""), len(waiting))
+				t.Fatalf("got load %+v, naive model %d running and %d queued", load, naive.running("", ""), len(waiting))
 			}
 		}
 	})
-	t.Logf("said: %v", reached)
+	t.Logf("verdicts: %v", cases)
 	for _, verdict := range []string{" runs", " queue full", " deadline can't be met", " displaced", " draining", "wrapped"} {
-		if reached[verdict] < 20 {
-			t.Errorf("%q was said %d times only, too few to test it", verdict, reached[verdict])
+		if cases[verdict] < 20 {
+			t.Errorf("only %[2]d cases of %[1]q, too few to test it", verdict, cases[verdict])
 		}
 	}
 }
 
-// checkHistory holds what tenants remember to the window of starts it is counted from.
+// checkHistory fails if the levels kept by tenant differ from those in the history.
 func checkHistory(t *rapid.T, gate *Gate) {
 	starts := map[*tenant][]int{}
 	for i := range gate.history.ring {
@@ -67,20 +67,20 @@
 	}
 	for tenant, levels := range starts {
 		if !slices.Equal(tenant.levels, levels) {
-			t.Fatalf("tenant remembers the levels %v, the window %v", tenant.levels, levels)
+			t.Fatalf("tenant has the levels %v, the history %v", tenant.levels, levels)
 		}
 	}
 }
 
-// later moves the time on, often to the moment for which the gate asked.
-func later(t *rapid.T, gate *Gate, now time.Time) time.Time {
+// advanceTime advances the time, often to NextWake.
+func advanceTime(t *rapid.T, gate *Gate, now time.Time) time.Time {
 	next := now.Add(time.Duration(rapid.SampledFrom([]int{0, 0, 1, 2, 5, 20}).Draw(t, "milliseconds")) * time.Millisecond)
 	wake, asked := gate.NextWake(now)
 	if !asked || next.Before(wake) {
 		return next
 	}
 	if !wake.After(now) {
-		t.Fatalf("asked to be woken at %v, not after now %v", wake, now)
+		t.Fatalf("NextWake returned %v, which is not after now, %v", wake, now)
 	}
 	if early := gate.Advance(wake.Add(-1)); len(early) > 0 {
 		t.Fatalf("%v was due before NextWake", early)
@@ -88,15 +88,15 @@
 	return wake
 }
 
-func step(t *rapid.T, gate *Gate, naive *naiveGate, now time.Time, i int, classes []int) (said []string) {
+func step(t *rapid.T, gate *Gate, naive *naiveGate, now time.Time, i int, classes []int) (verdicts []string) {
 	say := func(id string, verdict Verdict) {
 		switch v := verdict.(type) {
 		case Run:
-			said = append(said, id+" runs")
+			verdicts = append(verdicts, id+" runs")
 		case Refuse:
-			said = append(said, id+" "+v.Reason().String())
-			if v.RetryAfter() <= 0 && v.Reason() != Draining || v.RetryAfter() > longestReturn+time.Second {
-				t.Fatalf("%s told to come back after %v", id, v.RetryAfter())
+			verdicts = append(verdicts, id+" "+v.Reason().String())
+			if v.RetryAfter() <= 0 && v.Reason() != Draining || v.RetryAfter() > maxRetryAfter+time.Second {
+				t.Fatalf("%s: retry after %v is out of range", id, v.RetryAfter())
 			}
 		case Wait:
 		}
@@ -136,7 +136,7 @@
 	for _, notice := range notices {
 		say(notice.ID(), notice.Verdict())
 	}
-	return said
+	return verdicts
 }
 
 func drawRequest(t *rapid.T, now time.Time, i int, classes []int) Request {
--- a/lib/bfadmit/limiter.go
+++ b/lib/bfadmit/limiter.go
@@ -11,54 +11,55 @@
 
 // Timer is the part of bftimer.Service that a Limiter needs.
 type Timer interface {
-	// After calls callback once, d from now.
+	// After calls callback once, after d.
 	After(d time.Duration, callback func(now time.Time)) *bftimer.Subscription
 }
 
-// RefusedError reports a request that was not run.
+// RefusedError reports a request that was refused and did not run.
 type RefusedError struct{ Refuse Refuse }
 
-// Error gives the reason and when to come back.
+// Error returns the message with the reason and the retry delay.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("not run: %s, retry after %v", e.Refuse.Reason(), e.Refuse.RetryAfter())
 }
 
-// CancelledError reports a request whose caller stopped waiting before it had a slot; it was not run.
+// CancelledError reports a request whose context ended before it had a slot. It did not run.
 type CancelledError struct{ Reason error }
 
-// Error gives the reason.
+// Error returns the message with the reason.
 func (e *CancelledError) Error() string { return fmt.Sprintf("not run: cancelled: %v", e.Reason) }
 
-// Unwrap is the reason.
+// Unwrap returns the error of the context.
 func (e *CancelledError) Unwrap() error { return e.Reason }
 
-// Limiter is a Gate that many goroutines share.
+// Limiter makes a Gate safe for concurrent use.
 type Limiter struct {
 	now   func() time.Time
 	timer Timer
 
 	mu   sync.Mutex
 	gate *Gate
-	// waiters holds a channel of one place for each request that waits, so that
-	// a verdict never blocks the goroutine that brings it.
+	// waiters holds a channel for each queued request. It has a buffer of one, so
+	// that sending a verdict never blocks.
 	waiters map[string]chan Verdict
 	wake    *bftimer.Subscription
 	wakeAt  time.Time
 	drained chan struct{}
 }
 
-// NewLimiter makes a limiter around gate, which nobody else may use from then on.
+// NewLimiter returns a limiter for gate, which must not be used directly afterwards.
 func NewLimiter(gate *Gate, now func() time.Time, timer Timer) *Limiter {
 	return &Limiter{gate: gate, now: now, timer: timer, waiters: map[string]chan Verdict{}}
 }
 
-// Slot is the right to hand one request to the target.
+// Slot is a slot of the target that one request holds until Release.
 type Slot struct {
 	limiter *Limiter
 	id      string
 }
 
-// Acquire waits for a slot; its errors are RefusedError and CancelledError, and both mean that the request was not run.
+// Acquire waits for a slot. Its errors are RefusedError and CancelledError; the request did
+// not run with either of them.
 func (l *Limiter) Acquire(ctx context.Context, request Request) (*Slot, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &CancelledError{Reason: err}
@@ -92,10 +93,10 @@
 	return verdict, waiter
 }
 
-// leave takes a request out whose caller went away.
+// leave removes a cancelled request.
 //
-// Its verdict may have come at the same moment: a slot that nobody took would
-// be lost for good, so it is given back.
+// If its verdict was sent at the same moment, the slot is given back, since it
+// would otherwise stay in use forever.
 func (l *Limiter) leave(id string, waiter chan Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +114,7 @@
 	}
 }
 
-// Release gives the slot back; a second call is an UnknownRequestError.
+// Release gives the slot back. A second call returns an UnknownRequestError.
 func (s *Slot) Release(outcome Outcome) error {
 	l := s.limiter
 	l.mu.Lock()
@@ -124,7 +125,8 @@
 	return err
 }
 
-// Drain refuses all new work; the channel is closed once nothing runs or waits.
+// Drain refuses all new requests. The channel that it returns is closed once no request is
+// running or queued.
 func (l *Limiter) Drain() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +138,7 @@
 	return l.drained
 }
 
-// Resize takes another number of slots that the target announced.
+// Resize sets the number of slots that the target announced.
 func (l *Limiter) Resize(slots int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,14 +146,15 @@
 	l.deliver(now, l.gate.Resize(now, slots))
 }
 
-// Load is how full the target is.
+// Load returns the load of the target.
 func (l *Limiter) Load() Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gate.Load(l.now())
 }
 
-// deliver needs the lock.
+// deliver sends the notices, closes drained if the gate is idle, and schedules the next
+// wake. The caller must hold mu.
 func (l *Limiter) deliver(now time.Time, notices []Notice) {
 	for _, notice := range notices {
 		l.waiters[notice.id] <- notice.verdict
@@ -167,8 +170,8 @@
 	l.schedule(now)
 }
 
-// schedule has the gate woken in time. A wake that is set too early stays: it
-// finds nothing due and sets the next, which is cheaper than to move it at each step.
+// schedule sets the timer for the gate's next wake. A timer that is set too early stays:
+// a wake with nothing due is cheaper than resetting the timer at each call.
 func (l *Limiter) schedule(now time.Time) {
 	next, wanted := l.gate.NextWake(now)
 	if !wanted || l.wake != nil && !next.Before(l.wakeAt) {
--- a/lib/bfadmit/limiter_test.go
+++ b/lib/bfadmit/limiter_test.go
@@ -27,32 +27,30 @@
 	})
 }
 
-func simple(id int, deadline time.Duration) Request {
+func lookUpRequest(id int, deadline time.Duration) Request {
 	return Request{ID: fmt.Sprint(id), Class: "look-up", Tenant: "a", Queue: 1000, Deadline: time.Now().Add(deadline)}
 }
 
-// Hundreds of callers arrive at one target, wait, give up at odd moments, some
-// at the very moment at which they get their slot. The target must never see
-// more requests than it has slots, and no slot may be lost, or it would end up
-// idle with callers refused.
+// Guards against exceeding or losing slots with concurrent callers, some of which are
+// cancelled at the moment at which they get a slot.
 func TestLimiterNeitherExceedsNorLosesSlots(t *testing.T) {
 	is := is.New(t)
 	withLimiter(t, 3, func(ctx context.Context, l *Limiter) {
-		var running, most, served, gone atomic.Int64
+		var running, most, served, cancelled atomic.Int64
 		var all sync.WaitGroup
 		for i := range 400 {
 			all.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				// Every odd one gives up when a slot becomes free for it.
-				patience := time.Duration(1+i%2*20) * time.Hour
+				// Every odd one is cancelled when a slot becomes free for it.
+				timeout := time.Duration(1+i%2*20) * time.Hour
 				if i%2 == 1 {
-					patience = time.Duration(10+i%7*10) * time.Millisecond
+					timeout = time.Duration(10+i%7*10) * time.Millisecond
 				}
-				ctx, cancel := context.WithTimeout(ctx, patience)
+				ctx, cancel := context.WithTimeout(ctx, timeout)
 				defer cancel()
-				slot, err := l.Acquire(ctx, simple(i, time.Hour))
+				slot, err := l.Acquire(ctx, lookUpRequest(i, time.Hour))
 				if err != nil {
-					gone.Add(1)
+					cancelled.Add(1)
 					return
 				}
 				most.Store(max(most.Load(), running.Add(1)))
@@ -66,68 +64,63 @@
 		}
 		all.Wait()
 		is.Equal(most.Load(), int64(3))
-		is.Equal(served.Load()+gone.Load(), int64(400))
-		is.True(gone.Load() > 100)
+		is.Equal(served.Load()+cancelled.Load(), int64(400))
+		is.True(cancelled.Load() > 100)
 		is.Equal(l.Load().InUse()+l.Load().Queued(), 0)
 	})
 }
 
-// A caller gives up, and before its goroutine gets to say so the slot it waited
-// for is given to it. Nobody will use or release that slot: it must be given
-// back, or the target ends up idle with all slots taken.
-func TestSlotOfOneWhoLeftIsGivenBack(t *testing.T) {
+// Guards against losing a slot that is granted to a cancelled request before its goroutine
+// has called leave.
+func TestSlotOfCancelledRequestIsGivenBack(t *testing.T) {
 	is := is.New(t)
 	withLimiter(t, 1, func(ctx context.Context, l *Limiter) {
-		slot, err := l.Acquire(ctx, simple(0, time.Hour))
+		slot, err := l.Acquire(ctx, lookUpRequest(0, time.Hour))
 		is.NoErr(err)
-		_, waiter := l.offer(simple(1, time.Hour))
+		_, waiter := l.offer(lookUpRequest(1, time.Hour))
 		is.NoErr(slot.Release(Done)) // gives the slot to 1
 		l.leave("1", waiter)
 		is.Equal(l.Load().InUse(), 0)
 	})
 }
 
-// The target hangs with a full queue behind it. Nothing arrives and nothing
-// ends any more; still each waiter must be told at the moment when its deadline
-// is out of reach, well before it, so that its caller can go elsewhere.
+// Guards against requests waiting until their deadlines behind a target that hangs: each
+// must be refused as soon as it is expected to be late, so that another target can serve it.
 func TestWaitersOfAHungTargetAreRefusedEarly(t *testing.T) {
 	is := is.New(t)
 	withLimiter(t, 1, func(ctx context.Context, l *Limiter) {
 		start := time.Now()
-		_, err := l.Acquire(ctx, simple(0, time.Minute))
+		_, err := l.Acquire(ctx, lookUpRequest(0, time.Minute))
 		is.NoErr(err)
-		_, err = l.Acquire(ctx, simple(1, 10*time.Second))
+		_, err = l.Acquire(ctx, lookUpRequest(1, 10*time.Second))
 		var refused *RefusedError
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.Refuse.Reason(), Unreachable)
-		is.Equal(time.Since(start), 5*time.Second+time.Nanosecond) // five seconds still, five left
-		_, err = l.Acquire(ctx, simple(2, 4*time.Second))
+		is.Equal(time.Since(start), 5*time.Second+time.Nanosecond) // idle for 5 s, 5 s left
+		_, err = l.Acquire(ctx, lookUpRequest(2, 4*time.Second))
 		is.True(errors.As(err, &refused)) // refused at once
 		is.Equal(time.Since(start), 5*time.Second+time.Nanosecond)
 	})
 }
 
-// A planned stop with one request running and two waiting: one that will start
-// within the grace keeps its place, one that will not is refused at once for
-// another target to take, new ones are refused, and idle is told only when the
-// last request has ended. Without the grace a long queue would be handed to a
-// target that the rest of the system has already written off.
-func TestDrainKeepsWhatStartsSoon(t *testing.T) {
+// Guards against Drain refusing requests that will start within drainGrace, keeping those
+// that won't, admitting new ones, or reporting idle before the last request has ended.
+func TestDrainKeepsRequestsThatStartSoon(t *testing.T) {
 	is := is.New(t)
 	withLimiter(t, 1, func(ctx context.Context, l *Limiter) {
-		for i := range 4 { // the gate learns a service time of 1.5 s
-			slot, err := l.Acquire(ctx, simple(100+i, time.Minute))
+		for i := range 4 { // the gate measures a service time of 1.5 s
+			slot, err := l.Acquire(ctx, lookUpRequest(100+i, time.Minute))
 			is.NoErr(err)
 			time.Sleep(1500 * time.Millisecond)
 			is.NoErr(slot.Release(Done))
 		}
-		first, err := l.Acquire(ctx, simple(0, time.Minute))
+		first, err := l.Acquire(ctx, lookUpRequest(0, time.Minute))
 		is.NoErr(err)
 		errs := make([]error, 3)
 		var all sync.WaitGroup
 		for i := 1; i <= 2; i++ {
 			all.Go(func() {
-				slot, err := l.Acquire(ctx, simple(i, time.Minute))
+				slot, err := l.Acquire(ctx, lookUpRequest(i, time.Minute))
 				if errs[i] = err; err == nil {
 					time.Sleep(time.Second)
 					is.NoErr(slot.Release(Done))
@@ -140,7 +133,7 @@
 		var refused *RefusedError
 		is.True(errors.As(errs[2], &refused))
 		is.Equal(refused.Refuse.Reason(), Draining)
-		_, err = l.Acquire(ctx, simple(3, time.Minute))
+		_, err = l.Acquire(ctx, lookUpRequest(3, time.Minute))
 		is.True(errors.As(err, &refused))
 		time.Sleep(time.Second)
 		is.NoErr(first.Release(Done))
--- a/lib/bfadmit/main_test.go
+++ b/lib/bfadmit/main_test.go
@@ -8,7 +8,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestMain fixes rapid's seed so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
--- a/lib/bfadmit/message.go
+++ b/lib/bfadmit/message.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Request is what the gate needs to know of a request and of its policy's limits.
+// Request holds the properties of a request and the limits of its policy.
 //
-// Priority, Concurrency and TenantLimit hold for the whole class; the newest
-// request's are in force, so that an event's start changes them for those that wait.
+// Priority, Concurrency and TenantLimit apply to the whole class. Those of the
+// newest request are in force, so that policy changes affect queued requests too.
 type Request struct {
 	ID       string
 	Class    string
 	Tenant   string
 	Priority int
 	Deadline time.Time
-	// Queue is how many of the class may wait; 0 means none.
+	// Queue bounds the queued requests of the class; 0 means none.
 	Queue int
 	// Concurrency caps the class's slots; 0 means no cap.
 	Concurrency int
@@ -23,25 +23,27 @@
 	TenantLimit int
 }
 
-// Verdict is the sealed set of what the gate says to a request: Run, Wait and Refuse.
+// Verdict is the gate's decision on a request. It is a sealed interface, implemented by
+// Run, Wait and Refuse.
 type Verdict interface{ verdict() }
 
 // Run means that the request has a slot; Finish gives it back.
 type Run struct{}
 
-// Wait means that the request is queued; a Notice will say what comes of it.
+// Wait means that the request is queued; a Notice will follow.
 type Wait struct{}
 
-// Refuse means that the request was not run.
+// Refuse means that the request is refused and does not run.
 type Refuse struct {
 	reason     Reason
 	retryAfter time.Duration
 }
 
-// Reason is why the request was refused.
+// Reason returns why the request was refused.
 func (r Refuse) Reason() Reason { return r.reason }
 
-// RetryAfter is when the target expects room for the request, 0 when another target should be asked at once.
+// RetryAfter returns the delay after which the target expects a free slot for the request.
+// It is 0 if the request should go to another target at once.
 func (r Refuse) RetryAfter() time.Duration { return r.retryAfter }
 
 func (Run) verdict()    {}
@@ -51,21 +53,22 @@
 // Reason is why a request was refused.
 type Reason int
 
-// The reasons.
+// The reasons why a request was refused.
 const (
-	// QueueFull means that as many wait as may.
+	// QueueFull means that the queue of the class or of the gate is full.
 	QueueFull Reason = iota + 1
-	// Unreachable means that the request can't be expected to finish by its deadline.
+	// Unreachable means that the request is not expected to finish by its deadline.
 	Unreachable
-	// Displaced means that a waiter gave its place to one with a better claim.
+	// Displaced means that the queued request was removed in favor of another one.
 	Displaced
-	// Draining means that the target takes no new work.
+	// Draining means that the target accepts no new requests.
 	Draining
-	// Duplicate means that a request of the same ID is running or waiting: a fault of the caller of this package.
+	// Duplicate means that a request with the same ID is running or queued, which is a
+	// bug in the code that uses the gate.
 	Duplicate
 )
 
-// String is the reason in a few words.
+// String returns the reason in a few words.
 func (r Reason) String() string {
 	switch r {
 	case QueueFull:
@@ -82,53 +85,53 @@
 	return fmt.Sprintf("reason %d", int(r))
 }
 
-// Notice tells a waiter its verdict, Run or Refuse.
+// Notice is the verdict on a queued request, Run or Refuse.
 type Notice struct {
 	id      string
 	verdict Verdict
 }
 
-// ID names the request.
+// ID returns the ID of the request.
 func (n Notice) ID() string { return n.id }
 
-// Verdict is Run or Refuse.
+// Verdict returns Run or Refuse.
 func (n Notice) Verdict() Verdict { return n.verdict }
 
-// Outcome is how a request that had a slot ended.
+// Outcome is how a request with a slot ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a request with a slot.
 const (
-	// Done means that the target answered in whole.
+	// Done means that the target answered completely.
 	Done Outcome = iota
-	// Shed means that the target itself refused the request for want of room.
+	// Shed means that the target itself refused the request for lack of capacity.
 	Shed
-	// Abandoned means that the answer was not waited for.
+	// Abandoned means that the request was given up before the target answered.
 	Abandoned
-	// Unused means that the request was never handed to the target.
+	// Unused means that the request was never sent to the target.
 	Unused
 )
 
-// UnknownRequestError reports the end of a request that has no slot.
+// UnknownRequestError reports a Finish or Release of a request that has no slot.
 type UnknownRequestError struct{ ID string }
 
-// Error names the request.
+// Error returns the message with the ID.
 func (e *UnknownRequestError) Error() string { return fmt.Sprintf("request %q has no slot", e.ID) }
 
-// Load is how full the target is.
+// Load is the load of a target.
 type Load struct {
 	inUse, queued, slots int
 	serviceTime          time.Duration
 }
 
-// InUse is how many slots are in use.
+// InUse returns the number of slots in use.
 func (l Load) InUse() int { return l.inUse }
 
-// Queued is how many requests wait.
+// Queued returns the number of queued requests.
 func (l Load) Queued() int { return l.queued }
 
-// Slots is how many the gate would use now.
+// Slots returns the number of slots that may be used now.
 func (l Load) Slots() int { return l.slots }
 
-// ServiceTime is how long a request runs on average, 0 if none has ended.
+// ServiceTime returns the average time that a request runs, 0 if none has finished.
 func (l Load) ServiceTime() time.Duration { return l.serviceTime }
--- a/lib/bfadmit/naive_test.go
+++ b/lib/bfadmit/naive_test.go
@@ -9,24 +9,24 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// naiveGate keeps one plain list of requests and works everything out from it
-// each time. It shares with the real gate only the meter and the capacity.
+// naiveGate is a reference model of Gate. It keeps one list of requests and recomputes
+// everything from it. It shares only meter and capacity with Gate.
 type naiveGate struct {
-	capacity capacity
-	maxQueue int
-	list     []*naiveJob // in the order in which they came
-	limits   map[string]Request
-	passed   map[string]int
-	turns    map[string]int
-	turn     int
-	births   map[string]int // how often the tenant came anew
-	starts   []naiveStart   // the newest last
-	services map[string]*meter
-	service  meter
-	progress time.Time
-	drainBy  time.Time
-	notices  []string
-	wrapped  bool // more starts than the window
+	capacity    capacity
+	maxQueue    int
+	list        []*naiveJob // in order of arrival
+	limits      map[string]Request
+	passed      map[string]int
+	turns       map[string]int
+	turn        int
+	generations map[string]int // how often the tenant was created
+	starts      []naiveStart   // the newest last
+	services    map[string]*meter
+	service     meter
+	progress    time.Time
+	drainBy     time.Time
+	notices     []string
+	wrapped     bool // more starts than the window
 }
 
 type naiveStart struct {
@@ -57,8 +57,8 @@
 	}))
 }
 
-// line is the waiters of a class in the order in which they would start.
-func (n *naiveGate) line(class string) []*naiveJob {
+// queueOf returns the queued jobs of a class in the order in which they would start.
+func (n *naiveGate) queueOf(class string) []*naiveJob {
 	line := n.filter(func(j *naiveJob) bool { return !j.running && j.Class == class })
 	level, seen := map[*naiveJob]int{}, map[string]int{}
 	for _, j := range line {
@@ -87,7 +87,7 @@
 	return names
 }
 
-func (n *naiveGate) room(class, tenant string) bool {
+func (n *naiveGate) hasRoom(class, tenant string) bool {
 	l := n.limits[class]
 	return (l.Concurrency == 0 || n.running(class, "") < l.Concurrency) &&
 		(l.TenantLimit == 0 || n.running(class, tenant) < l.TenantLimit)
@@ -104,7 +104,7 @@
 	limit, own := n.limits[class], n.own(class, tenant, ahead, tenantAhead)
 	slots, before, left, equals := n.capacity.effective(now), 0, 64, 0
 	for _, other := range n.classes() {
-		l, queued := n.limits[other], len(n.line(other))
+		l, queued := n.limits[other], len(n.queueOf(other))
 		recent := n.recent(func(s naiveStart) bool { return s.class == other })
 		switch {
 		case l.Priority == limit.Priority && other != class:
@@ -141,15 +141,15 @@
 	return count
 }
 
-func (n *naiveGate) birth(class, tenant string) string {
-	return fmt.Sprint(tenant, " ", n.births[class+tenant])
+func (n *naiveGate) generation(class, tenant string) string {
+	return fmt.Sprint(tenant, " ", n.generations[class+tenant])
 }
 
 func (n *naiveGate) own(class, tenant string, ahead, tenantAhead int) int {
 	half := min((n.running(class, tenant)+tenantAhead)/2, 64)
 	all := n.recent(func(s naiveStart) bool { return s.class == class })
 	overtook := n.recent(func(s naiveStart) bool {
-		return s.class == class && s.tenant != n.birth(class, tenant) && s.level < half
+		return s.class == class && s.tenant != n.generation(class, tenant) && s.level < half
 	})
 	if overtook == 0 {
 		return ahead + 1
@@ -162,7 +162,7 @@
 	if len(n.filter(func(o *naiveJob) bool { return o.Class == j.Class && o.Tenant == j.Tenant })) == 0 {
 		delete(n.turns, j.Class+j.Tenant)
 	}
-	if len(n.line(j.Class)) == 0 {
+	if len(n.queueOf(j.Class)) == 0 {
 		n.passed[j.Class] = 0
 	}
 }
@@ -176,12 +176,12 @@
 	n.turn++
 	n.turns[j.Class+j.Tenant] = n.turn
 	j.running, j.started, n.progress = true, now, now
-	n.starts = append(n.starts, naiveStart{j.Class, n.birth(j.Class, j.Tenant), min(j.level, 64)})
+	n.starts = append(n.starts, naiveStart{j.Class, n.generation(j.Class, j.Tenant), min(j.level, 64)})
 	if len(n.starts) > 64 {
 		n.wrapped = true
 	}
 	n.starts = n.starts[max(0, len(n.starts)-64):]
-	if len(n.line(j.Class)) == 0 {
+	if len(n.queueOf(j.Class)) == 0 {
 		n.passed[j.Class] = 0
 	}
 }
@@ -190,8 +190,8 @@
 	for n.running("", "") < n.capacity.effective(now) {
 		var first []*naiveJob // of each class that may start one
 		for _, class := range n.classes() {
-			for _, j := range n.line(class) {
-				if n.room(class, j.Tenant) {
+			for _, j := range n.queueOf(class) {
+				if n.hasRoom(class, j.Tenant) {
 					first = append(first, j)
 					n.passed[class]++
 					break
@@ -218,7 +218,7 @@
 	}
 	for _, class := range n.classes() {
 		kept, tenantKept := 0, map[string]int{}
-		for _, j := range n.line(class) {
+		for _, j := range n.queueOf(class) {
 			wait := n.wait(now, class, j.Tenant, kept, tenantKept[j.Tenant])
 			switch {
 			case !n.drainBy.IsZero() && now.Add(wait).After(n.drainBy):
@@ -246,7 +246,7 @@
 	_, known := n.turns[key]
 	if !known {
 		n.turns[key] = n.turn + 1
-		n.births[key]++
+		n.generations[key]++
 	}
 	n.list = append(n.list, j)
 	verdict := n.judge(now, j)
@@ -259,13 +259,13 @@
 	if !now.Before(j.Deadline) {
 		return Unreachable
 	}
-	if n.running("", "") < n.capacity.effective(now) && n.room(j.Class, j.Tenant) {
+	if n.running("", "") < n.capacity.effective(now) && n.hasRoom(j.Class, j.Tenant) {
 		n.run(now, j)
 		n.notices = append(n.notices, j.ID+" runs")
 		n.settle(now)
 		return 0
 	}
-	line := n.line(j.Class)
+	line := n.queueOf(j.Class)
 	ahead := slices.Index(line, j)
 	mine := len(slices.DeleteFunc(slices.Clone(line), func(o *naiveJob) bool { return o.Tenant != j.Tenant })) - 1
 	others := len(line) - 1
@@ -285,7 +285,7 @@
 	if len(n.filter(func(o *naiveJob) bool { return !o.running }))-1 >= n.maxQueue {
 		var victim *naiveJob
 		for _, class := range n.classes() {
-			if len(n.line(class)) > 0 && n.limits[class].Priority < j.Priority {
+			if len(n.queueOf(class)) > 0 && n.limits[class].Priority < j.Priority {
 				victim, _ = n.longest(class, j)
 			}
 		}
@@ -299,15 +299,16 @@
 	return 0
 }
 
-// longest is the newest waiter, j aside, of the tenant with the most.
+// longest returns the last queued job, except j, of the tenant with the longest queue, and
+// that queue's length.
 func (n *naiveGate) longest(class string, j *naiveJob) (victim *naiveJob, most int) {
 	count := map[string]int{}
-	for _, o := range n.line(class) {
+	for _, o := range n.queueOf(class) {
 		if o != j {
 			count[o.Tenant]++
 		}
 	}
-	for _, o := range n.line(class) {
+	for _, o := range n.queueOf(class) {
 		better := victim == nil || count[o.Tenant] > most ||
 			count[o.Tenant] == most && n.turns[class+o.Tenant] >= n.turns[class+victim.Tenant]
 		if o != j && better {
--- a/lib/bfadmit/overload_test.go
+++ b/lib/bfadmit/overload_test.go
@@ -27,7 +27,8 @@
 	return gate
 }
 
-// The table decides docs/design/admission.md; its figures are from fixed seeds.
+// Compares the queue disciplines under overload, with fixed seeds. The golden file backs
+// docs/design/admission.md.
 func TestOverloadTable(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| shape | order | class | callers | served in time | p99 of served | run too late | refused | told after, p99 |\n" +
@@ -43,45 +44,46 @@
 			{"none, 3 retries", nil}, {"first in", gateOf(firstIn, shape.slots)},
 			{"last in", gateOf(lastIn, shape.slots)}, {"earliest deadline", gateOf(earliestDeadline, shape.slots)},
 		} {
-			w := newWorld(shape.slots, order.gate)
+			w := newSimulation(shape.slots, order.gate)
 			w.run()
 			for _, k := range w.kinds {
 				fmt.Fprintf(&table, "| %s | %s | %s | %d | %d (%.1f %%) | %s | %d | %d | %s |\n", shape.name, order.name, k.class,
 					k.offered, k.served, 100*float64(k.served)/float64(k.offered), milliseconds(quantile(k.latency, 0.99)),
-					k.late, k.refused, milliseconds(quantile(k.toldAfter, 0.99)))
+					k.late, k.refused, milliseconds(quantile(k.refusedAfter, 0.99)))
 			}
 		}
 	}
 	compareGolden(t, "testdata/overload.golden", table.String())
 }
 
-// How many times the expected wait must fit, for the look-ups at portal-core.
+// Compares values of admitMargin for the look-ups at portal-core.
 func TestMarginTable(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| margin | served in time | refused at once | told after, p99 |\n|---|---|---|---|\n")
 	for _, margin := range []time.Duration{1, 2, 3} {
 		gate := NewGate(Config{Slots: 12})
 		gate.margin = margin
-		w := newWorld(12, gate)
+		w := newSimulation(12, gate)
 		w.run()
 		lookUp := w.kinds[2]
-		later := quantile(lookUp.toldAfter, 0.99)
-		atOnce, _ := slices.BinarySearch(lookUp.toldAfter, 1)
+		later := quantile(lookUp.refusedAfter, 0.99)
+		atOnce, _ := slices.BinarySearch(lookUp.refusedAfter, 1)
 		fmt.Fprintf(&table, "| %d | %.1f %% | %.0f %% | %s |\n", margin, 100*float64(lookUp.served)/float64(lookUp.offered),
 			100*float64(atOnce)/float64(lookUp.refused), milliseconds(later))
 	}
 	compareGolden(t, "testdata/margin.golden", table.String())
 }
 
-// The target announces twelve slots and sheds what it gets above six.
+// Compares a fixed and an adaptive limit for a target that announces twelve slots and sheds
+// requests above six.
 func TestShedTable(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| slots of the gate | shed by the target | served in time |\n|---|---|---|\n")
 	for _, fixed := range []bool{true, false} {
 		gate := NewGate(Config{Slots: 12})
 		gate.capacity.fixed = fixed
-		w := newWorld(12, gate)
-		w.room = 6
+		w := newSimulation(12, gate)
+		w.targetCapacity = 6
 		w.run()
 		served := 0
 		for _, k := range w.kinds {
@@ -105,30 +107,26 @@
 	}
 }
 
-// CASE 8. An event starts and twenty times the usual callers arrive. Approvals
-// must keep their share of the target; a look-up that can't be run in time is
-// told so at once, with a time of its own to come back, not held until near its
-// deadline; and when the spike is over everybody is served as before it. Without
-// admission the queue holds only requests whose callers have given up, and the
-// target works on those long after.
-func TestEventStartAtTwentyTimesTheRate(t *testing.T) {
+// CASE 8. Guards against a spike of twenty times the usual rate starving approvals, holding
+// look-ups that can't be served in time, or reducing throughput after it is over.
+func TestSpikeAtTwentyTimesTheRate(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12, NewGate(Config{Slots: 12}))
+	w := newSimulation(12, NewGate(Config{Slots: 12}))
 	w.run()
 	approval, lookUp := w.kinds[0], w.kinds[2]
 	t.Logf("answered in the spike: %d approvals, %d look-ups", approval.inSpike, lookUp.inSpike)
-	is.True(approval.inSpike > 900) // of 1500 that twelve slots could do and nothing else
+	is.True(approval.inSpike > 900) // twelve slots could serve 1500 alone
 	is.True(lookUp.inSpike > 100)   // the minimum share
 	is.True(approval.served > approval.offered*9/10)
-	is.True(lookUp.served > lookUp.offered*9/10) // those told to come back were not told in vain
+	is.True(lookUp.served > lookUp.offered*9/10) // most refused look-ups succeed when they are retried
 	is.True(lookUp.refused > 10_000)
-	is.Equal(quantile(lookUp.toldAfter, 0.9), time.Duration(0)) // nine in ten in the moment they came
+	is.Equal(quantile(lookUp.refusedAfter, 0.9), time.Duration(0)) // nine in ten are refused on arrival
 	for _, k := range w.kinds {
-		is.True(k.late*100 < k.served*5) // hardly any work is done for callers who have gone
+		is.True(k.late*100 < k.served*5) // little work is done for requests already timed out
 		is.True(k.after[1] > 0)
 		rateBefore := float64(k.before[1]) / spikeFrom.Seconds()
 		rateAfter := float64(k.after[1]) / (afterUntil - afterFrom).Seconds()
-		is.True(rateAfter > 0.85*rateBefore) // the spike leaves nothing behind
+		is.True(rateAfter > 0.85*rateBefore) // throughput recovers after the spike
 	}
 }
 
--- a/lib/bfadmit/overtaking.go
+++ b/lib/bfadmit/overtaking.go
@@ -3,27 +3,27 @@
 import "slices"
 
 const (
-	// window is how many starts the shares of classes and tenants are taken from.
+	// window is the number of recent starts over which shares are computed.
 	window = 64
-	// maxLevel is the highest level told apart.
+	// maxLevel is the highest level that is counted separately.
 	maxLevel = 64
 )
 
-// begun is what the gate remembers of a start.
-type begun struct {
+// startRecord is one start in the history.
+type startRecord struct {
 	class  *class
 	tenant *tenant
-	// level is how many slots and waiters the tenant had when the request came.
+	// level is the job's level, up to maxLevel.
 	level int
 }
 
-// history is a ring of the last starts.
+// history is a ring buffer of the last starts.
 type history struct {
-	ring [window]begun
+	ring [window]startRecord
 	at   int
 }
 
-func (h *history) add(b begun) {
+func (h *history) add(b startRecord) {
 	if oldest := h.ring[h.at]; oldest.class != nil {
 		oldest.class.recent--
 		oldest.class.levels[oldest.level]--
@@ -36,13 +36,13 @@
 	b.tenant.levels = append(b.tenant.levels, b.level)
 }
 
-// overtaking is how often the waiters of one class were overtaken of late by
-// requests that came after them.
+// overtaking estimates how many later requests will start before the queued ones
+// of a class.
 //
-// A tenant with many waiters is overtaken by those who come later for tenants
-// with few. How many will is taken from the share of recent starts that came
-// with less than half of what the waiter's tenant has before it. Without this
-// one tenant's flood was let in and most of it refused again near its deadlines.
+// A tenant with a long queue is overtaken by later requests of tenants with short
+// ones. Their number is estimated by the share of recent starts whose level was
+// less than half of what the job's tenant has before it. Without this, a flood of
+// one tenant would be queued and then mostly refused near its deadlines.
 type overtaking struct {
 	recent int
 	// below counts the recent starts of the class below each level.
@@ -57,8 +57,8 @@
 	return o
 }
 
-// starts is how many starts of its class it takes to start j, with ahead
-// waiters of the class before it, tenantAhead of them its tenant's.
+// starts returns the expected number of starts of its class until j starts, with
+// ahead queued jobs of the class before it, tenantAhead of them of its tenant.
 func (o *overtaking) starts(j *job, ahead, tenantAhead int) int {
 	half := min((j.tenant.inUse+tenantAhead)/2, maxLevel)
 	overtook := o.below[half]
--- a/lib/bfadmit/world_test.go
+++ b/lib/bfadmit/world_test.go
@@ -8,19 +8,18 @@
 	"time"
 )
 
-// The experiment is one target and its callers in arithmetic: ten callers' seconds
-// at half of the capacity, an event's start that brings twenty times as many
-// for five seconds, and the time after. A caller who is refused comes
-// back when it was told to, one who is not answered by its deadline asks again
-// at once; each tries four times in all.
+// The simulation is one target and its callers: ten seconds at half of the capacity,
+// a spike of twenty times that rate for five seconds, and the time after. A refused
+// caller retries after RetryAfter, and one that is not answered by its deadline
+// retries at once, up to maxTries.
 
 const (
 	spikeFrom  = 10 * time.Second
 	spikeUntil = 15 * time.Second
 	runLength  = 110 * time.Second
 	maxTries   = 4
-	// Those who come in afterFrom to afterUntil are the callers after the spike:
-	// by then the refused ones have come back.
+	// Callers that first arrive between afterFrom and afterUntil count as after the
+	// spike, when no more refused callers retry.
 	afterFrom  = 80 * time.Second
 	afterUntil = 100 * time.Second
 )
@@ -31,10 +30,10 @@
 	priority, queue, caps int
 	service, deadline     time.Duration
 	served, refused, late int
-	offered, returns      int
-	before, after         [2]int // offered and served of those who came before and well after the spike
-	inSpike               int    // answered while the spike lasted
-	latency, toldAfter    []time.Duration
+	offered, retries      int
+	before, after         [2]int // offered and served requests of callers before and after the spike
+	inSpike               int    // requests answered during the spike
+	latency, refusedAfter []time.Duration
 }
 
 func newKinds() []*kind {
@@ -45,13 +44,13 @@
 	}
 }
 
-// call is one request of a caller, over all its tries.
+// call is one request of a caller with its retries.
 type call struct {
 	id, tries   int
 	kind        *kind
 	tenant      string
 	first, sent time.Time
-	// deadline is the policy's, or half of that for every other caller.
+	// deadline is that of the policy, or half of it for every other caller.
 	deadline time.Duration
 	answered bool
 }
@@ -78,30 +77,30 @@
 	return last
 }
 
-// world runs the callers against a gate, or against a plain unbounded queue where gate is nil.
-type world struct {
-	random *rand.Rand
-	todo   events
-	order  int
-	kinds  []*kind
-	gate   *Gate
-	byName map[string]*call
-	// room is how many the target runs at once; above it the target sheds.
-	room, running int
-	shed          int
-	slots         int
-	queue         []*call
-	wakeAt        time.Time
+// simulation simulates the callers against a gate, or against an unbounded queue if gate is nil.
+type simulation struct {
+	random  *rand.Rand
+	pending events
+	order   int
+	kinds   []*kind
+	gate    *Gate
+	byName  map[string]*call
+	// targetCapacity is the number of requests above which the target sheds.
+	targetCapacity, running int
+	shed                    int
+	slots                   int
+	queue                   []*call
+	wakeAt                  time.Time
 }
 
-func (w *world) at(t time.Time, do func(now time.Time)) {
+func (w *simulation) at(t time.Time, do func(now time.Time)) {
 	w.order++
-	heap.Push(&w.todo, event{at: t, order: w.order, do: do})
+	heap.Push(&w.pending, event{at: t, order: w.order, do: do})
 }
 
-func (w *world) run() {
-	for len(w.todo) > 0 {
-		e := heap.Pop(&w.todo).(event)
+func (w *simulation) run() {
+	for len(w.pending) > 0 {
+		e := heap.Pop(&w.pending).(event)
 		if e.at.Sub(start) > runLength {
 			return
 		}
@@ -113,13 +112,13 @@
 			w.wakeAt = wake
 			w.at(wake, func(now time.Time) {
 				w.wakeAt = time.Time{}
-				w.tell(now, w.gate.Advance(now))
+				w.deliver(now, w.gate.Advance(now))
 			})
 		}
 	}
 }
 
-func (w *world) arrivals(k *kind, gap time.Duration) {
+func (w *simulation) arrivals(k *kind, gap time.Duration) {
 	id := 0
 	var next func(now time.Time)
 	next = func(now time.Time) {
@@ -128,7 +127,7 @@
 			times = 20
 		}
 		id++
-		// One tenant sends a half, nineteen the rest.
+		// One tenant sends half of the requests, nineteen others the rest.
 		tenant := fmt.Sprint(max(0, w.random.IntN(38)-18))
 		c := &call{id: id, kind: k, tenant: k.class + tenant, first: now, deadline: k.deadline / time.Duration(1+id%2)}
 		k.offered++
@@ -138,14 +137,14 @@
 	w.at(start, next)
 }
 
-func (w *world) try(now time.Time, c *call) {
+func (w *simulation) try(now time.Time, c *call) {
 	if c.tries++; c.tries > maxTries {
 		return
 	}
 	c.sent = now
 	k := c.kind
 	if c.tries > 1 {
-		k.returns++
+		k.retries++
 	}
 	if w.gate == nil {
 		w.queue = append(w.queue, c)
@@ -164,32 +163,32 @@
 		ID: name, Class: k.class, Tenant: c.tenant, Priority: k.priority, Queue: k.queue,
 		Concurrency: k.caps, Deadline: now.Add(c.deadline),
 	})
-	w.hear(now, name, verdict)
-	w.tell(now, notices)
+	w.receive(now, name, verdict)
+	w.deliver(now, notices)
 }
 
-func (w *world) tell(now time.Time, notices []Notice) {
+func (w *simulation) deliver(now time.Time, notices []Notice) {
 	for _, n := range slices.Clone(notices) {
-		w.hear(now, n.ID(), n.Verdict())
+		w.receive(now, n.ID(), n.Verdict())
 	}
 }
 
-func (w *world) hear(now time.Time, name string, verdict Verdict) {
+func (w *simulation) receive(now time.Time, name string, verdict Verdict) {
 	c := w.byName[name]
 	switch v := verdict.(type) {
 	case Run:
 		w.work(now, c, name)
 	case Refuse:
 		c.kind.refused++
-		c.kind.toldAfter = append(c.kind.toldAfter, now.Sub(c.sent))
+		c.kind.refusedAfter = append(c.kind.refusedAfter, now.Sub(c.sent))
 		delete(w.byName, name)
 		w.at(now.Add(v.RetryAfter()), func(now time.Time) { w.try(now, c) })
 	case Wait:
 	}
 }
 
-// serve is the unbounded queue: first come, first served, whoever still waits for it.
-func (w *world) serve(now time.Time) {
+// serve runs the unbounded queue in order of arrival, including requests that timed out.
+func (w *simulation) serve(now time.Time) {
 	for w.running < w.slots && len(w.queue) > 0 {
 		c := w.queue[0]
 		w.queue = w.queue[1:]
@@ -197,12 +196,12 @@
 	}
 }
 
-func (w *world) work(now time.Time, c *call, name string) {
+func (w *simulation) work(now time.Time, c *call, name string) {
 	w.running++
 	sent := c.sent
 	service := time.Duration(w.random.ExpFloat64() * float64(c.kind.service))
 	outcome := Done
-	if w.running > w.room {
+	if w.running > w.targetCapacity {
 		service, outcome = time.Millisecond, Shed
 		w.shed++
 	}
@@ -220,11 +219,11 @@
 		if err != nil {
 			panic(err)
 		}
-		w.tell(now, notices)
+		w.deliver(now, notices)
 	})
 }
 
-func (w *world) answer(now time.Time, c *call, sent time.Time) {
+func (w *simulation) answer(now time.Time, c *call, sent time.Time) {
 	k := c.kind
 	if took := now.Sub(sent); took <= c.deadline && !c.answered {
 		c.answered = true
@@ -244,9 +243,9 @@
 	k.late++
 }
 
-func newWorld(slots int, gate *Gate) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(3, 5)), kinds: newKinds(), gate: gate, byName: map[string]*call{}, slots: slots, room: slots,
+func newSimulation(slots int, gate *Gate) *simulation {
+	w := &simulation{
+		random: rand.New(rand.NewPCG(3, 5)), kinds: newKinds(), gate: gate, byName: map[string]*call{}, slots: slots, targetCapacity: slots,
 	}
 	var mean float64
 	for _, k := range w.kinds {
