--- a/lib/bfbudget/account.go
+++ b/lib/bfbudget/account.go
@@ -25,10 +25,10 @@
 // Account holds one node's part of the budget of each service. It is safe for concurrent
 // use.
 type Account struct {
-	options Options
-	mu      sync.Mutex
-	buckets atomic.Pointer[map[string]*bucket]
-	calls   callCounts
+	options    Options
+	mu         sync.Mutex
+	buckets    atomic.Pointer[map[string]*bucket]
+	callCounts callCounts
 }
 
 // New returns an account without repeats to spend.
@@ -45,15 +45,15 @@
 
 // Return gives back a repeat that was taken but reached no target.
 func (a *Account) Return(service string) {
-	a.giveBack(service, 1)
+	a.refund(service, 1)
 }
 
 func (a *Account) take(service string, amount, floor float64) bool {
 	return a.bucketOf(service).take(amount, floor, a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
-func (a *Account) giveBack(service string, amount float64) {
-	a.bucketOf(service).giveBack(amount, a.options.Terms, a.options.Nodes(), a.options.Now())
+func (a *Account) refund(service string, amount float64) {
+	a.bucketOf(service).refund(amount, a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
 // bucketOf returns the bucket bucketOf a service. Buckets need no eviction, since the
--- a/lib/bfbudget/bucket.go
+++ b/lib/bfbudget/bucket.go
@@ -87,8 +87,8 @@
 	b.balance = min(b.balance+amount, b.ceiling(terms, nodes, now))
 }
 
-// giveBack returns repeats that were taken and not used.
-func (b *bucket) giveBack(amount float64, terms Terms, nodes int, now time.Time) {
+// refund returns repeats that were taken and not used.
+func (b *bucket) refund(amount float64, terms Terms, nodes int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(amount, terms, nodes, now)
--- a/lib/bfbudget/run.go
+++ b/lib/bfbudget/run.go
@@ -50,7 +50,7 @@
 	case Again, Inherited:
 		run.repeat = true
 	}
-	for service, calls := range a.calls.estimate(class) {
+	for service, calls := range a.callCounts.estimate(class) {
 		if !a.take(service, calls, a.floor(service, origin)) {
 			run.returnUnused()
 			return nil, false
@@ -163,7 +163,7 @@
 	r.mu.Lock()
 	made := maps.Clone(r.made)
 	r.mu.Unlock()
-	r.account.calls.record(r.class, made)
+	r.account.callCounts.record(r.class, made)
 }
 
 // returnUnused returns the reserved repeats that were not used.
@@ -173,6 +173,6 @@
 	r.reserved = nil
 	r.mu.Unlock()
 	for service, amount := range left {
-		r.account.giveBack(service, amount)
+		r.account.refund(service, amount)
 	}
 }
