--- a/lib/bfquarantine/answers.go
+++ b/lib/bfquarantine/answers.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// answersFor is how long an answer is remembered at the least.
-	answersFor = 30 * time.Second
-	// filterBits is the size of one filter, filterHashes how many bits of it each answer
-	// sets, mostAnswers how many answers it takes.
-	filterBits   = 1 << 17
-	filterHashes = 4
-	mostAnswers  = filterBits / 8
+	// answerRetention is the least time for which an answer is remembered, unless there are
+	// more than filterCapacity in it.
+	answerRetention = 30 * time.Second
+	// filterBits is the size of one Bloom filter, filterHashes the number of bits set for
+	// each answer, and filterCapacity the number
+	// of answers that it is made for.
+	filterBits     = 1 << 17
+	filterHashes   = 4
+	filterCapacity = filterBits / 8
 )
 
-// Answers remembers, in bounded memory, what targets answered lately; it is safe for
-// concurrent use.
+// Answers remembers in Bloom filters which requests targets answered recently. It is safe
+// for concurrent use.
 //
-// A request that many make runs at several targets at any moment. Where these end for a
-// reason of their own, at one moment, it has run at the end of each of them, and nothing
-// that runs elsewhere may be left to clear it; but it was answered shortly before, and
-// under a request that ends targets nothing ever is.
+// A frequent request runs at several targets at any moment. If these crash together for
+// another reason, it ran at each crash, and there may be no other run left to clear it.
+// But it was answered shortly before, which a request that crashes targets never is.
 type Answers struct{ filters atomic.Pointer[filters] }
 
-// filters are the one that answers are added to and the one before it.
+// filters holds the filter that answers are added to and the one before it.
 type filters struct {
 	newest, older *filter
 	began         time.Time
@@ -35,11 +36,11 @@
 	added atomic.Int64
 }
 
-// Add notes the answer to a request that is known by the sum.
+// Add records an answer to the request with a hash of sum.
 func (a *Answers) Add(sum uint64, now time.Time) {
 	f := a.filters.Load()
-	if f == nil || now.Sub(f.began) >= answersFor || f.newest.added.Load() >= mostAnswers {
-		f = a.turn(f, now)
+	if f == nil || now.Sub(f.began) >= answerRetention || f.newest.added.Load() >= filterCapacity {
+		f = a.rotate(f, now)
 	}
 	f.newest.added.Add(1)
 	for bit := range bitsOf(sum) {
@@ -47,10 +48,11 @@
 	}
 }
 
-// turn begins a new filter; one that was begun by somebody else meanwhile will do as well.
-func (a *Answers) turn(old *filters, now time.Time) *filters {
+// rotate begins a new filter, unless another goroutine has done so, and returns the
+// current filters.
+func (a *Answers) rotate(old *filters, now time.Time) *filters {
 	next := &filters{newest: new(filter), began: now}
-	if old != nil && now.Sub(old.began) < 2*answersFor {
+	if old != nil && now.Sub(old.began) < 2*answerRetention {
 		next.older = old.newest
 	}
 	if !a.filters.CompareAndSwap(old, next) {
@@ -59,10 +61,11 @@
 	return next
 }
 
-// Has reports whether a request that is known by the sum was answered lately.
+// Has reports whether the request with a hash of sum was answered recently. It may return
+// true for one that was not, with the false-positive rate of the filters.
 func (a *Answers) Has(sum uint64, now time.Time) bool {
 	f := a.filters.Load()
-	if f == nil || now.Sub(f.began) >= 2*answersFor {
+	if f == nil || now.Sub(f.began) >= 2*answerRetention {
 		return false
 	}
 	return f.newest.has(sum) || f.older != nil && f.older.has(sum)
@@ -77,7 +80,7 @@
 	return true
 }
 
-// bitsOf gives the bits that a sum sets.
+// bitsOf iterates over the filter bits of a hash.
 func bitsOf(sum uint64) func(yield func(bit uint64) bool) {
 	return func(yield func(bit uint64) bool) {
 		step := mix(sum) | 1
--- a/lib/bfquarantine/answers_test.go
+++ b/lib/bfquarantine/answers_test.go
@@ -6,28 +6,29 @@
 	"github.com/matryer/is"
 )
 
-// Guards against answers being forgotten at once, remembered for good, or filling the memory.
+// Guards against answers being forgotten early or remembered forever.
 func TestAnswersAreRememberedForAWhile(t *testing.T) {
 	is := is.New(t)
 	var a Answers
 	is.True(!a.Has(mix(7), start))
 	a.Add(mix(7), start)
 	is.True(a.Has(mix(7), start))
-	a.Add(mix(8), start.Add(answersFor))
-	is.True(a.Has(mix(7), start.Add(answersFor)))
-	is.True(a.Has(mix(8), start.Add(answersFor)))
-	a.Add(mix(9), start.Add(2*answersFor))
-	is.True(!a.Has(mix(7), start.Add(2*answersFor)))
-	is.True(!a.Has(mix(9), start.Add(10*answersFor)))
-	a.Add(mix(10), start.Add(20*answersFor))
-	is.True(!a.Has(mix(9), start.Add(20*answersFor)))
+	a.Add(mix(8), start.Add(answerRetention))
+	is.True(a.Has(mix(7), start.Add(answerRetention)))
+	is.True(a.Has(mix(8), start.Add(answerRetention)))
+	a.Add(mix(9), start.Add(2*answerRetention))
+	is.True(!a.Has(mix(7), start.Add(2*answerRetention)))
+	is.True(!a.Has(mix(9), start.Add(10*answerRetention)))
+	a.Add(mix(10), start.Add(20*answerRetention))
+	is.True(!a.Has(mix(9), start.Add(20*answerRetention)))
 }
 
-// Guards against a request that ends targets passing for one that was answered, at any load.
-func TestFewRequestsPassForAnswered(t *testing.T) {
+// Guards against a high false-positive rate, which would leave requests that crash targets
+// unblamed.
+func TestFalsePositiveRate(t *testing.T) {
 	is := is.New(t)
 	var a Answers
-	const answers, asked = 20 * mostAnswers, 100_000
+	const answers, asked = 20 * filterCapacity, 100_000
 	for i := range uint64(answers) {
 		a.Add(mix(i+1), start)
 	}
--- a/lib/bfquarantine/book.go
+++ b/lib/bfquarantine/book.go
@@ -11,41 +11,43 @@
 )
 
 const (
-	// mostHeld bounds the contents that are held, mostSuspected the others: a flood of the
-	// one kind does not push out the other.
-	mostHeld      = 512
-	mostSuspected = 512
+	// maxHeld bounds the records of held contents, maxSuspected the others. Separate
+	// bounds keep a flood of one kind from evicting the other.
+	maxHeld      = 512
+	maxSuspected = 512
 )
 
-// Book holds what is known of requests under which targets end; it is safe for concurrent use.
+// Book holds the records of the requests that ran while targets crashed. It is safe for
+// concurrent use.
 type Book struct {
 	self    uint64
 	view    atomic.Pointer[View]
 	changed chan struct{}
 
 	mu sync.Mutex
-	// news are the contents that this node itself learned of since they were last taken.
-	news map[Content]bool
+	// updated are the contents whose records this node changed since the last TakeNews.
+	updated map[Content]bool
 }
 
-// New makes the empty book of the node of that name.
+// New returns the empty book of the node with the name self.
 func New(self string) *Book {
-	b := &Book{self: hashOf(self), changed: make(chan struct{}, 1), news: map[Content]bool{}}
+	b := &Book{self: hashOf(self), changed: make(chan struct{}, 1), updated: map[Content]bool{}}
 	b.view.Store(newView(b.self, nil))
 	return b
 }
 
-// View is what the book holds now.
+// View returns the current snapshot.
 func (b *Book) View() *View { return b.view.Load() }
 
-// Changed receives after this node learned something that others have to hear.
+// Changed returns a channel that receives after this node changed a record, when TakeNews
+// has updates for other nodes.
 func (b *Book) Changed() <-chan struct{} { return b.changed }
 
-// Crashed takes the end of a target and the requests that it ran, and returns those that
-// it speaks against.
+// Crashed records the crash of a target against the requests that it ran, and returns the
+// requests that are blamed.
 //
-// One that ran Apart is alone blamed: the others ran beside a request under which targets
-// had ended before, and each of them would be suspected after a few such ends.
+// If any of them was not Free before, only those are blamed. The others are likely
+// innocent, and would be suspected after a few crashes caused by the same request.
 func (b *Book) Crashed(crash Crash, ran []Key, now time.Time) (blamed []Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,17 +62,17 @@
 	}
 	next := maps.Clone(held.records)
 	for _, key := range blamed {
-		next = b.put(next, key.Content, next[key.Content].with([]Mark{{crash, key.Caller}}, nil, now))
+		next = b.put(next, key.Content, next[key.Content].merged([]CrashMark{{crash, key.Caller}}, nil, now))
 	}
 	b.publish(next, now)
 	return blamed
 }
 
-// Answered takes a request that a target answered, and reports whether that speaks for it:
-// it does not end targets, whatever ended while it ran.
+// Answered records that a target answered a request, which clears the crashes of its
+// caller. It reports whether the request was not Free before.
 func (b *Book) Answered(key Key, now time.Time) bool {
 	if b.view.Load().isFree(key, now) {
-		// Nearly all answers, and they need no lock.
+		// The usual case, without the lock.
 		return false
 	}
 	b.mu.Lock()
@@ -80,17 +82,17 @@
 		return false
 	}
 	r := held.records[key.Content]
-	b.publish(b.put(maps.Clone(held.records), key.Content, r.answered(key.Caller)), now)
+	b.publish(b.put(maps.Clone(held.records), key.Content, r.afterAnswer(key.Caller)), now)
 	return true
 }
 
-// put changes a record and has others hear of it.
+// put sets a record and schedules it for TakeNews.
 func (b *Book) put(records map[Content]record, content Content, r record) map[Content]record {
 	if records == nil {
 		records = map[Content]record{}
 	}
 	records[content] = r
-	b.news[content] = true
+	b.updated[content] = true
 	select {
 	case b.changed <- struct{}{}:
 	default:
@@ -98,69 +100,69 @@
 	return records
 }
 
-// Merge takes what another node tells, and returns the part of it that is new here.
-func (b *Book) Merge(told []Record, now time.Time) (learned []Record) {
+// Merge merges the records of another node, and returns those that changed here.
+func (b *Book) Merge(received []Record, now time.Time) (changed []Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.view.Load()
 	next := maps.Clone(held.records)
-	for _, brought := range told {
-		if len(brought.Content) != len(Content{}) || brought.AgeMilli < 0 {
-			// A node of another version.
+	for _, entry := range received {
+		if len(entry.Content) != len(Content{}) || entry.AgeMilli < 0 {
+			// Not valid, such as from a node of another version.
 			continue
 		}
-		content := Content(brought.Content)
-		last := now.Add(-time.Duration(min(brought.AgeMilli, maxAge.Milliseconds())) * time.Millisecond)
+		content := Content(entry.Content)
+		last := now.Add(-time.Duration(min(entry.AgeMilli, maxAge.Milliseconds())) * time.Millisecond)
 		before := held.records[content]
-		after := before.with(brought.Crashes, brought.Cleared, last)
-		if after.same(before) && after.last.Sub(before.last) < sameAge || !now.Before(after.expires()) {
+		after := before.merged(entry.Crashes, entry.Cleared, last)
+		if after.sameMarks(before) && after.last.Sub(before.last) < lastTolerance || !now.Before(after.expiresAt()) {
 			continue
 		}
 		if next == nil {
 			next = map[Content]record{}
 		}
 		next[content] = after
-		learned = append(learned, after.told(content, now))
+		changed = append(changed, after.export(content, now))
 	}
-	if len(learned) > 0 {
+	if len(changed) > 0 {
 		b.publish(next, now)
 	}
-	return learned
+	return changed
 }
 
 const (
-	// sameAge is how far two nodes may be apart on when the last end of a target was.
-	sameAge = time.Second
-	// maxAge is longer than any record is kept.
-	maxAge = 2 * longestStretch * longestHold
+	// lastTolerance is the difference in the time of the last crash that Merge ignores.
+	lastTolerance = time.Second
+	// maxAge bounds the age of a received record; it exceeds the lifetime of any record.
+	maxAge = 2 * maxStretch * maxHold
 )
 
-// TakeNews gives what this node learned itself since it was last asked.
+// TakeNews returns the records that this node itself changed since the last call.
 func (b *Book) TakeNews(now time.Time) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.view.Load()
-	var news []Record
-	for content := range b.news {
+	var records []Record
+	for content := range b.updated {
 		if r, found := held.records[content]; found {
-			news = append(news, r.told(content, now))
+			records = append(records, r.export(content, now))
 		}
 	}
-	clear(b.news)
-	return news
+	clear(b.updated)
+	return records
 }
 
-// Records gives all that is known.
+// Records returns all records, ordered by content.
 func (b *Book) Records(now time.Time) []Record {
 	var all []Record
 	for content, r := range b.view.Load().records {
-		all = append(all, r.told(content, now))
+		all = append(all, r.export(content, now))
 	}
 	slices.SortFunc(all, func(x, y Record) int { return bytes.Compare(x.Content, y.Content) })
 	return all
 }
 
-// Held gives what is known of requests that may be Held, those with the newest ends first.
+// Held returns the records of the requests that may be Held, the latest crashes first.
 func (b *Book) Held(now time.Time) []Record {
 	held := b.Records(now)
 	held = slices.DeleteFunc(held, func(r Record) bool { return b.View().records[Content(r.Content)].most < crashLimit })
@@ -168,7 +170,7 @@
 	return held
 }
 
-// Sweep forgets what matters no more.
+// Sweep removes expired records.
 func (b *Book) Sweep(now time.Time) {
 	if b.view.Load().Len() == 0 {
 		return
@@ -178,12 +180,13 @@
 	b.publish(maps.Clone(b.view.Load().records), now)
 }
 
-// publish makes records what is held, within the bounds.
+// publish removes expired records and those beyond the bounds, and replaces the view. It
+// modifies records. The caller must hold mu.
 func (b *Book) publish(records map[Content]record, now time.Time) {
 	var held, suspected []Content
 	for content, r := range records {
 		switch {
-		case !now.Before(r.expires()):
+		case !now.Before(r.expiresAt()):
 			delete(records, content)
 		case r.most >= crashLimit:
 			held = append(held, content)
@@ -191,20 +194,20 @@
 			suspected = append(suspected, content)
 		}
 	}
-	dropOldest(records, held, mostHeld)
-	dropOldest(records, suspected, mostSuspected)
+	dropOldest(records, held, maxHeld)
+	dropOldest(records, suspected, maxSuspected)
 	b.view.Store(newView(b.self, records))
 }
 
-// dropOldest keeps so many of the contents, those whose last end of a target is newest.
-func dropOldest(records map[Content]record, contents []Content, most int) {
-	if len(contents) <= most {
+// dropOldest removes contents beyond a bound, those with the oldest last crash first.
+func dropOldest(records map[Content]record, contents []Content, limit int) {
+	if len(contents) <= limit {
 		return
 	}
 	slices.SortFunc(contents, func(x, y Content) int {
 		return cmp.Or(records[y].last.Compare(records[x].last), bytes.Compare(x[:], y[:]))
 	})
-	for _, content := range contents[most:] {
+	for _, content := range contents[limit:] {
 		delete(records, content)
 	}
 }
--- a/lib/bfquarantine/book_test.go
+++ b/lib/bfquarantine/book_test.go
@@ -15,7 +15,7 @@
 	return KeyOf(Request{Method: "GET", Host: "h", Target: target, Caller: caller})
 }
 
-// crashed has so many targets end under a request of a caller, a second apart.
+// crashed records a number of crashes under one request, a second apart.
 func crashed(b *Book, k Key, ends int, from time.Time) (last time.Time) {
 	for i := range ends {
 		last = from.Add(time.Duration(i) * time.Second)
@@ -26,8 +26,8 @@
 
 func name(v Verdict) string { return fmt.Sprintf("%T", v) }
 
-// Guards against requests being told apart by their attempts, or not by what they ask for.
-func TestKeyIsThatOfTheRequestAndNotOfTheAttempt(t *testing.T) {
+// Guards against keys that differ between attempts, or that don't differ with the content.
+func TestKeyIgnoresAttempt(t *testing.T) {
 	is := is.New(t)
 	one := Request{Method: "GET", Host: "h", Target: "/a?b", Caller: "c", Body: []byte("d"), Length: 1}
 	is.Equal(KeyOf(one), KeyOf(one))
@@ -43,33 +43,33 @@
 		change(&other)
 		is.True(KeyOf(other) != KeyOf(one))
 	}
-	// The bodies differ and the path is the same: one of them may end targets alone.
+	// A request may crash targets by its body alone.
 	other := one
 	other.Body = []byte("e")
 	is.True(KeyOf(other).Content != KeyOf(one).Content)
 }
 
-// Guards against a request that ends targets being sent to a fourth one.
-func TestRequestIsHeldAfterThreeEnds(t *testing.T) {
+// Guards against running a request again after it crashed three targets.
+func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
 	is := is.New(t)
 	b := New("n")
 	bad := key("/bad", "c")
 	is.True(!b.View().Watches())
 	crashed(b, bad, 1, start)
 	is.Equal(name(b.View().Judge(bad, start)), "bfquarantine.Free")
-	is.True(!b.View().Watches()) // one end makes no node compute keys
+	is.True(!b.View().Watches()) // no node has to compute keys after a single crash
 	now := crashed(b, bad, 1, start.Add(time.Minute))
 	is.Equal(name(b.View().Judge(bad, now)), "bfquarantine.Apart")
 	now = crashed(b, bad, 1, start.Add(2*time.Minute))
 	is.Equal(name(b.View().Judge(bad, now)), "bfquarantine.Held")
 	held, refused := b.View().Refuse(bad, now)
 	is.True(refused)
-	is.Equal(held.Until(), now.Add(firstHold))
+	is.Equal(held.Until(), now.Add(minHold))
 	is.Equal(name(b.View().Judge(key("/bad?x", "c"), now)), "bfquarantine.Free")
 }
 
-// Guards against one target's end, told by several nodes or twice, counting for several.
-func TestOneEndCountsOnce(t *testing.T) {
+// Guards against one crash that is reported several times counting more than once.
+func TestOneCrashCountsOnce(t *testing.T) {
 	is := is.New(t)
 	b := New("n")
 	bad := key("/bad", "c")
@@ -79,7 +79,7 @@
 	is.Equal(name(b.View().Judge(bad, start)), "bfquarantine.Free")
 }
 
-// Guards against requests being held that merely ran beside one that ends targets.
+// Guards against blaming requests that ran concurrently with one already suspected.
 func TestOnlyTheSuspectedRequestIsBlamed(t *testing.T) {
 	is := is.New(t)
 	b := New("n")
@@ -92,7 +92,7 @@
 	is.Equal(name(b.View().Judge(beside, start.Add(time.Minute))), "bfquarantine.Free")
 }
 
-// Guards against a request staying held that targets answer.
+// Guards against a request staying held although targets answer it.
 func TestAnswerClearsARequest(t *testing.T) {
 	is := is.New(t)
 	b, other := New("n"), New("m")
@@ -100,29 +100,30 @@
 	now := crashed(b, popular, 3, start)
 	other.Merge(b.Records(now), now)
 	is.Equal(name(other.View().Judge(popular, now)), "bfquarantine.Held")
-	is.True(other.Answered(popular, now)) // it ran there all the while
+	is.True(other.Answered(popular, now)) // it was still running there
 	is.Equal(name(other.View().Judge(popular, now)), "bfquarantine.Free")
 	is.Equal(len(b.Merge(other.Records(now), now)), 1)
 	is.Equal(name(b.View().Judge(popular, now)), "bfquarantine.Free")
 	is.Equal(len(b.Merge(other.Records(now), now)), 0)
-	// What others still tell of the ends that were cleared changes nothing.
+	// Cleared crashes that other nodes still report have no effect.
 	third := New("l")
 	crashed(third, popular, 3, start)
 	b.Merge(third.Records(now), now)
 	is.Equal(name(b.View().Judge(popular, now)), "bfquarantine.Free")
-	// Ends after that count anew.
+	// Later crashes count.
 	now = crashed(b, popular, 3, now.Add(time.Minute))
 	is.Equal(name(b.View().Judge(popular, now)), "bfquarantine.Held")
 }
 
-// Guards against a request passing in other callers' names, and callers held for another's request.
-func TestCallers(t *testing.T) {
+// Guards against a request that crashes targets for any caller passing under other callers,
+// and against holding a request for the crashes of one other caller.
+func TestCrashesCountByCaller(t *testing.T) {
 	is := is.New(t)
 	b := New("n")
 	one, two, three := key("/bad", "one"), key("/bad", "two"), key("/bad", "three")
 	now := crashed(b, one, 3, start)
 	is.Equal(name(b.View().Judge(one, now)), "bfquarantine.Held")
-	is.Equal(name(b.View().Judge(two, now)), "bfquarantine.Free") // it may be the caller that makes it so
+	is.Equal(name(b.View().Judge(two, now)), "bfquarantine.Free") // the crashes may depend on the caller
 	crashed(b, two, 1, now)
 	is.Equal(name(b.View().Judge(two, now)), "bfquarantine.Held")
 	is.Equal(name(b.View().Judge(three, now)), "bfquarantine.Held")
@@ -131,8 +132,8 @@
 	is.Equal(name(b.View().Judge(one, now)), "bfquarantine.Held")
 }
 
-// Guards against a verdict that never ends, or that ends at all nodes at one moment.
-func TestVerdictEndsInATrial(t *testing.T) {
+// Guards against a hold that never ends, or that ends at all nodes at the same time.
+func TestHoldEndsInIsolatedRun(t *testing.T) {
 	is := is.New(t)
 	bad := key("/bad", "c")
 	var ends []time.Time
@@ -140,20 +141,20 @@
 		b := New(fmt.Sprint("node ", i))
 		now := crashed(b, bad, 3, start)
 		held := b.View().Judge(bad, now).(Held)
-		is.True(!held.Until().Before(now.Add(firstHold)) && held.Until().Before(now.Add(longestStretch*firstHold+time.Second)))
+		is.True(!held.Until().Before(now.Add(minHold)) && held.Until().Before(now.Add(maxStretch*minHold+time.Second)))
 		ends = append(ends, held.Until())
 		is.Equal(name(b.View().Judge(bad, held.Until())), "bfquarantine.Apart")
 		again := held.Until().Add(time.Second)
 		crashed(b, bad, 1, again)
 		is.Equal(name(b.View().Judge(bad, again)), "bfquarantine.Held")
 		longer, _ := b.View().Refuse(bad, again)
-		is.Equal(longer.Until(), again.Add(2*firstHold))
-		b.Sweep(again.Add(longestStretch*2*firstHold + retention + time.Second))
+		is.Equal(longer.Until(), again.Add(2*minHold))
+		b.Sweep(again.Add(maxStretch*2*minHold + retention + time.Second))
 		is.Equal(b.View().Len(), 0)
 		is.Equal(b.View().Digest(), uint64(0))
 	}
 	is.True(len(distinct(ends)) > 15)
-	is.Equal(hold(40), longestHold)
+	is.Equal(holdTime(40), maxHold)
 }
 
 func distinct(times []time.Time) map[time.Time]bool {
@@ -164,7 +165,7 @@
 	return set
 }
 
-// Guards against a flood of requests that end targets filling the memory.
+// Guards against unbounded memory, and evicted holds, in a flood of crashing requests.
 func TestFloodOfDistinctRequestsIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := New("n")
@@ -174,15 +175,15 @@
 		now = now.Add(time.Millisecond)
 		b.Crashed(CrashOf(fmt.Sprint("flood ", i)), []Key{key(fmt.Sprint("/", i), "c"), key(fmt.Sprint("/other/", i), "c")}, now)
 	}
-	is.True(b.View().Len() <= mostHeld+mostSuspected)
+	is.True(b.View().Len() <= maxHeld+maxSuspected)
 	is.Equal(name(b.View().Judge(bad, now)), "bfquarantine.Held")
 	for i := range 40 { // one content under many callers
 		b.Crashed(CrashOf(fmt.Sprint("callers ", i)), []Key{key("/many", fmt.Sprint(i))}, now)
 	}
-	is.True(len(b.View().records[key("/many", "").Content].crashes) <= mostMarks)
+	is.True(len(b.View().records[key("/many", "").Content].crashes) <= maxMarks)
 }
 
-// Guards against nodes that heard the same in another order, or twice, disagreeing.
+// Guards against nodes diverging that merged the same records in different orders or twice.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		books := []*Book{New("a"), New("b"), New("c")}
@@ -215,14 +216,14 @@
 	})
 }
 
-// Guards against messages of other versions, or damaged ones, ending the process or lasting.
-func TestHostileRecords(t *testing.T) {
+// Guards against malformed records causing a panic or being kept.
+func TestMalformedRecords(t *testing.T) {
 	is := is.New(t)
 	b := New("n")
 	content := make([]byte, 16)
-	many := make([]Mark, 10_000)
+	many := make([]CrashMark, 10_000)
 	for i := range many {
-		many[i] = Mark{Crash: Crash(i), Caller: Caller(i)}
+		many[i] = CrashMark{Crash: Crash(i), Caller: Caller(i)}
 	}
 	b.Merge([]Record{
 		{}, {Content: []byte("short"), Crashes: many}, {Content: content, AgeMilli: -1, Crashes: many},
@@ -233,7 +234,7 @@
 	is.True(b.View().Len() <= 1)
 }
 
-func BenchmarkNothingKnown(b *testing.B) {
+func BenchmarkEmptyBook(b *testing.B) {
 	book := New("n")
 	for b.Loop() {
 		if book.View().Watches() {
@@ -254,7 +255,7 @@
 
 func BenchmarkCrashedWithAFullBook(b *testing.B) {
 	book := New("n")
-	for i := range mostSuspected {
+	for i := range maxSuspected {
 		book.Crashed(CrashOf(fmt.Sprint(i)), []Key{key(fmt.Sprint("/", i), "c")}, start)
 	}
 	at := 0
@@ -264,8 +265,8 @@
 	}
 }
 
-// Guards against an operator who has mended the targets waiting for the end of a verdict.
-func TestReleasedContentRunsEverywhere(t *testing.T) {
+// Guards against a request staying held at any node after an operator released it.
+func TestReleaseAppliesToAllNodes(t *testing.T) {
 	is := is.New(t)
 	b, other := New("n"), New("m")
 	one, two := key("/bad", "one"), key("/bad", "two")
--- a/lib/bfquarantine/doc.go
+++ b/lib/bfquarantine/doc.go
@@ -1,8 +1,8 @@
-// Package bfquarantine decides which requests are no longer run because targets end under
-// them ("queries of death"). It holds, for each such request, during the ends of which
-// target incarnations it ran, and gives a verdict on it. Its state merges with that of
-// other nodes in any order and however often; it knows no socket, clock or log.
+// Package bfquarantine detects requests that crash targets ("queries of death") and
+// decides which are no longer run. For each such request it records which target
+// incarnations crashed while they ran it, and derives a verdict. Merging the state of
+// other nodes is commutative and idempotent. The package does no I/O and uses no clock.
 //
-// A request is known by its Key and not by its ID: it comes again as a new attempt, from
-// another node, with another ID.
+// A request is identified by its Key and not by its ID, since each attempt, also from
+// other nodes, has an ID of its own.
 package bfquarantine
--- a/lib/bfquarantine/key.go
+++ b/lib/bfquarantine/key.go
@@ -8,42 +8,42 @@
 	"strconv"
 )
 
-// Content identifies what a request asks for.
+// Content is a hash of what a request asks for.
 type Content [16]byte
 
-// String is the content as it is written in logs.
+// String returns the content in hexadecimal, as in logs.
 func (c Content) String() string { return hex.EncodeToString(c[:]) }
 
-// Caller identifies on whose behalf a request is made.
+// Caller is a hash of the service or workspace on whose behalf a request is made.
 type Caller uint64
 
-// Key identifies a request over all its attempts.
+// Key identifies a request across all its attempts.
 type Key struct {
 	Content Content
 	Caller  Caller
 }
 
-// Request is what a Key is made of.
+// Request holds the parts of a request that its Key is computed from.
 type Request struct {
 	Method, Host string
-	// Target is the path and query as they stand in the request line.
+	// Target is the path and query as in the request line.
 	Target string
 	// Caller is the service or workspace on whose behalf the request is made.
 	Caller string
-	// Body is the body, or the beginning of a long one; Length is that of the whole in
-	// bytes, LongBody where Body is the beginning.
+	// Body is the body, or the beginning of a long one. Length is the length of the body
+	// in bytes, or LongBody if Body is only the beginning.
 	Body   []byte
 	Length int64
 }
 
-// LongBody is the length of a body of which only the beginning is known.
+// LongBody is the Length of a body of which only the beginning is known.
 const LongBody = -1
 
-// KeyOf is the key of a request.
+// KeyOf returns the key of a request.
 func KeyOf(r Request) Key {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.Target, strconv.FormatInt(r.Length, 10)} {
-		// A hash never fails to take bytes. The length keeps the parts apart.
+		// A hash never returns an error. The length prefix delimits the parts.
 		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
 	}
 	_, _ = h.Write(r.Body)
@@ -51,10 +51,10 @@
 	return Key{Content: Content(sum[:len(Content{})]), Caller: Caller(hashOf(r.Caller))}
 }
 
-// Crash identifies the end of one target incarnation.
+// Crash identifies the crash of one target incarnation.
 type Crash uint64
 
-// CrashOf names the end of the target incarnation of that name, which no other has.
+// CrashOf returns the crash of the target incarnation with a unique name.
 func CrashOf(incarnation string) Crash { return Crash(hashOf(incarnation)) }
 
 func hashOf(text string) uint64 {
--- a/lib/bfquarantine/list.go
+++ b/lib/bfquarantine/list.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Item is one content as operators see it.
+// Item describes one recorded content for operators.
 type Item struct {
 	Content Content
-	// Worst is the verdict on the caller under whose requests most targets ended.
+	// Worst is the verdict on the caller whose requests ran at the most crashes.
 	Worst Verdict
-	// Ends is how many targets ended under it, Callers for how many callers.
+	// Ends is the number of targets that crashed, Callers the number of callers whose
+	// requests they ran.
 	Ends, Callers int
-	// Last is when the last of them did.
+	// Last is the time of the last crash.
 	Last time.Time
 }
 
-// List gives what is known, the newest end of a target first.
+// List returns the contents with recorded crashes, the one with the latest crash first.
 func (b *Book) List(now time.Time) []Item {
 	view := b.View()
 	items := make([]Item, 0, len(view.records))
@@ -31,14 +32,14 @@
 			callers[mark.Caller] = true
 		}
 		items = append(items, Item{
-			Content: content, Worst: judge(r.most, r.last, now, 1), Ends: r.ends(), Callers: len(callers), Last: r.last,
+			Content: content, Worst: judge(r.most, r.last, now, 1), Ends: r.distinctCrashes(), Callers: len(callers), Last: r.last,
 		})
 	}
 	slices.SortFunc(items, func(x, y Item) int { return y.Last.Compare(x.Last) })
 	return items
 }
 
-// ParseContent reads a content as it is written in logs; ok is false where text is none.
+// ParseContent parses the hexadecimal form of a content; ok is false if text is not valid.
 func ParseContent(text string) (content Content, ok bool) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(content) {
@@ -47,8 +48,8 @@
 	return Content(data), true
 }
 
-// Release forgets what speaks against a content, here and at the other nodes, and reports
-// whether anything did.
+// Release clears the crashes recorded for a content, and reports whether there were any.
+// Other nodes clear them too when they receive the update.
 func (b *Book) Release(content Content, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +59,7 @@
 		return false
 	}
 	for len(r.crashes) > 0 {
-		r = r.answered(r.crashes[0].Caller)
+		r = r.afterAnswer(r.crashes[0].Caller)
 	}
 	b.publish(b.put(maps.Clone(held.records), content, r), now)
 	return true
--- a/lib/bfquarantine/record.go
+++ b/lib/bfquarantine/record.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// Mark says that a target ended while it ran a request of a caller.
-type Mark struct {
+// CrashMark records that a target crashed while it ran a request of a caller.
+type CrashMark struct {
 	Crash  Crash  `cbor:"1,keyasint"`
 	Caller Caller `cbor:"2,keyasint"`
 }
 
-func compareMarks(a, b Mark) int {
+func compareMarks(a, b CrashMark) int {
 	return cmp.Or(cmp.Compare(a.Caller, b.Caller), cmp.Compare(a.Crash, b.Crash))
 }
 
 const (
-	// mostMarks bounds the marks of one content, mostOfCaller those of one caller among them.
-	mostMarks    = 32
-	mostOfCaller = 8
+	// maxMarks bounds the marks of one content, maxMarksPerCaller those of one caller in it.
+	maxMarks          = 32
+	maxMarksPerCaller = 8
 )
 
-// Record is what nodes tell each other of one content.
+// Record is the state of one content as nodes exchange it.
 type Record struct {
-	Content []byte `cbor:"1,keyasint"`
-	Crashes []Mark `cbor:"2,keyasint,omitempty"`
-	// Cleared are the marks that count no more, since the request was answered after them.
-	// One of crash 0 says that the caller's request was answered.
-	Cleared []Mark `cbor:"3,keyasint,omitempty"`
-	// AgeMilli is how long ago the last end was, in milliseconds. Clocks of two nodes may
-	// differ, and jump.
+	Content []byte      `cbor:"1,keyasint"`
+	Crashes []CrashMark `cbor:"2,keyasint,omitempty"`
+	// Cleared holds the marks that no longer count, since the request was answered after
+	// them. A mark with crash 0 means that the caller's request was answered.
+	Cleared []CrashMark `cbor:"3,keyasint,omitempty"`
+	// AgeMilli is the time since the last crash in milliseconds. It is an age and not a
+	// time of day, since the clocks of two nodes may differ.
 	AgeMilli int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// record is what a node holds of one content; it never changes once made.
+// record is a node's state of one content. It is immutable.
 type record struct {
-	crashes, cleared []Mark
+	crashes, cleared []CrashMark
 	last             time.Time
-	// most is the largest count of any caller, digest identifies the marks.
+	// most is the largest count of any caller, digest a hash of the marks.
 	most   int
 	digest uint64
 }
 
-// count is how many ends of targets speak against a caller's request.
+// count returns the number of crashes that count against a caller's request.
 //
-// A request that ended targets for several callers is held against all, since it may come
-// in any caller's name; but for one caller alone it may be the caller that makes it so.
+// Crashes under the requests of several callers count against all callers, since the
+// request seems to crash targets for anyone. Crashes under one caller only may depend on
+// that caller, and count against it alone.
 func (r record) count(caller Caller) int {
 	if r.spansCallers() && len(r.cleared) == 0 {
-		return r.ends()
+		return r.distinctCrashes()
 	}
 	own := 0
 	for _, mark := range r.crashes {
@@ -63,12 +64,12 @@
 }
 
 func (r record) spansCallers() bool {
-	// They are ordered by caller.
+	// The marks are sorted by caller.
 	return len(r.crashes) > 0 && r.crashes[0].Caller != r.crashes[len(r.crashes)-1].Caller
 }
 
-// ends is how many targets ended, whoever's request they ran.
-func (r record) ends() int {
+// distinctCrashes returns the number of targets that crashed, over all callers.
+func (r record) distinctCrashes() int {
 	distinct := make(map[Crash]bool, len(r.crashes))
 	for _, mark := range r.crashes {
 		distinct[mark.Crash] = true
@@ -76,15 +77,15 @@
 	return len(distinct)
 }
 
-// expires is when nothing that the record says matters any more.
-func (r record) expires() time.Time {
-	return r.last.Add(longestStretch*hold(r.most) + retention)
+// expiresAt returns the time from which the record has no effect.
+func (r record) expiresAt() time.Time {
+	return r.last.Add(maxStretch*holdTime(r.most) + retention)
 }
 
-// with is the record with marks that others bring.
-func (r record) with(crashes, cleared []Mark, last time.Time) record {
+// merged returns the record merged more marks.
+func (r record) merged(crashes, cleared []CrashMark, last time.Time) record {
 	next := record{cleared: union(r.cleared, cleared), last: r.last}
-	next.crashes = slices.DeleteFunc(union(r.crashes, crashes), func(m Mark) bool {
+	next.crashes = slices.DeleteFunc(union(r.crashes, crashes), func(m CrashMark) bool {
 		_, found := slices.BinarySearchFunc(next.cleared, m, compareMarks)
 		return found
 	})
@@ -98,19 +99,20 @@
 	return next
 }
 
-// answered is the record after a caller's request was answered.
-func (r record) answered(caller Caller) record {
-	cleared := []Mark{{Caller: caller}}
+// afterAnswer returns the record after a caller's request was afterAnswer.
+func (r record) afterAnswer(caller Caller) record {
+	cleared := []CrashMark{{Caller: caller}}
 	for _, mark := range r.crashes {
 		if mark.Caller == caller {
 			cleared = append(cleared, mark)
 		}
 	}
-	return r.with(nil, cleared, r.last)
+	return r.merged(nil, cleared, r.last)
 }
 
-// union merges two lists of marks within their bounds. All nodes keep the same ones.
-func union(a, b []Mark) []Mark {
+// union returns the union of two lists of marks, cut to the bounds. The order of the marks
+// determines which are kept, so that all nodes keep the same ones.
+func union(a, b []CrashMark) []CrashMark {
 	all := slices.Concat(a, b)
 	slices.SortFunc(all, compareMarks)
 	all = slices.Compact(all)
@@ -120,23 +122,23 @@
 			run = 0
 		}
 		run++
-		if run <= mostOfCaller && len(kept) < mostMarks {
+		if run <= maxMarksPerCaller && len(kept) < maxMarks {
 			kept = append(kept, mark)
 		}
 	}
 	return kept
 }
 
-// same reports whether two records hold the same marks.
-func (r record) same(o record) bool {
+// sameMarks reports whether two records have the sameMarks marks.
+func (r record) sameMarks(o record) bool {
 	return slices.Equal(r.crashes, o.crashes) && slices.Equal(r.cleared, o.cleared)
 }
 
-// digest identifies the marks of a record.
-func digest(crashes, cleared []Mark) uint64 {
+// digest returns a hash of the marks of a record.
+func digest(crashes, cleared []CrashMark) uint64 {
 	h := fnv.New64a()
 	var buffer []byte
-	for _, marks := range [][]Mark{crashes, cleared} {
+	for _, marks := range [][]CrashMark{crashes, cleared} {
 		buffer = binary.BigEndian.AppendUint64(buffer[:0], uint64(len(marks)))
 		for _, mark := range marks {
 			buffer = binary.BigEndian.AppendUint64(buffer, uint64(mark.Crash))
@@ -147,8 +149,8 @@
 	return h.Sum64()
 }
 
-// told is the record as it is told to others.
-func (r record) told(content Content, now time.Time) Record {
+// export returns the record in the form that is sent to other nodes.
+func (r record) export(content Content, now time.Time) Record {
 	return Record{
 		Content: content[:], Crashes: r.crashes, Cleared: r.cleared,
 		AgeMilli: max(now.Sub(r.last).Milliseconds(), 0),
--- a/lib/bfquarantine/verdict.go
+++ b/lib/bfquarantine/verdict.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Verdict is the sealed set of what may be done with a request: Free, Apart and Held.
+// Verdict is how a request may run. It is a sealed interface, implemented by Free, Apart
+// and Held.
 type Verdict interface{ verdict() }
 
-// Free requests run as any other.
+// Free requests run without restrictions.
 type Free struct{}
 
-// Apart requests run with no other such request at one target, so that its end, if it
-// comes, speaks against one of them only.
+// Apart requests don't run concurrently with another Apart request at the same target, so
+// that a crash can be attributed to one of them.
 type Apart struct{}
 
-// Held requests are not run.
+// Held requests don't run.
 type Held struct{ until time.Time }
 
-// Until is when the request may be tried again.
+// Until returns when the request may run again.
 func (h Held) Until() time.Time { return h.until }
 
 func (Free) verdict()  {}
@@ -23,35 +24,36 @@
 func (Held) verdict()  {}
 
 const (
-	// crashLimit is how many targets end under a request before it is held.
+	// crashLimit is the number of crashes after which a request is held.
 	crashLimit = 3
-	// firstHold is how long it is held then; each further end doubles it up to longestHold.
-	firstHold   = 5 * time.Minute
-	longestHold = time.Hour
-	// retention is how long what speaks against a request is kept beyond that.
+	// minHold is how long it is held then; each further crash doubles it up to maxHold.
+	minHold = 5 * time.Minute
+	maxHold = time.Hour
+	// retention is how long a record is kept after its longest hold.
 	retention = 10 * time.Minute
-	// longestStretch is how much longer than others a node may hold a request.
-	longestStretch = 2
+	// maxStretch bounds the factor by which nodes lengthen a hold (see View.Judge).
+	maxStretch = 2
 )
 
-// hold is how long a request is held after the last of so many ends of targets.
-func hold(crashes int) time.Duration {
+// holdTime returns how long a request is held after the last of a number of crashes.
+func holdTime(crashes int) time.Duration {
 	if crashes < crashLimit {
 		return 0
 	}
-	length := firstHold
+	length := minHold
 	for range crashes - crashLimit {
-		length = min(2*length, longestHold)
+		length = min(2*length, maxHold)
 	}
 	return length
 }
 
-// judge is the verdict on a request under which so many targets ended.
+// judge returns the verdict on a request with a number of crashes, where stretch
+// multiplies the time that it is held.
 func judge(crashes int, last, now time.Time, stretch float64) Verdict {
 	if crashes < crashLimit-1 {
 		return Free{}
 	}
-	until := last.Add(time.Duration(stretch * float64(hold(crashes))))
+	until := last.Add(time.Duration(stretch * float64(holdTime(crashes))))
 	if crashes >= crashLimit && now.Before(until) {
 		return Held{until}
 	}
--- a/lib/bfquarantine/view.go
+++ b/lib/bfquarantine/view.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// View is what a Book holds at one moment; it never changes once made.
+// View is an immutable snapshot of a Book.
 type View struct {
 	self    uint64
 	records map[Content]record
 	digest  uint64
-	// watches says that there is a record with one end less than crashLimit, held is the
-	// digest of those with as many, 0 where there is none.
+	// watches is set if there is a record with at least crashLimit-1 crashes. held is the
+	// digest of the records with at least crashLimit, 0 if there is none.
 	watches bool
 	held    uint64
 }
@@ -30,26 +30,28 @@
 	return v
 }
 
-// Watches reports whether any request is not Free. Where none is, no key has to be made.
+// Watches reports whether any request is not Free. If it returns false, callers needn't
+// compute keys.
 func (v *View) Watches() bool { return v.watches }
 
 // Holds reports whether any request may be Held.
 func (v *View) Holds() bool { return v.held != 0 }
 
-// HeldDigest identifies the requests that may be Held, 0 where there is none.
+// HeldDigest returns a digest of the requests that may be Held, 0 if there is none.
 func (v *View) HeldDigest() uint64 { return v.held }
 
-// Digest identifies what is held, 0 where nothing is. Nodes with the same one know the same.
+// Digest returns a digest of all records, 0 if there are none. Nodes with equal digests
+// have the same records.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Len is how many contents are known.
+// Len returns the number of contents with a record.
 func (v *View) Len() int { return len(v.records) }
 
-// Judge is the verdict at the node beside a target.
+// Judge returns the verdict at a target's node.
 //
-// Nodes hold a request for different lengths. Where all tried it again at the same moment,
-// and callers waited for it, all targets of a service would end at once; so one of them
-// tries first, and the others hear what came of it.
+// Nodes hold a request for different times, since all targets of a service could crash at
+// once if all nodes tried it again at the same moment. This way one node tries it first
+// and the others receive the result.
 func (v *View) Judge(key Key, now time.Time) Verdict {
 	r, found := v.records[key.Content]
 	if !found {
@@ -63,7 +65,8 @@
 	return free
 }
 
-// Refuse reports whether no node runs the request, and until when: the entry need not ask any.
+// Refuse reports whether every node holds the request, and until when, so that an entry can
+// refuse it without sending it.
 func (v *View) Refuse(key Key, now time.Time) (held Held, refused bool) {
 	r, found := v.records[key.Content]
 	if !found {
@@ -73,12 +76,12 @@
 	return held, refused
 }
 
-// stretch is how many times as long as the entries this node holds a request.
+// stretch returns the factor by which this node holds a request for longer than Refuse does.
 func (v *View) stretch(content Content) float64 {
-	return 1 + (longestStretch-1)*float64(mix(binary.BigEndian.Uint64(content[:])^v.self))/math.MaxUint64
+	return 1 + (maxStretch-1)*float64(mix(binary.BigEndian.Uint64(content[:])^v.self))/math.MaxUint64
 }
 
-// mix spreads the bits of a number over all of it, by the finalizer of MurmurHash3.
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
