--- a/lib/bfflight/crash.go
+++ b/lib/bfflight/crash.go
@@ -11,55 +11,54 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// Crash is the end of a target that had not said that it leaves.
+// Crash describes the end of a target that had not announced it.
 type Crash struct {
 	Target Target
-	// Runs are the requests that it worked on, those that began last first, without those
-	// that were answered here lately; Answered is how many these are.
+	// Runs are the requests in flight at the crash, the latest first, without those that
+	// were answered here recently. Answered is the number of the latter.
 	Runs     []Run
 	Answered int
-	// Blamed are those of them that the end speaks against.
+	// Blamed are the requests that the crash counts against.
 	Blamed []bfquarantine.Key
 }
 
-// Run is one request that a target worked on when it ended.
+// Run is one request that was in flight when a target crashed.
 type Run struct {
 	ID  string
 	Key bfquarantine.Key
-	// Ran is how long the target had worked on it.
+	// Ran is how long the request had been in flight.
 	Ran time.Duration
 }
 
 const (
-	// mostRuns bounds the requests that one crash speaks against.
-	mostRuns = 64
-	// probeTimeout bounds the connection that shows whether the target is there still: it
-	// is on the same machine.
+	// maxRuns bounds the requests that one crash can count against.
+	maxRuns = 64
+	// probeTimeout bounds the connection attempt that shows whether the target is still
+	// there. It is short since the target is on the same machine.
 	probeTimeout = 100 * time.Millisecond
 )
 
-// Lost finds out, after a request that brought no answer, whether the target has ended.
+// Lost checks whether the target has crashed, after a request that got no answer.
 //
-// All that it ran is lost at one moment, and one of them finds out for all. Until then
-// each counts as running, so Lost goes before End.
+// A crash loses all requests in flight at once, so concurrent calls share one check. Call
+// Lost before End, since only requests in flight are part of the Crash.
 func (f *Flight) Lost(ctx context.Context) {
 	if ctx.Err() != nil {
-		// Its caller left, or its time is over.
+		// The request was cancelled or timed out.
 		return
 	}
-	// What is done here never fails.
-	_, _, _ = f.register.probes.Do(f.target.Name(), func() (any, error) {
+	// The function never returns an error.
+	_, _, _ = f.register.checks.Do(f.target.Name(), func() (any, error) {
 		if f.register.hasCrashed(f.target) {
-			f.register.crash(f.target)
+			f.register.recordCrash(f.target)
 		}
 		return nil, nil
 	})
 }
 
-// hasCrashed reports whether a target has ended that had not said that it leaves, and
-// whose end was not noted yet.
+// hasCrashed reports whether a target has crashed and the crash was not recorded yet.
 func (r *Register) hasCrashed(target Target) bool {
-	if last := r.crashed.Load(); last != nil && *last == target.Name() {
+	if last := r.lastCrashed.Load(); last != nil && *last == target.Name() {
 		return false
 	}
 	switch target.Fate() {
@@ -74,17 +73,17 @@
 	return errors.Is(r.options.Dial(ctx, target.Address()), syscall.ECONNREFUSED)
 }
 
-// crash notes a target's end and what it ran.
-func (r *Register) crash(target Target) {
+// recordCrash records the recordCrash of a target against the requests in flight there.
+func (r *Register) recordCrash(target Target) {
 	name := target.Name()
-	r.crashed.Store(&name)
+	r.lastCrashed.Store(&name)
 	now := r.options.Now()
 	crash := Crash{Target: target}
 	r.flights.Range(func(flight, _ any) bool {
 		f := flight.(*Flight)
 		switch {
 		case f.target.Name() != name:
-		case r.answers.Has(r.sum(f.asked), now):
+		case r.answers.Has(r.requestHash(f.asked), now):
 			crash.Answered++
 		default:
 			crash.Runs = append(crash.Runs, Run{ID: f.id, Key: bfquarantine.KeyOf(f.asked), Ran: now.Sub(f.began)})
@@ -92,7 +91,7 @@
 		return true
 	})
 	slices.SortFunc(crash.Runs, func(a, b Run) int { return cmp.Compare(a.Ran, b.Ran) })
-	crash.Runs = crash.Runs[:min(len(crash.Runs), mostRuns)]
+	crash.Runs = crash.Runs[:min(len(crash.Runs), maxRuns)]
 	keys := make([]bfquarantine.Key, 0, len(crash.Runs))
 	for _, run := range crash.Runs {
 		keys = append(keys, run.Key)
--- a/lib/bfflight/doc.go
+++ b/lib/bfflight/doc.go
@@ -1,4 +1,4 @@
-// Package bfflight knows what the target beside a node works on. It finds out whether the
-// target has ended while it did, tells which requests that speaks against, and keeps those
-// from the target that the fleet holds (bfquarantine).
+// Package bfflight tracks the requests in flight at the target of a node. It detects
+// crashes of the target, records which requests ran at each crash, and blocks the requests
+// that are quarantined in the fleet (bfquarantine).
 package bfflight
--- a/lib/bfflight/register.go
+++ b/lib/bfflight/register.go
@@ -13,77 +13,85 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// Target is one start of a target.
+// Target is one incarnation of a target.
 type Target interface {
-	// Name is one that no other start has.
+	// Name returns the unique name of the incarnation.
 	Name() string
+	// Address returns the address that the target listens at.
 	Address() string
-	// Fate is what was heard of it since.
+	// Fate returns the last known state of the incarnation.
 	Fate() Fate
 }
 
-// Fate is what was heard of a target.
+// Fate is the last known state of a target's incarnation.
 type Fate int
 
-// The fates of a target.
+// The states of a target's incarnation.
 const (
-	// Present targets have said nothing of an end.
+	// Present means that the incarnation has not announced its end.
 	Present Fate = iota
-	// Left targets have said that they leave.
+	// Left means that the incarnation has announced its end.
 	Left
-	// Succeeded targets have said nothing, and another start has taken their place.
+	// Succeeded means that another incarnation has replaced it without such an
+	// announcement.
 	Succeeded
 )
 
-// Options of a Register.
+// Options configures a Register.
 type Options struct {
+	// Book records the crashes of targets.
 	Book *bfquarantine.Book
-	Now  func() time.Time
-	// Dial opens a connection to a target's address, and may keep it for the next request.
+	// Now returns the current time.
+	Now func() time.Time
+	// Dial opens a connection to a target's address. It may keep the connection for reuse.
 	Dial func(ctx context.Context, address string) error
-	// Crashed is called after the end of a target that had not said that it leaves.
+	// Crashed is called after each crash of a target. It may be nil.
 	Crashed func(Crash)
 }
 
-// Register holds the requests that one node's targets work on.
+// Register tracks the requests in flight at the targets of one node. It is safe for
+// concurrent use.
 type Register struct {
 	options Options
 	// flights holds every *Flight that has not ended.
 	flights sync.Map
-	// answers are those of the targets beside the node, known by sums under seed.
+	// answers remembers the recent answers of the node's targets, by hashes with seed.
 	answers bfquarantine.Answers
 	seed    maphash.Seed
-	// apart says that the target works on a request that has to run apart from others.
-	apart atomic.Bool
-	// probes has one of those who lost a request at a target find out for all whether it
-	// has ended; crashed is the name of the one that did so last.
-	probes  singleflight.Group
-	crashed atomic.Pointer[string]
+	// suspectInFlight is set while a request with an Apart verdict is in flight.
+	suspectInFlight atomic.Bool
+	// checks merges concurrent checks for a crash of the same target. lastCrashed is the name
+	// of the last target that crashed.
+	checks      singleflight.Group
+	lastCrashed atomic.Pointer[string]
 }
 
-// New makes the register of a node.
+// New returns a register without requests.
 func New(options Options) *Register {
 	return &Register{options: options, seed: maphash.MakeSeed()}
 }
 
-// HeldError reports a request that the fleet holds; it has not run.
+// HeldError reports a request that did not run because it is quarantined.
 type HeldError struct {
-	// For is how much longer it is held.
+	// For is the remaining time of the quarantine.
 	For time.Duration
 }
 
-// Error says for how long.
+// Error returns the message with the remaining time.
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("targets ended under the request, it is held for %v", e.For)
+	return fmt.Sprintf("request quarantined for %v: targets crashed while running it", e.For)
 }
 
-// BusyError reports a request that has to run apart from another one that runs now.
+// BusyError reports a request that did not run because it is suspected of crashing targets
+// and may not run concurrently with the suspected request in flight.
 type BusyError struct{}
 
-// Error says what it waits for.
-func (*BusyError) Error() string { return "targets ended under the request and under one that runs" }
+// Error returns the message.
+func (*BusyError) Error() string {
+	return "another request suspected of crashing targets is in flight"
+}
 
-// Flight is one request that the target works on; End must be called.
+// Flight is one request in flight; End must be called.
 type Flight struct {
 	register *Register
 	target   Target
@@ -93,7 +101,7 @@
 	apart    bool
 }
 
-// Check gives a HeldError for a request that the fleet holds.
+// Check returns a HeldError if the request is quarantined.
 func (r *Register) Check(asked bfquarantine.Request) error {
 	_, err := r.judge(asked)
 	return err
@@ -112,7 +120,7 @@
 	return verdict, nil
 }
 
-// Begin takes a request that is to be handed to a target; its errors are HeldError and
+// Begin adds a request that is about to be sent to a target. Its errors are HeldError and
 // BusyError.
 func (r *Register) Begin(target Target, id string, asked bfquarantine.Request) (*Flight, error) {
 	verdict, err := r.judge(asked)
@@ -120,7 +128,7 @@
 		return nil, err
 	}
 	_, apart := verdict.(bfquarantine.Apart)
-	if apart && !r.apart.CompareAndSwap(false, true) {
+	if apart && !r.suspectInFlight.CompareAndSwap(false, true) {
 		return nil, &BusyError{}
 	}
 	f := &Flight{register: r, target: target, id: id, asked: asked, began: r.options.Now(), apart: apart}
@@ -128,32 +136,32 @@
 	return f, nil
 }
 
-// Began is when the request was taken.
+// Began returns the time of Begin.
 func (f *Flight) Began() time.Time { return f.began }
 
-// End says that the target works on the request no more.
+// End removes the request; further calls do nothing.
 func (f *Flight) End() {
 	if _, open := f.register.flights.LoadAndDelete(f); open && f.apart {
-		f.register.apart.Store(false)
+		f.register.suspectInFlight.Store(false)
 	}
 }
 
-// Answered takes the target's answer as a proof that the request does not end targets.
+// Answered records that the target answered, which shows that the request doesn't crash it.
 func (f *Flight) Answered() {
 	r, now := f.register, f.register.options.Now()
-	r.answers.Add(r.sum(f.asked), now)
+	r.answers.Add(r.requestHash(f.asked), now)
 	if r.options.Book.View().Watches() {
 		r.options.Book.Answered(bfquarantine.KeyOf(f.asked), now)
 	}
 }
 
-// sum identifies a request within the node: it is made for each answer, and costs a
-// fraction of a bfquarantine.Key.
-func (r *Register) sum(asked bfquarantine.Request) uint64 {
+// requestHash returns a hash of the request that is valid within this process. It is computed for
+// each answer, and is much cheaper than a bfquarantine.Key.
+func (r *Register) requestHash(asked bfquarantine.Request) uint64 {
 	var h maphash.Hash
 	h.SetSeed(r.seed)
 	for _, part := range []string{asked.Method, asked.Host, asked.Target, asked.Caller} {
-		// A hash never fails to take bytes.
+		// A hash never returns an error.
 		_, _ = h.WriteString(part)
 		_ = h.WriteByte(0)
 	}
--- a/lib/bfflight/register_test.go
+++ b/lib/bfflight/register_test.go
@@ -12,7 +12,7 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// target is one that ends when it is told to.
+// target is a fake target that refuses connections once ended is set.
 type target struct {
 	name  string
 	ended bool
@@ -23,8 +23,8 @@
 func (t *target) Address() string { return t.name }
 func (t *target) Fate() Fate      { return t.fate }
 
-// rig is a register beside some targets.
-type rig struct {
+// fixture is a register with fake targets.
+type fixture struct {
 	*is.I
 	register *Register
 	book     *bfquarantine.Book
@@ -33,14 +33,14 @@
 	dials    int
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	r := &rig{I: is.New(t), book: bfquarantine.New("n"), targets: map[string]*target{}}
+	r := &fixture{I: is.New(t), book: bfquarantine.New("n"), targets: map[string]*target{}}
 	r.register = New(Options{Book: r.book, Now: time.Now, Dial: r.dial, Crashed: func(c Crash) { r.crashes = append(r.crashes, c) }})
 	return r
 }
 
-func (r *rig) dial(_ context.Context, address string) error {
+func (r *fixture) dial(_ context.Context, address string) error {
 	r.dials++
 	if r.targets[address].ended {
 		return syscall.ECONNREFUSED
@@ -48,20 +48,20 @@
 	return nil
 }
 
-func (r *rig) target(name string) *target {
+func (r *fixture) target(name string) *target {
 	if r.targets[name] == nil {
 		r.targets[name] = &target{name: name}
 	}
 	return r.targets[name]
 }
 
-func (r *rig) begin(at *target, path string) *Flight {
+func (r *fixture) begin(at *target, path string) *Flight {
 	f, err := r.register.Begin(at, path, bfquarantine.Request{Target: path})
 	r.NoErr(err)
 	return f
 }
 
-func (r *rig) end(at *target, flights ...*Flight) {
+func (r *fixture) end(at *target, flights ...*Flight) {
 	at.ended = true
 	for _, f := range flights {
 		f.Lost(context.Background())
@@ -71,9 +71,9 @@
 	}
 }
 
-// Guards against a request that many make being blamed for ends of targets at one moment.
-func TestRequestThatWasAnsweredLatelyIsNotBlamed(t *testing.T) {
-	r := newRig(t)
+// Guards against blaming a frequent request for several crashes at one moment.
+func TestRecentlyAnsweredRequestIsNotBlamed(t *testing.T) {
+	r := newFixture(t)
 	f := r.begin(r.target("t"), "/popular")
 	f.Answered()
 	f.End()
@@ -87,9 +87,9 @@
 	r.Equal(len(r.crashes[0].Blamed), 1)
 }
 
-// Guards against the end of a target being told once for each request that it ran.
-func TestOneEndIsNotedOnce(t *testing.T) {
-	r := newRig(t)
+// Guards against recording one crash once for each request in flight.
+func TestCrashIsRecordedOnce(t *testing.T) {
+	r := newFixture(t)
 	a, b := r.target("a"), r.target("b")
 	elsewhere := r.begin(b, "/elsewhere")
 	r.end(a, r.begin(a, "/1"), r.begin(a, "/2"))
@@ -97,12 +97,12 @@
 	r.Equal(len(r.crashes[0].Runs), 2)
 	r.Equal(r.dials, 1)
 	elsewhere.Lost(context.Background())
-	r.Equal(len(r.crashes), 1) // b is there
+	r.Equal(len(r.crashes), 1) // b still accepts connections
 }
 
-// Guards against planned ends, and callers that left, being taken for ends of targets.
-func TestWhatIsNoCrash(t *testing.T) {
-	r := newRig(t)
+// Guards against mistaking planned stops and cancelled requests for crashes.
+func TestPlannedStopsAreNoCrashes(t *testing.T) {
+	r := newFixture(t)
 	leaving := r.target("leaving")
 	leaving.fate = Left
 	r.end(leaving, r.begin(leaving, "/1"))
@@ -117,10 +117,10 @@
 	succeeded.fate = Succeeded
 	r.begin(succeeded, "/3").Lost(context.Background())
 	r.Equal(len(r.crashes), 1)
-	r.Equal(r.dials, 0) // the next start has its address
+	r.Equal(r.dials, 0) // the next incarnation has the same address
 }
 
-func BenchmarkRequestWhileNothingIsKnown(b *testing.B) {
+func BenchmarkRequestWithEmptyBook(b *testing.B) {
 	register := New(Options{Book: bfquarantine.New("n"), Now: time.Now})
 	at := &target{name: "t"}
 	asked := bfquarantine.Request{Method: "POST", Host: "h.example", Target: "/approve/1", Caller: "portal", Body: make([]byte, 4000)}
--- a/lib/bfflight/report.go
+++ b/lib/bfflight/report.go
@@ -8,11 +8,11 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// loggedRuns bounds the requests that a line names.
+// loggedRuns bounds the requests listed in one log line.
 const loggedRuns = 16
 
-// Report logs a crash with what the target ran, and what came of it for the requests that
-// it speaks against.
+// Report logs a crash with the requests in flight, and each blamed request that is now
+// quarantined or suspected.
 func Report(logger *bflog.Logger, crash Crash, view *bfquarantine.View, now time.Time) {
 	runs := make([]string, 0, loggedRuns)
 	for _, run := range crash.Runs[:min(len(crash.Runs), loggedRuns)] {
