--- a/lib/bfshare/doc.go
+++ b/lib/bfshare/doc.go
@@ -1,3 +1,3 @@
-// Package bfshare holds the share of recent events that were of one kind: requests
-// that a target failed, questions that were taken.
+// Package bfshare estimates the share of recent events that had one result, such as the
+// failure rate of a target or the acceptance rate of a service.
 package bfshare
--- a/lib/bfshare/share.go
+++ b/lib/bfshare/share.go
@@ -2,32 +2,34 @@
 
 import "sync/atomic"
 
-// Share is the part of the events of late that were noted as true; its zero value is 0.
+// Share is an exponential moving average of the share of events noted as true. Its zero
+// value is 0.
 //
-// All methods may be called by many goroutines at once.
+// It is safe for concurrent use.
 type Share struct{ value atomic.Uint32 }
 
 const (
-	// weight is how much one event counts: about the last 16 decide, which is less than
-	// a second of a busy target, and about a second of an entry of a large fleet.
-	weight = 16
-	whole  = 1 << 16
+	// window is the number of events over which the average is taken: less than a second
+	// of a busy target, and about a second of an entry of a large fleet.
+	window = 16
+	// one is a share of 1 in fixed-point representation.
+	one = 1 << 16
 )
 
-// Full makes a share that begins at 1.
+// Full returns a share that starts at 1.
 func Full() *Share {
 	s := &Share{}
-	s.value.Store(whole)
+	s.value.Store(one)
 	return s
 }
 
 // Note counts one event.
-func (s *Share) Note(is bool) {
+func (s *Share) Note(result bool) {
 	for {
 		before := s.value.Load()
-		after := before - before/weight
-		if is {
-			after += whole / weight
+		after := before - before/window
+		if result {
+			after += one / window
 		}
 		if s.value.CompareAndSwap(before, after) {
 			return
@@ -35,5 +37,5 @@
 	}
 }
 
-// Value is the share, from 0 to 1.
-func (s *Share) Value() float64 { return min(float64(s.value.Load())/whole, 1) }
+// Value returns the share, from 0 to 1.
+func (s *Share) Value() float64 { return min(float64(s.value.Load())/one, 1) }
--- a/lib/bfshare/share_test.go
+++ b/lib/bfshare/share_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// A share follows what happens within a few dozen events, in both directions, and
-// stays between nothing and all.
+// Guards against a share that doesn't follow the events within a few dozen of them, or that
+// leaves the range from 0 to 1.
 func TestShareFollows(t *testing.T) {
 	is := is.New(t)
 	var s Share
