--- a/lib/bffleet/standing.go
+++ b/lib/bffleet/standing.go
@@ -54,8 +54,8 @@
 	for _, t := range f.view.Load().members {
 		s := Standing{Member: t.member, InFlight: int(t.inFlight.Load()), Lost: t.probing.Load()}
 		s.Aside = !s.Lost && t.isSuspended(now)
-		if told := t.lastLoad.Load(); told != nil {
-			s.Used, s.Slots, s.Age = told.used, told.slots, now.Sub(told.when)
+		if report := t.lastLoad.Load(); report != nil {
+			s.Used, s.Slots, s.Age = report.used, report.slots, now.Sub(report.when)
 		}
 		list = append(list, s)
 	}
--- a/lib/bffleet/target.go
+++ b/lib/bffleet/target.go
@@ -59,11 +59,11 @@
 // linkWait returns the expected time that a long answer waits for the node's link: the
 // last report less the time since.
 func (t *Target) linkWait(now time.Time) time.Duration {
-	told := t.backlog.Load()
-	if told == nil {
+	report := t.backlog.Load()
+	if report == nil {
 		return 0
 	}
-	return max(told.length-now.Sub(told.when), 0)
+	return max(report.length-now.Sub(report.when), 0)
 }
 
 // healthReport is the share of requests that a target fails, as reported by its node.
@@ -160,11 +160,11 @@
 	// The wall clock may have been set back.
 	age := max(now.UnixNano()-t.countedAt.Load(), 0)
 	seen := t.failing.Value() * math.Exp(-float64(age)/float64(failureDecay))
-	told := t.health.Load()
-	if told == nil {
+	report := t.health.Load()
+	if report == nil {
 		return seen
 	}
-	return max(seen, told.failing*math.Exp(-float64(now.Sub(told.when))/float64(failureDecay)))
+	return max(seen, report.failing*math.Exp(-float64(now.Sub(report.when))/float64(failureDecay)))
 }
 
 // ToldTrack records the target's health as reported by its node: the share of requests
@@ -197,10 +197,10 @@
 	own := float64(t.inFlight.Load())
 	slots := float64(max(t.member.Slots, 1))
 	used := own
-	if told := t.lastLoad.Load(); told != nil {
-		slots = float64(max(told.slots, 1))
-		others := float64(told.used - told.own)
-		used = max(own+others*math.Exp(-float64(now.Sub(told.when))/float64(loadDecay)), 0)
+	if report := t.lastLoad.Load(); report != nil {
+		slots = float64(max(report.slots, 1))
+		others := float64(report.used - report.own)
+		used = max(own+others*math.Exp(-float64(now.Sub(report.when))/float64(loadDecay)), 0)
 	}
 	return (used + 1) / slots
 }
--- a/lib/bfflight/crash.go
+++ b/lib/bfflight/crash.go
@@ -83,10 +83,10 @@
 		f := flight.(*Flight)
 		switch {
 		case f.target.Name() != name:
-		case r.answers.Has(r.requestHash(f.asked), now):
+		case r.answers.Has(r.requestHash(f.request), now):
 			crash.Answered++
 		default:
-			crash.Runs = append(crash.Runs, Run{ID: f.id, Key: bfquarantine.KeyOf(f.asked), Ran: now.Sub(f.began)})
+			crash.Runs = append(crash.Runs, Run{ID: f.id, Key: bfquarantine.KeyOf(f.request), Ran: now.Sub(f.began)})
 		}
 		return true
 	})
--- a/lib/bfflight/register.go
+++ b/lib/bfflight/register.go
@@ -96,24 +96,24 @@
 	register *Register
 	target   Target
 	id       string
-	asked    bfquarantine.Request
+	request  bfquarantine.Request
 	began    time.Time
 	apart    bool
 }
 
 // Check returns a HeldError if the request is quarantined.
-func (r *Register) Check(asked bfquarantine.Request) error {
-	_, err := r.judge(asked)
+func (r *Register) Check(request bfquarantine.Request) error {
+	_, err := r.judge(request)
 	return err
 }
 
-func (r *Register) judge(asked bfquarantine.Request) (bfquarantine.Verdict, error) {
+func (r *Register) judge(request bfquarantine.Request) (bfquarantine.Verdict, error) {
 	view := r.options.Book.View()
 	if !view.Watches() {
 		return bfquarantine.Free{}, nil
 	}
 	now := r.options.Now()
-	verdict := view.Judge(bfquarantine.KeyOf(asked), now)
+	verdict := view.Judge(bfquarantine.KeyOf(request), now)
 	if held, is := verdict.(bfquarantine.Held); is {
 		return verdict, &HeldError{For: held.Until().Sub(now)}
 	}
@@ -122,8 +122,8 @@
 
 // Begin adds a request that is about to be sent to a target. Its errors are HeldError and
 // BusyError.
-func (r *Register) Begin(target Target, id string, asked bfquarantine.Request) (*Flight, error) {
-	verdict, err := r.judge(asked)
+func (r *Register) Begin(target Target, id string, request bfquarantine.Request) (*Flight, error) {
+	verdict, err := r.judge(request)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	if apart && !r.suspectInFlight.CompareAndSwap(false, true) {
 		return nil, &BusyError{}
 	}
-	f := &Flight{register: r, target: target, id: id, asked: asked, began: r.options.Now(), apart: apart}
+	f := &Flight{register: r, target: target, id: id, request: request, began: r.options.Now(), apart: apart}
 	r.flights.Store(f, struct{}{})
 	return f, nil
 }
@@ -149,22 +149,22 @@
 // Answered records that the target answered, which shows that the request doesn't crash it.
 func (f *Flight) Answered() {
 	r, now := f.register, f.register.options.Now()
-	r.answers.Add(r.requestHash(f.asked), now)
+	r.answers.Add(r.requestHash(f.request), now)
 	if r.options.Book.View().Watches() {
-		r.options.Book.Answered(bfquarantine.KeyOf(f.asked), now)
+		r.options.Book.Answered(bfquarantine.KeyOf(f.request), now)
 	}
 }
 
 // requestHash returns a hash of the request that is valid within this process. It is computed for
 // each answer, and is much cheaper than a bfquarantine.Key.
-func (r *Register) requestHash(asked bfquarantine.Request) uint64 {
+func (r *Register) requestHash(request bfquarantine.Request) uint64 {
 	var h maphash.Hash
 	h.SetSeed(r.seed)
-	for _, part := range []string{asked.Method, asked.Host, asked.Target, asked.Caller} {
+	for _, part := range []string{request.Method, request.Host, request.Target, request.Caller} {
 		// A hash never returns an error.
 		_, _ = h.WriteString(part)
 		_ = h.WriteByte(0)
 	}
-	_, _ = h.Write(asked.Body)
+	_, _ = h.Write(request.Body)
 	return h.Sum64()
 }
