--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// TakeSpec takes a configuration if it is newer and holds together.
-func (s *state) TakeSpec(spec bftraffic.Spec) { s.takeSpec(spec) }
+// ApplySpec takes a configuration if it is newer and holds together.
+func (s *state) ApplySpec(spec bftraffic.Spec) { s.takeSpec(spec) }
 
-// takeSpec is TakeSpec; it reports whether the configuration, or a newer one, is in force.
+// takeSpec is ApplySpec; it reports whether the configuration, or a newer one, is in force.
 func (s *state) takeSpec(spec bftraffic.Spec) bool {
 	if spec.Version <= s.traffic.Version() {
 		return true
@@ -90,9 +90,9 @@
 	return true
 }
 
-// TakeDelta takes what another node's newer configuration changes, if it fits; one
+// ApplyDelta takes what another node's newer configuration changes, if it fits; one
 // that does not is made good by asking for the whole.
-func (s *state) TakeDelta(delta bftraffic.Delta) {
+func (s *state) ApplyDelta(delta bftraffic.Delta) {
 	held := s.traffic.Current()
 	if held == nil || delta.Version <= held.Version() {
 		return
@@ -122,7 +122,7 @@
 	var members []bffleet.Member
 	var gone []string
 	own := bfstore.Entry{Key: s.self, Removed: true, Revision: batch.Revision}
-	ownTold := batch.Whole
+	ownTold := batch.Full
 	for _, entry := range batch.Entries {
 		if entry.Key == s.self {
 			own, ownTold = entry, true
@@ -148,7 +148,7 @@
 	if batch.Revision >= s.revision {
 		s.revision = batch.Revision
 		s.listed.mark()
-		if batch.Whole {
+		if batch.Full {
 			s.fleet.Replace(members)
 		} else {
 			s.fleet.Change(members, gone)
@@ -158,7 +158,7 @@
 	s.changed()
 	s.logger.Emit(bflog.FleetChanged, slog.Int("members", s.fleet.Size()), slog.Int("added", len(members)), slog.Int("removed", len(gone)))
 	if ownTold {
-		s.presence.Seen(own)
+		s.presence.Observe(own)
 	}
 }
 
@@ -187,14 +187,14 @@
 	return bfnews.Roster{Revision: s.revision, Members: s.fleet.Members()}
 }
 
-// TakeRoster takes another node's members if they are known as of a later revision.
-func (s *state) TakeRoster(roster bfnews.Roster) {
+// ApplyRoster takes another node's members if they are known as of a later revision.
+func (s *state) ApplyRoster(roster bfnews.Roster) {
 	s.brought(roster.Revision, func(held uint64) bool { return roster.Revision > held }, func() { s.fleet.Replace(roster.Members) })
 }
 
-// TakeMembers takes what changed among another node's members, if that fits.
-func (s *state) TakeMembers(delta bfnews.MembersDelta) {
-	s.brought(delta.Revision, delta.Fits, func() { s.fleet.Change(delta.Changed, delta.Gone) })
+// ApplyMembersDelta takes what changed among another node's members, if that fits.
+func (s *state) ApplyMembersDelta(delta bfnews.MembersDelta) {
+	s.brought(delta.Revision, delta.AppliesTo, func() { s.fleet.Change(delta.Changed, delta.Gone) })
 }
 
 // brought takes members that another node brought and that are known as of a revision, if
@@ -223,7 +223,7 @@
 func (s *state) seeOwn(revision uint64) {
 	own, found := s.fleet.Member(s.self)
 	if !found {
-		s.presence.Seen(bfstore.Entry{Key: s.self, Removed: true, Revision: revision})
+		s.presence.Observe(bfstore.Entry{Key: s.self, Removed: true, Revision: revision})
 		return
 	}
 	written := own.Revision
@@ -233,7 +233,7 @@
 		s.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 		return
 	}
-	s.presence.Seen(bfstore.Entry{Key: s.self, Value: value, Revision: written})
+	s.presence.Observe(bfstore.Entry{Key: s.self, Value: value, Revision: written})
 }
 
 // VersionAsOf is the store's revision as of which the version in force is the newest one.
@@ -247,8 +247,8 @@
 	return max(read, s.asOf)
 }
 
-// TakeAsOf takes another node's word that a version is the newest one as of a revision.
-func (s *state) TakeAsOf(version bftraffic.Version, revision uint64) {
+// ConfirmVersion takes another node's word that a version is the newest one as of a revision.
+func (s *state) ConfirmVersion(version bftraffic.Version, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.told || version == s.told && revision > s.asOf {
--- a/bfnode/internal/bfmesh/stop_test.go
+++ b/bfnode/internal/bfmesh/stop_test.go
@@ -24,21 +24,21 @@
 	n := newNode(common, Mesh{Grace: bfsettings.Duration(6 * time.Second), LinkMbps: 1000}, bflog.Discard())
 	n.group.Go("timer", n.timer.Run)
 	t.Cleanup(n.group.Cancel)
-	n.host.Heard(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", Address: "127.0.0.1:3", Slots: 9, State: bfhost.Ready})
+	n.host.HandleHeartbeat(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", Address: "127.0.0.1:3", Slots: 9, State: bfhost.Ready})
 	row, err := bffleet.Member{
 		Inbound: common.Inbound, Service: "portal", Domain: "nord", Slots: 9, LinkMbps: 1000, Instance: "portal-1",
 		Incarnation: "a", Address: "127.0.0.1:3",
 	}.Encode()
 	is.NoErr(err)
-	n.presence.Seen(bfstore.Entry{Key: common.Inbound, Value: row, Revision: 7})
-	is.True(n.presence.Settled())
+	n.presence.Observe(bfstore.Entry{Key: common.Inbound, Value: row, Revision: 7})
+	is.True(n.presence.InSync())
 
 	began := time.Now()
 	n.drain(context.Background())
 	is.True(time.Since(began) < 3*time.Second) // it did not wait for the store
 	is.True(n.host.Leaving())
-	is.True(n.presence.Settled()) // the row is as it should be
+	is.True(n.presence.InSync()) // the row is as it should be
 
-	n.host.Left(bfhost.Departure{Incarnation: "a"})
-	is.True(!n.presence.Settled()) // the row has to go
+	n.host.HandleDeparture(bfhost.Departure{Incarnation: "a"})
+	is.True(!n.presence.InSync()) // the row has to go
 }
--- a/lib/bfbackend/drain.go
+++ b/lib/bfbackend/drain.go
@@ -9,18 +9,18 @@
 	"bilberryflow.org/lib/bfquery"
 )
 
-// drainMethod asks a node to let its target leave.
+// drainMethod is the name of the call that drains a node's target.
 const drainMethod = "guard.drain"
 
-// drainTimeout bounds the question.
+// drainTimeout bounds the call.
 const drainTimeout = 2 * time.Second
 
 type drainRequest struct{}
 
 type drainReply struct{}
 
-// Methods are the calls that a node answers for other nodes' operators.
-func Methods(drain func()) bfpeer.Methods {
+// DrainMethods returns the call by which other nodes drain this node's target.
+func DrainMethods(drain func()) bfpeer.Methods {
 	return bfpeer.Methods{drainMethod: {
 		Purpose: bfpeer.Operators,
 		Handle: func(context.Context, json.RawMessage) (any, error) {
@@ -30,13 +30,13 @@
 	}}
 }
 
-// Drain makes the target beside an instance leave.
+// Drain makes the target of an instance leave.
 func (b *Backend) Drain(ctx context.Context, instance string) error {
-	member, found := b.parts.Directory.Member(instance)
+	member, found := b.config.Directory.Member(instance)
 	if !found {
 		return &bfquery.NoInstanceError{Instance: instance}
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	return b.parts.Calls.Call(ctx, member.Peer, drainMethod, &drainRequest{}, &drainReply{})
+	return b.config.Calls.Call(ctx, member.Peer, drainMethod, &drainRequest{}, &drainReply{})
 }
--- a/lib/bfspread/wire_test.go
+++ b/lib/bfspread/wire_test.go
@@ -14,16 +14,15 @@
 	"bilberryflow.org/lib/bfspan"
 )
 
-// A node of the last release and one of this release exchange every message. A
-// byte that moved would be refused or, worse, read as another field.
-func TestWireBytesAreThoseOfTheLastRelease(t *testing.T) {
+// Guards the wire format: nodes of the previous release must be able to decode every message.
+func TestWireFormatIsUnchanged(t *testing.T) {
 	is := is.New(t)
 	from, to := bfroster.Key{Region: "wien", Domain: "wien-nord", Hash: 5}, bfroster.Key{Region: "wien", Domain: "wien-sued"}
 	head := Head{Version: 42, Digest: 1 << 63}
 	deltas := [][]byte{{1, 2}, {3}}
 	tally := bfcount.Tally{
 		Versions: []bfcount.VersionCount{{Version: 41, Members: 2}, {Version: 42, Members: 3}},
-		Domains:  []bfcount.DomainCount{{Domain: "wien-nord", Members: 5, Oldest: 41}}, Lacks: []bfcount.Lack{{Domain: "wien-sued", Members: 1}},
+		Domains:  []bfcount.DomainCount{{Domain: "wien-nord", Members: 5, Oldest: 41}}, Lacks: []bfcount.UnreachableCount{{Domain: "wien-sued", Members: 1}},
 	}
 	messages := []Message{
 		Push{From: 1, Nonce: 1, Deltas: deltas, Range: bfspan.Range{Scope: bfspan.ScopeFleet, From: from, To: to}, Head: head},
@@ -37,9 +36,9 @@
 	for _, message := range messages {
 		data, err := Encode(message)
 		is.NoErr(err)
-		again, err := Decode(data)
+		decoded, err := Decode(data)
 		is.NoErr(err)
-		is.Equal(again, message)
+		is.Equal(decoded, message)
 		fmt.Fprintln(&page, hex.EncodeToString(data))
 	}
 	bfgolden.Check(t, "testdata/wire.golden", page.String())
