--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -84,9 +84,9 @@
 	slot := bfslot.Request{Class: c.Name, Nested: r.parent != nil, Rank: c.Rank, Late: r.parent == nil && left < e.usual[r.class]}
 	switch {
 	case r.parent != nil:
-		slot.Patience = time.Duration(nestedPatience * float64(c.Objective))
+		slot.MaxWait = time.Duration(nestedPatience * float64(c.Objective))
 	case bfwalk.Waits(choice.Others(), e.near.Of(c.Service)):
-		slot.Patience = bfwalk.Patience(left, e.usual[r.class])
+		slot.MaxWait = bfwalk.Patience(left, e.usual[r.class])
 	}
 	chosen.Begin()
 	w.agenda.After(way, func() { w.enter(r, chosen, slot, way) })
@@ -108,7 +108,7 @@
 		w.hand(r, at, n, way)
 	default:
 		n.granted[ticket] = func() { w.hand(r, at, n, way) }
-		w.agenda.After(slot.Patience, func() {
+		w.agenda.After(slot.MaxWait, func() {
 			if n.queue.Leave(ticket) {
 				w.agenda.After(way, func() { w.turnedAway(r, at) })
 			}
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -156,7 +156,7 @@
 	}
 	arrived := h.parts.Timer.Now()
 	slot, err := h.gate.Acquire(ctx, bfslot.Request{
-		Class: job.Policy.Class, Nested: job.Policy.Nested, Late: job.Policy.Late, Rank: job.Policy.Rank, Patience: job.Policy.MaxSlotWait,
+		Class: job.Policy.Class, Nested: job.Policy.Nested, Late: job.Policy.Late, Rank: job.Policy.Rank, MaxWait: job.Policy.MaxSlotWait,
 	})
 	var full *bfslot.FullError
 	switch {
--- a/lib/bfhost/track.go
+++ b/lib/bfhost/track.go
@@ -34,7 +34,7 @@
 
 // Health is the target's health, with the run time of a class.
 func (h *Host) Health(class string) Health {
-	return Health{Failing: h.failures.Value(), Running: h.gate.Running(class)}
+	return Health{Failing: h.failures.Value(), Running: h.gate.MeanHold(class)}
 }
 
 // WriteHealth writes the target's health to the header of an answer between nodes.
--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -135,7 +135,7 @@
 	}
 	request := bfslot.Request{Late: left < e.usual}
 	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.Waits(choice.Others(), e.odds.Of(service))) {
-		request.Patience = bfwalk.Patience(left, e.usual)
+		request.MaxWait = bfwalk.Patience(left, e.usual)
 	}
 	chosen.Begin()
 	w.agenda.After(way, func() { w.enter(c, chosen, request, way) })
@@ -162,7 +162,7 @@
 		w.run(c, at, way)
 	default:
 		t.granted[ticket] = func() { w.run(c, at, way) }
-		w.agenda.After(request.Patience, func() {
+		w.agenda.After(request.MaxWait, func() {
 			if t.queue.Leave(ticket) {
 				w.agenda.After(way, func() { w.turnedAway(c, at) })
 			}
--- a/lib/bfslot/gate.go
+++ b/lib/bfslot/gate.go
@@ -39,12 +39,12 @@
 	return g.queue.Load()
 }
 
-// Running returns the moving average of how long requests of a class hold a slot, or 0
+// MeanHold returns the moving average of how long requests of a class hold a slot, or 0
 // before the first one has released its slot.
-func (g *Gate) Running(class string) time.Duration {
+func (g *Gate) MeanHold(class string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.queue.Running(class)
+	return g.queue.MeanHold(class)
 }
 
 // Slot is a slot held by one request until Release.
@@ -55,7 +55,7 @@
 	once  sync.Once
 }
 
-// Acquire returns a slot, waiting for it for at most request.Patience. It returns a
+// Acquire returns a slot, waiting for it for at most request.MaxWait. It returns a
 // FullError if no slot is free in time, or the error of ctx.
 func (g *Gate) Acquire(ctx context.Context, request Request) (*Slot, error) {
 	ticket, granted, err := g.enter(request)
@@ -65,7 +65,7 @@
 	if ticket == nil {
 		return g.slot(request), nil
 	}
-	expiry := g.timer.After(request.Patience, func(time.Time) { g.leave(ticket) })
+	expiry := g.timer.After(request.MaxWait, func(time.Time) { g.leave(ticket) })
 	defer expiry.Stop()
 	select {
 	case gotSlot := <-granted:
--- a/lib/bfslot/gate_test.go
+++ b/lib/bfslot/gate_test.go
@@ -58,7 +58,7 @@
 		is.NoErr(err)
 		got := make(chan string, 3)
 		wait := func(name string, r Request) {
-			r.Patience = time.Second
+			r.MaxWait = time.Second
 			group.Go(name, func(ctx context.Context) error {
 				slot, err := g.Acquire(ctx, r)
 				if err != nil {
@@ -89,7 +89,7 @@
 		_, err := g.Acquire(context.Background(), Request{})
 		is.NoErr(err)
 		began := time.Now()
-		_, err = g.Acquire(context.Background(), Request{Patience: 140 * time.Millisecond})
+		_, err = g.Acquire(context.Background(), Request{MaxWait: 140 * time.Millisecond})
 		var full *FullError
 		is.True(errors.As(err, &full))
 		is.Equal(time.Since(began), 140*time.Millisecond)
@@ -108,7 +108,7 @@
 			done := make(chan struct{})
 			group.Go("leaver", func(context.Context) error {
 				defer close(done)
-				if slot, err := g.Acquire(ctx, Request{Patience: time.Second}); err == nil {
+				if slot, err := g.Acquire(ctx, Request{MaxWait: time.Second}); err == nil {
 					slot.Release()
 				}
 				return nil
@@ -134,7 +134,7 @@
 			_, err := g.Acquire(ctx, Request{Late: true})
 			is.NoErr(err)
 		}
-		_, err := g.Acquire(ctx, Request{Late: true, Patience: time.Second})
+		_, err := g.Acquire(ctx, Request{Late: true, MaxWait: time.Second})
 		is.True(errors.As(err, &full))
 		for range 2 {
 			_, err = g.Acquire(ctx, Request{})
@@ -163,7 +163,7 @@
 	waits := 0
 	var full *FullError
 	for {
-		ticket, err := q.Enter(Request{Class: "look", Patience: held})
+		ticket, err := q.Enter(Request{Class: "look", MaxWait: held})
 		if errors.As(err, &full) {
 			break
 		}
@@ -172,6 +172,6 @@
 	}
 	is.Equal(waits, slots) // each of them waits for at most one hold time
 	is.Equal(full.RetryAfter, held+held/slots)
-	_, err := q.Enter(Request{Class: "call", Nested: true, Patience: time.Millisecond})
+	_, err := q.Enter(Request{Class: "call", Nested: true, MaxWait: time.Millisecond})
 	is.NoErr(err) // a nested call goes first and may always wait
 }
--- a/lib/bfslot/queue.go
+++ b/lib/bfslot/queue.go
@@ -18,8 +18,8 @@
 	Rank int
 	// Late is set for a request that is expected to miss its latency objective.
 	Late bool
-	// Patience is how long the request may wait for a slot.
-	Patience time.Duration
+	// MaxWait is how long the request may wait for a slot.
+	MaxWait time.Duration
 }
 
 // FullError is returned for a request that got no slot.
@@ -59,9 +59,9 @@
 // Load returns the number of running and waiting requests, and the number of slots.
 func (q *Queue) Load() (used, slots int) { return q.used + len(q.waiting), q.slots }
 
-// Running returns the moving average of how long requests of a class hold a slot, or 0
+// MeanHold returns the moving average of how long requests of a class hold a slot, or 0
 // before the first one has released its slot.
-func (q *Queue) Running(class string) time.Duration { return q.meanHoldByClass[class] }
+func (q *Queue) MeanHold(class string) time.Duration { return q.meanHoldByClass[class] }
 
 // Enter gives the request a slot and returns nil, or returns a ticket if it has to wait.
 // Its error is FullError.
@@ -74,13 +74,13 @@
 		q.used++
 		return nil, nil
 	}
-	if request.Patience <= 0 || request.Late || q.slots == 0 {
+	if request.MaxWait <= 0 || request.Late || q.slots == 0 {
 		return nil, &FullError{RetryAfter: q.expectedWait(len(q.waiting))}
 	}
 	q.arrived++
 	t := &Ticket{request: request, arrived: q.arrived, expected: q.expectedHold(request.Class)}
 	at, _ := slices.BinarySearchFunc(q.waiting, t, compareTickets)
-	if wait := q.expectedWait(at); !request.Nested && wait > request.Patience {
+	if wait := q.expectedWait(at); !request.Nested && wait > request.MaxWait {
 		return nil, &FullError{RetryAfter: wait}
 	}
 	q.waiting = slices.Insert(q.waiting, at, t)
