--- a/lib/bfretry/decide.go
+++ b/lib/bfretry/decide.go
@@ -64,8 +64,8 @@
 // After returns the delay before the retry.
 func (r Retry) After() time.Duration { return r.after }
 
-// NotTo returns the names of the targets that the retry must not go to.
-func (r Retry) NotTo() []string { return r.excluded }
+// Excluded returns the names of the targets that the retry must not go to.
+func (r Retry) Excluded() []string { return r.excluded }
 
 // GiveUp is the decision to answer the caller. The answer is final for every hop above.
 type GiveUp struct{ answer Answer }
--- a/lib/bfretry/retry_test.go
+++ b/lib/bfretry/retry_test.go
@@ -80,7 +80,7 @@
 			want := naiveRetries(outcome, attempt, now, naive, pause)
 			action := Decide(outcome, attempt, now, budget, random)
 			retry, got := action.(Retry)
-			if got != want || got && (retry.After() != pause || len(retry.NotTo()) != len(attempt.Tried)) {
+			if got != want || got && (retry.After() != pause || len(retry.Excluded()) != len(attempt.Tried)) {
 				t.Fatalf("%#v after %#v: got %#v, naive retries: %v", attempt, outcome, action, want)
 			}
 			if !got {
