--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -151,8 +151,8 @@
 // the runs of its target.
 func (n *node) account() *bfbudget.Account {
 	return bfbudget.New(bfbudget.Options{
-		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Chance: rand.Float64,
-		Opened: func(service string, left func() float64) {
+		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Random: rand.Float64,
+		OnNewService: func(service string, left func() float64) {
 			n.metrics.Gauge("repeats_left_"+service, func() int64 { return int64(left()) })
 		},
 	})
--- a/lib/bfbudget/account.go
+++ b/lib/bfbudget/account.go
@@ -15,11 +15,11 @@
 	Nodes func() int
 	// Now returns the current time.
 	Now func() time.Time
-	// Chance returns random numbers from 0 to 1.
-	Chance func() float64
-	// Opened is called when a service is first used, with a function that returns how
+	// Random returns random numbers from 0 to 1.
+	Random func() float64
+	// OnNewService is called when a service is first used, with a function that returns how
 	// many repeats to it are left. It may be nil.
-	Opened func(service string, left func() float64)
+	OnNewService func(service string, left func() float64)
 }
 
 // Account holds one node's part of the budget of each service. It is safe for concurrent
@@ -75,10 +75,10 @@
 		maps.Copy(next, *held)
 	}
 	if next[service] == nil {
-		b := &bucket{fraction: a.options.Chance()}
+		b := &bucket{fraction: a.options.Random()}
 		next[service] = b
-		if a.options.Opened != nil {
-			a.options.Opened(service, b.current)
+		if a.options.OnNewService != nil {
+			a.options.OnNewService(service, b.current)
 		}
 	}
 	a.buckets.Store(&next)
--- a/lib/bfbudget/fleet_test.go
+++ b/lib/bfbudget/fleet_test.go
@@ -51,7 +51,7 @@
 
 func (f *fleet) account() *Account {
 	return New(Options{
-		Terms: f.terms, Nodes: func() int { return len(f.accounts) }, Now: func() time.Time { return f.now }, Chance: f.random.Float64,
+		Terms: f.terms, Nodes: func() int { return len(f.accounts) }, Now: func() time.Time { return f.now }, Random: f.random.Float64,
 	})
 }
 
@@ -114,13 +114,13 @@
 	for _, kind := range kinds {
 		c := f.classes[kind]
 		f.count(f.requests, c.service)
-		run.Call(c.service)
+		run.BeginCall(c.service)
 		if _, served := f.send(c, 0, run.IsRepeat()); !served {
 			missing = append(missing, kind)
 		}
 	}
 	for range missing {
-		run.Shed("")
+		run.ShedCall("")
 	}
 	for _, kind := range missing {
 		if !f.retryCall(node, kind, run) {
@@ -150,7 +150,7 @@
 func originOf(sent int, inherited bool) Origin {
 	switch {
 	case sent > 0:
-		return Again{}
+		return Retry{}
 	case inherited:
 		return Inherited{}
 	}
--- a/lib/bfbudget/run.go
+++ b/lib/bfbudget/run.go
@@ -6,21 +6,21 @@
 	"sync/atomic"
 )
 
-// Origin is why a request is sent. It is a sealed interface, implemented by First, Again
+// Origin is why a request is sent. It is a sealed interface, implemented by First, Retry
 // and Inherited.
 type Origin interface{ origin() }
 
 // First is the first attempt of a request.
 type First struct{}
 
-// Again is a retry of a request.
-type Again struct{}
+// Retry is a retry of a request.
+type Retry struct{}
 
 // Inherited is the first attempt of a nested call whose parent run is a repeat.
 type Inherited struct{}
 
 func (First) origin()     {}
-func (Again) origin()     {}
+func (Retry) origin()     {}
 func (Inherited) origin() {}
 
 // Run is one request that the node's target runs, with the state of its nested calls.
@@ -47,7 +47,7 @@
 	switch origin.(type) {
 	case First:
 		return run, true
-	case Again, Inherited:
+	case Retry, Inherited:
 		run.repeat = true
 	}
 	for service, calls := range a.callCounts.estimate(class) {
@@ -94,8 +94,8 @@
 // waste repeats on a run that fails anyway.
 func (r *Run) HasFailed() bool { return r.failed.Load() }
 
-// Call counts a nested call to a service. EndCall must follow.
-func (r *Run) Call(service string) {
+// BeginCall counts a nested call to a service. EndCall must follow.
+func (r *Run) BeginCall(service string) {
 	if !r.repeat {
 		r.account.Sent(service)
 	}
@@ -118,9 +118,9 @@
 	}
 }
 
-// Shed records that a target shed a call. It reports whether the caller should await the
+// ShedCall records that a target shed a call. It reports whether the caller should await the
 // other calls in progress before it retries, which is so while repeats are scarce.
-func (r *Run) Shed(service string) (waits bool) {
+func (r *Run) ShedCall(service string) (waits bool) {
 	r.mu.Lock()
 	r.shed++
 	others := r.open > r.shed
@@ -146,7 +146,7 @@
 	return r.account.take(service, 1, floor)
 }
 
-// EndCall counts the end of a call; wasShed is set if Shed was called for it.
+// EndCall counts the end of a call; wasShed is set if ShedCall was called for it.
 func (r *Run) EndCall(wasShed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/bfbudget/run_test.go
+++ b/lib/bfbudget/run_test.go
@@ -12,7 +12,7 @@
 func singleNode(terms Terms) (a *Account, advanceMinute func()) {
 	now := time.Unix(0, 0)
 	a = New(Options{
-		Terms: terms, Nodes: func() int { return 1 }, Now: func() time.Time { return now }, Chance: func() float64 { return 0 },
+		Terms: terms, Nodes: func() int { return 1 }, Now: func() time.Time { return now }, Random: func() float64 { return 0 },
 	})
 	return a, func() { now = now.Add(time.Minute) }
 }
@@ -31,23 +31,23 @@
 	a, rest := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	first, ok := a.Begin("look-up", First{})
 	is.True(ok)
-	first.Call("vault")
-	first.Call("vault")
+	first.BeginCall("vault")
+	first.BeginCall("vault")
 	first.End()
 	is.True(!a.begins("look-up")) // needs two repeats, and 1.7 are left
 
 	sendMany(a, "vault", 20)
 	rest()
-	again, ok := a.Begin("look-up", Again{})
+	again, ok := a.Begin("look-up", Retry{})
 	is.True(ok)
 	is.Equal(a.bucketOf("vault").current(), 10.0-2) // half of the slack was saved
-	again.Call("vault")
+	again.BeginCall("vault")
 	again.End()
 	is.Equal(a.bucketOf("vault").current(), 10.0-1)
 }
 
 func (a *Account) begins(class string) bool {
-	_, ok := a.Begin(class, Again{})
+	_, ok := a.Begin(class, Retry{})
 	return ok
 }
 
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	a, _ := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	first, _ := a.Begin("look-up", First{})
-	first.Call("vault")
+	first.BeginCall("vault")
 	first.End()
 	sendMany(a, "vault", 4) // of at most ten saved
 	is.True(!a.begins("look-up"))
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	a, _ := singleNode(Terms{Ratio: 1, Slack: 20, Window: time.Second})
 	first, _ := a.Begin("probe", First{})
-	first.Call("store")
+	first.BeginCall("store")
 	first.End()
 	for a.bucketOf("store").current() > 0 {
 		a.bucketOf("store").charge(1)
@@ -77,7 +77,7 @@
 	begun := 0
 	for range 20 {
 		if run, ok := a.Begin("probe", Inherited{}); ok {
-			run.Call("store")
+			run.BeginCall("store")
 			run.End()
 			begun++
 		}
@@ -141,7 +141,7 @@
 	nodes, now := 1, time.Unix(0, 0)
 	a := New(Options{
 		Terms: Terms{Ratio: 1, Slack: 20, Window: time.Second}, Nodes: func() int { return nodes },
-		Now: func() time.Time { return now }, Chance: func() float64 { return 0 },
+		Now: func() time.Time { return now }, Random: func() float64 { return 0 },
 	})
 	sendMany(a, "portal", 30)
 	nodes, now = 10, now.Add(10*recentSpan)
@@ -157,11 +157,11 @@
 	two, _ := a.Begin("look-up", First{})
 	one, _ := a.Begin("look-up", First{})
 	for _, run := range []*Run{two, two, one, one} {
-		run.Call("vault") // earns 0.85 each
+		run.BeginCall("vault") // earns 0.85 each
 	}
-	is.True(two.Shed("vault")) // awaits the other call
-	is.True(!two.Shed("vault"))
-	is.True(one.Shed("vault"))
+	is.True(two.ShedCall("vault")) // awaits the other call
+	is.True(!two.ShedCall("vault"))
+	is.True(one.ShedCall("vault"))
 	is.True(!two.Take("vault"))
 	is.True(one.Take("vault"))
 	one.EndCall(true)
@@ -169,12 +169,12 @@
 	is.True(!two.Take("vault")) // it fails anyway
 	sendMany(a, "vault", 20)
 	rest()
-	is.True(!one.Shed("vault")) // no need to wait with repeats to spare
+	is.True(!one.ShedCall("vault")) // no need to wait with repeats to spare
 	again, _ := a.Begin("look-up", First{})
-	again.Call("vault")
-	again.Call("vault")
-	again.Shed("vault")
-	again.Shed("vault")
+	again.BeginCall("vault")
+	again.BeginCall("vault")
+	again.ShedCall("vault")
+	again.ShedCall("vault")
 	is.True(again.Take("vault"))
 	is.True(again.Take("vault"))
 }
--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -120,7 +120,7 @@
 func (r *request) origin() bfbudget.Origin {
 	switch {
 	case r.sent > 0:
-		return bfbudget.Again{}
+		return bfbudget.Retry{}
 	case r.parent != nil && r.parent.IsRepeat():
 		return bfbudget.Inherited{}
 	}
@@ -190,7 +190,7 @@
 // call has a run make a call.
 func (w *world) call(u *run, class int) {
 	c := w.load.Classes[class]
-	u.Call(c.Service)
+	u.BeginCall(c.Service)
 	r := w.newRequest(class, u.node)
 	r.parent, r.retries = u, 0
 	r.deadline = minTime(r.deadline, u.request.deadline)
@@ -272,7 +272,7 @@
 		return
 	}
 	r.shed = true
-	if r.parent.Shed(w.load.Classes[r.class].Service) {
+	if r.parent.ShedCall(w.load.Classes[r.class].Service) {
 		w.agenda.After(siblingPause, func() { w.again(r) })
 		return
 	}
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -116,7 +116,7 @@
 	}
 	n.account = bfbudget.New(bfbudget.Options{
 		Terms: w.load.Repeats.terms(), Nodes: func() int { return len(w.nodes) },
-		Now: func() time.Time { return w.agenda.Now() }, Chance: w.random.Float64,
+		Now: func() time.Time { return w.agenda.Now() }, Random: w.random.Float64,
 	})
 	w.nodes = append(w.nodes, n)
 	return n
--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -53,7 +53,7 @@
 // run sends the request to one target after another until it has a result.
 func (c *call) run(ctx context.Context) bfhost.Result {
 	if c.parent != nil {
-		c.parent.Call(c.service)
+		c.parent.BeginCall(c.service)
 	} else {
 		c.handler.parts.Account.Sent(c.service)
 	}
@@ -164,7 +164,7 @@
 		return
 	}
 	c.wasShed = true
-	if c.parent.Shed(c.service) {
+	if c.parent.ShedCall(c.service) {
 		// A wait that is cut short needs no handling: mayRetry checks ctx next.
 		_ = c.handler.parts.Timer.Wait(ctx, siblingShedWait)
 	}
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -90,7 +90,7 @@
 
 // account makes a node's retry budget account.
 func (m *mesh) account(terms bfbudget.Terms) *bfbudget.Account {
-	return bfbudget.New(bfbudget.Options{Terms: terms, Nodes: m.fleet.Size, Now: time.Now, Chance: func() float64 { return 0 }})
+	return bfbudget.New(bfbudget.Options{Terms: terms, Nodes: m.fleet.Size, Now: time.Now, Random: func() float64 { return 0 }})
 }
 
 func testRoute(name, prefix string, kind bftraffic.Kind) bftraffic.RouteSpec {
@@ -580,7 +580,7 @@
 	failing := func(w http.ResponseWriter, r *http.Request) {
 		for _, n := range m.nodes {
 			if run := n.host.Parent(r.Header.Get(names.RequestID) + ".call"); run != nil {
-				run.Call("vault")
+				run.BeginCall("vault")
 			}
 		}
 		fail(w, r)
@@ -600,11 +600,11 @@
 // the budget is used up.
 func (n *node) recordCalls(m *mesh) {
 	for range 400 {
-		run, ok := n.account.Begin("look", bfbudget.Again{})
+		run, ok := n.account.Begin("look", bfbudget.Retry{})
 		if !ok {
 			return
 		}
-		run.Call("vault")
+		run.BeginCall("vault")
 		run.End()
 	}
 	m.Fail()
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -68,7 +68,7 @@
 	return bfbudget.New(bfbudget.Options{
 		Terms: bfbudget.Terms{Ratio: 1, Slack: 20, Window: time.Second}, Nodes: func() int { return 1 },
 		Now:    func() time.Time { return time.Now().Add(time.Duration(r.clockOffset.Load())) },
-		Chance: func() float64 { return 0 },
+		Random: func() float64 { return 0 },
 	})
 }
 
@@ -357,7 +357,7 @@
 func TestRetryOverBudgetIsRefused(t *testing.T) {
 	var r *fixture
 	r = newFixture(t, func(w http.ResponseWriter, q *http.Request) {
-		r.host.Parent(q.Header.Get(names.RequestID) + ".call").Call("vault")
+		r.host.Parent(q.Header.Get(names.RequestID) + ".call").BeginCall("vault")
 		hello(w, q)
 	})
 	r.heartbeat("a", 1, Ready)
--- a/lib/bfhost/job.go
+++ b/lib/bfhost/job.go
@@ -46,7 +46,7 @@
 func (p Policy) origin() bfbudget.Origin {
 	switch {
 	case p.Repeat:
-		return bfbudget.Again{}
+		return bfbudget.Retry{}
 	case p.Inherited:
 		return bfbudget.Inherited{}
 	}
