--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -65,11 +65,11 @@
 	left := c.Objective.Std() - w.agenda.Now().Sub(r.began)
 	demand := bffleet.Demand{
 		Service: c.Service, Bytes: 1500, Usual: e.usual[r.class], Running: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
-		Near: r.full && r.parent == nil && !bfwalk.GoesFar(e.far.Of(c.Service), w.random.Float64()),
+		Near: r.full && r.parent == nil && !bfwalk.TriesOtherDomain(e.far.Of(c.Service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), r.tried)
 	chosen := choice.Target()
-	walked := w.agenda.Now().Sub(r.attempt) > bfwalk.Longest(c.Objective.Std(), e.near.Of(c.Service))
+	walked := w.agenda.Now().Sub(r.attempt) > bfwalk.MaxSearch(c.Objective.Std(), e.near.Of(c.Service))
 	if chosen == nil || r.full && r.parent == nil && walked || !w.agenda.Now().Before(r.deadline) {
 		w.refuse(r)
 		return
@@ -85,8 +85,8 @@
 	switch {
 	case r.parent != nil:
 		slot.MaxWait = time.Duration(nestedPatience * float64(c.Objective))
-	case bfwalk.Waits(choice.Others(), e.near.Of(c.Service)):
-		slot.MaxWait = bfwalk.Patience(left, e.usual[r.class])
+	case bfwalk.QueuesAtTarget(choice.Others(), e.near.Of(c.Service)):
+		slot.MaxWait = bfwalk.MaxWait(left, e.usual[r.class])
 	}
 	chosen.Begin()
 	w.agenda.After(way, func() { w.enter(r, chosen, slot, way) })
@@ -350,7 +350,7 @@
 		return
 	}
 	refused := bfwalk.Refused{Objective: c.Objective.Std(), Used: r.attempt.Sub(r.began), Left: r.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(r.entry.near.Of(c.Service), w.random.Float64())
+	pause := refused.RetryAfter(r.entry.near.Of(c.Service), w.random.Float64())
 	if r.failed {
 		pause = unreachedAfter
 	}
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -51,7 +51,7 @@
 	queue   *bfslot.Queue
 	granted map[*bfslot.Ticket]func()
 	// near and far are how often targets took what this node asked them for.
-	near, far bfwalk.Odds
+	near, far bfwalk.AcceptRates
 	// usual is the mean time of each class from its sending to its answer.
 	usual map[int]time.Duration
 	// running are those that the target works on, by their number.
--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -94,7 +94,7 @@
 		}
 		c.tried = append(c.tried, target)
 		c.isLastTarget = c.isLastTarget || c.route.Kind() == bftraffic.Download && choice.Full()
-		c.mayQueue = c.isLastTarget || bfwalk.Waits(choice.Others(), c.handler.localOdds.Of(c.service))
+		c.mayQueue = c.isLastTarget || bfwalk.QueuesAtTarget(choice.Others(), c.handler.localOdds.Of(c.service))
 		result := c.sendTo(ctx, target)
 		if refused, ok := result.(bfhost.Refused); ok {
 			refusal = preferFull(refusal, refused)
@@ -291,7 +291,7 @@
 }
 
 // oddsOf returns the acceptance odds of the target's failure domain, local or remote.
-func (c *call) oddsOf(target *bffleet.Target) *bfwalk.Odds {
+func (c *call) oddsOf(target *bffleet.Target) *bfwalk.AcceptRates {
 	if c.handler.parts.Fleet.IsFar(target) {
 		return &c.handler.remoteOdds
 	}
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -59,7 +59,7 @@
 	sizes, latencies, runTimes routeMeans
 	// localOdds and remoteOdds are the acceptance odds of targets in this node's failure
 	// domain and in other domains.
-	localOdds, remoteOdds bfwalk.Odds
+	localOdds, remoteOdds bfwalk.AcceptRates
 	// attempts are unserved requests that callers may retry.
 	attempts attempts
 	metrics  metrics
@@ -157,7 +157,7 @@
 // would be cut off at its target when the process exits.
 func (c *call) outlasts(now time.Time) bool {
 	exitTime := c.handler.exitTime.Load()
-	return exitTime != nil && c.parent == nil && !bfwalk.FitsIn(exitTime.Sub(now), c.usualDuration())
+	return exitTime != nil && c.parent == nil && !bfwalk.LikelyInTime(exitTime.Sub(now), c.usualDuration())
 }
 
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, c *call) {
--- a/lib/bfentry/policy.go
+++ b/lib/bfentry/policy.go
@@ -54,7 +54,7 @@
 	if !c.mayQueue {
 		return 0
 	}
-	return bfwalk.Patience(c.timeLeft(), c.usualDuration())
+	return bfwalk.MaxWait(c.timeLeft(), c.usualDuration())
 }
 
 // timeLeft is the time left until the request misses its objective, negative afterwards.
--- a/lib/bfentry/refusal.go
+++ b/lib/bfentry/refusal.go
@@ -15,7 +15,7 @@
 	if c.parent != nil || c.isLastTarget || refusal.Reason != bfhost.Full {
 		return false
 	}
-	return now.Sub(c.arrived) > bfwalk.Longest(c.route.Objective(), c.handler.localOdds.Of(c.service))
+	return now.Sub(c.arrived) > bfwalk.MaxSearch(c.route.Objective(), c.handler.localOdds.Of(c.service))
 }
 
 // staysInDomain reports whether a refused request is sent only to targets of its own
@@ -25,7 +25,7 @@
 	if c.parent != nil || refusal.Reason != bfhost.Full {
 		return false
 	}
-	return !bfwalk.GoesFar(c.handler.remoteOdds.Of(c.service), rand.Float64())
+	return !bfwalk.TriesOtherDomain(c.handler.remoteOdds.Of(c.service), rand.Float64())
 }
 
 // preferFull returns the refusal that is reported to the caller: a refusal by a full target
@@ -48,7 +48,7 @@
 	refused := bfwalk.Refused{
 		Objective: c.route.Objective(), Used: c.usedBefore, Left: c.callerDeadline.Sub(c.handler.parts.Timer.Now()),
 	}
-	return refused.ComeBack(c.handler.localOdds.Of(c.service), rand.Float64())
+	return refused.RetryAfter(c.handler.localOdds.Of(c.service), rand.Float64())
 }
 
 // recordUnserved records a request that was not served, so that its retry is recognized.
--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -62,8 +62,8 @@
 // entry is a node that callers come to; there is one beside each target.
 type entry struct {
 	fleet *bffleet.Fleet
-	odds  bfwalk.Odds
-	far   bfwalk.Odds
+	odds  bfwalk.AcceptRates
+	far   bfwalk.AcceptRates
 	// usual is the mean time from a sending to its answer.
 	usual time.Duration
 }
@@ -118,7 +118,7 @@
 	left := w.load.Objective - w.agenda.Now().Sub(c.began)
 	demand := bffleet.Demand{
 		Service: service, Bytes: 1500, Usual: e.usual, Running: w.load.Running, Objective: w.load.Objective, Left: left,
-		Near: c.full && w.ways.ByOdds && !bfwalk.GoesFar(e.far.Of(service), w.random.Float64()),
+		Near: c.full && w.ways.ByOdds && !bfwalk.TriesOtherDomain(e.far.Of(service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), c.tried)
 	chosen := choice.Target()
@@ -134,8 +134,8 @@
 		w.report.FarAsks++
 	}
 	request := bfslot.Request{Late: left < e.usual}
-	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.Waits(choice.Others(), e.odds.Of(service))) {
-		request.MaxWait = bfwalk.Patience(left, e.usual)
+	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.QueuesAtTarget(choice.Others(), e.odds.Of(service))) {
+		request.MaxWait = bfwalk.MaxWait(left, e.usual)
 	}
 	chosen.Begin()
 	w.agenda.After(way, func() { w.enter(c, chosen, request, way) })
@@ -147,7 +147,7 @@
 	if w.ways.ByOdds {
 		odds = e.odds.Of(service)
 	}
-	return w.agenda.Now().Sub(c.attempt) > bfwalk.Longest(w.load.Objective, odds)
+	return w.agenda.Now().Sub(c.attempt) > bfwalk.MaxSearch(w.load.Objective, odds)
 }
 
 // enter has a request ask for a slot.
@@ -225,7 +225,7 @@
 		odds = e.odds.Of(service)
 	}
 	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.began), Left: c.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(odds, w.random.Float64())
+	pause := refused.RetryAfter(odds, w.random.Float64())
 	if c.retries == 0 || w.agenda.Now().Add(pause).After(c.deadline) {
 		w.report.Refused++
 		return
--- a/lib/bfwalk/odds.go
+++ b/lib/bfwalk/odds.go
@@ -6,21 +6,21 @@
 	"bilberryflow.org/lib/bfshare"
 )
 
-// Odds holds the recent acceptance rate of each service: the share of sends that its
+// AcceptRates holds the recent acceptance rate of each service: the share of sends that its
 // targets accepted. Its zero value is empty, and it is safe for concurrent use. It needs
 // no eviction, since the configuration bounds the number of services.
 //
 // At a high rate the next target is likely to accept, and a refused caller may retry
 // soon. At a low rate the service is overloaded, and further attempts are mostly wasted.
-type Odds struct{ byService sync.Map }
+type AcceptRates struct{ byService sync.Map }
 
 // Note counts a send to a target of the service, and whether the target accepted it.
-func (o *Odds) Note(service string, accepted bool) { o.share(service).Note(accepted) }
+func (o *AcceptRates) Note(service string, accepted bool) { o.share(service).Note(accepted) }
 
 // Of returns the acceptance rate of the service, from 0 to 1; it is 1 before the first send.
-func (o *Odds) Of(service string) float64 { return o.share(service).Value() }
+func (o *AcceptRates) Of(service string) float64 { return o.share(service).Value() }
 
-func (o *Odds) share(service string) *bfshare.Share {
+func (o *AcceptRates) share(service string) *bfshare.Share {
 	held, found := o.byService.Load(service)
 	if !found {
 		held, _ = o.byService.LoadOrStore(service, bfshare.Full())
--- a/lib/bfwalk/walk.go
+++ b/lib/bfwalk/walk.go
@@ -12,9 +12,9 @@
 	extraSearchShare = 0.3
 )
 
-// Longest returns how long a request may go from one full target to the next, for an
+// MaxSearch returns how long a request may go from one full target to the next, for an
 // objective and an acceptance rate from 0 to 1.
-func Longest(objective time.Duration, acceptRate float64) time.Duration {
+func MaxSearch(objective time.Duration, acceptRate float64) time.Duration {
 	return time.Duration((minSearchShare + extraSearchShare*acceptRate) * float64(objective))
 }
 
@@ -22,10 +22,10 @@
 // Without it, an entry wouldn't notice that they have capacity again.
 const minFarShare = 0.1
 
-// GoesFar reports whether a refused request goes on to another failure domain: with a
+// TriesOtherDomain reports whether a refused request goes on to another failure domain: with a
 // probability of the acceptance rate there, since each attempt costs traffic between
 // domains. Chance is a random number from 0 to 1.
-func GoesFar(acceptRate, chance float64) bool { return chance <= max(acceptRate, minFarShare) }
+func TriesOtherDomain(acceptRate, chance float64) bool { return chance <= max(acceptRate, minFarShare) }
 
 // maxWaitShare is the part of its slack for which a request queues at its target. The
 // rest covers run times above the mean.
@@ -35,14 +35,16 @@
 // instead of queueing at a full one: an attempt takes less time than the next free slot.
 const minAcceptRate = 0.2
 
-// Waits reports whether a request queues at a full target of which others targets are
+// QueuesAtTarget reports whether a request queues at a full target of which others targets are
 // left in the same domain.
-func Waits(others int, acceptRate float64) bool { return others <= 0 || acceptRate < minAcceptRate }
+func QueuesAtTarget(others int, acceptRate float64) bool {
+	return others <= 0 || acceptRate < minAcceptRate
+}
 
-// Patience returns how long a request may queue for a slot, from the time left until its
+// MaxWait returns how long a request may queue for a slot, from the time left until its
 // objective and the usual time from send to answer. Queueing at a near target uses only
 // the request's slack, while another domain costs traffic and a refusal costs a retry.
-func Patience(left, usual time.Duration) time.Duration {
+func MaxWait(left, usual time.Duration) time.Duration {
 	return time.Duration(maxWaitShare * float64(max(left-usual, 0)))
 }
 
@@ -73,9 +75,9 @@
 	Used, Left time.Duration
 }
 
-// ComeBack returns the delay after which the caller should retry, at an acceptance rate
+// RetryAfter returns the delay after which the caller should retry, at an acceptance rate
 // of acceptRate. Chance is a random number from 0 to 1.
-func (r Refused) ComeBack(acceptRate, chance float64) time.Duration {
+func (r Refused) RetryAfter(acceptRate, chance float64) time.Duration {
 	if float64(r.Used) < retriedShare*float64(r.Objective) {
 		factor := 1 - (1-minRetryFactor)*acceptRate
 		return time.Duration(float64(r.Objective) * factor * (retryShare + retrySpread*chance))
@@ -87,6 +89,6 @@
 // distribution with a deviation of 0.8.
 const tailFactor = 5
 
-// FitsIn reports whether a request of a usual duration is 99 % likely to be answered
+// LikelyInTime reports whether a request of a usual duration is 99 % likely to be answered
 // within the time left.
-func FitsIn(left, usual time.Duration) bool { return tailFactor*usual <= left }
+func LikelyInTime(left, usual time.Duration) bool { return tailFactor*usual <= left }
--- a/lib/bfwalk/walk_test.go
+++ b/lib/bfwalk/walk_test.go
@@ -12,24 +12,24 @@
 func TestDecisionsFollowAcceptanceRate(t *testing.T) {
 	const objective = 500 * time.Millisecond
 	is := is.New(t)
-	var odds Odds
+	var odds AcceptRates
 	is.Equal(odds.Of("portal"), 1.0)
-	is.Equal(Longest(objective, odds.Of("portal")), 200*time.Millisecond)
+	is.Equal(MaxSearch(objective, odds.Of("portal")), 200*time.Millisecond)
 	for range 64 {
 		odds.Note("portal", false)
 	}
 	is.True(odds.Of("portal") < 0.05)
 	is.Equal(odds.Of("vault"), 1.0)
-	is.True(Longest(objective, odds.Of("portal")) < 60*time.Millisecond)
-	is.True(Waits(3, odds.Of("portal")))
-	is.True(GoesFar(odds.Of("portal"), 0.09)) // minFarShare of the requests
-	is.True(!GoesFar(odds.Of("portal"), 0.2))
+	is.True(MaxSearch(objective, odds.Of("portal")) < 60*time.Millisecond)
+	is.True(QueuesAtTarget(3, odds.Of("portal")))
+	is.True(TriesOtherDomain(odds.Of("portal"), 0.09)) // minFarShare of the requests
+	is.True(!TriesOtherDomain(odds.Of("portal"), 0.2))
 	for range 64 {
 		odds.Note("portal", true)
 	}
-	is.True(!Waits(3, odds.Of("portal")))
-	is.True(Waits(0, odds.Of("portal"))) // no other target left
-	is.True(GoesFar(odds.Of("portal"), 0.9))
+	is.True(!QueuesAtTarget(3, odds.Of("portal")))
+	is.True(QueuesAtTarget(0, odds.Of("portal"))) // no other target left
+	is.True(TriesOtherDomain(odds.Of("portal"), 0.9))
 }
 
 // Guards against retry delays that are not spread, that make a first retry miss its
@@ -38,17 +38,17 @@
 	const objective, left = 600 * time.Millisecond, 3 * time.Second
 	is := is.New(t)
 	fresh := Refused{Objective: objective, Left: left}
-	is.Equal(fresh.ComeBack(0, 0), 90*time.Millisecond)
-	is.Equal(fresh.ComeBack(0, 1), 240*time.Millisecond)
-	is.True(fresh.ComeBack(1, 1) < 90*time.Millisecond)
+	is.Equal(fresh.RetryAfter(0, 0), 90*time.Millisecond)
+	is.Equal(fresh.RetryAfter(0, 1), 240*time.Millisecond)
+	is.True(fresh.RetryAfter(1, 1) < 90*time.Millisecond)
 	returned := Refused{Objective: objective, Used: 200 * time.Millisecond, Left: left}
-	is.Equal(returned.ComeBack(0, 0), 600*time.Millisecond)
-	is.True(returned.ComeBack(1, 1) <= left/3)
+	is.Equal(returned.RetryAfter(0, 0), 600*time.Millisecond)
+	is.True(returned.RetryAfter(1, 1) <= left/3)
 }
 
 // Guards against a request queueing for longer than half of its slack.
 func TestWaitIsPartOfTheSlack(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Patience(500*time.Millisecond, 200*time.Millisecond), 150*time.Millisecond)
-	is.Equal(Patience(100*time.Millisecond, 200*time.Millisecond), time.Duration(0))
+	is.Equal(MaxWait(500*time.Millisecond, 200*time.Millisecond), 150*time.Millisecond)
+	is.Equal(MaxWait(100*time.Millisecond, 200*time.Millisecond), time.Duration(0))
 }
