--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -64,8 +64,8 @@
 	}
 	left := c.Objective.Std() - w.agenda.Now().Sub(r.began)
 	demand := bffleet.Demand{
-		Service: c.Service, Bytes: 1500, Usual: e.usual[r.class], Running: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
-		Near: r.full && r.parent == nil && !bfwalk.TriesOtherDomain(e.far.Of(c.Service), w.random.Float64()),
+		Service: c.Service, Bytes: 1500, UsualTime: e.usual[r.class], RunTime: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
+		SameDomain: r.full && r.parent == nil && !bfwalk.TriesOtherDomain(e.far.Of(c.Service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), r.tried)
 	chosen := choice.Target()
@@ -77,7 +77,7 @@
 	r.tried = append(r.tried, chosen)
 	way := nearWay
 	w.report.Asks++
-	if e.fleet.IsFar(chosen) {
+	if e.fleet.IsInOtherDomain(chosen) {
 		way = farWay
 		w.report.FarAsks++
 	}
@@ -240,11 +240,11 @@
 func (w *world) hear(r *request, at *bffleet.Target, took bool) {
 	n := w.byName[at.Member().Inbound]
 	used, slots := n.queue.Load()
-	at.Told(used, slots, w.agenda.Now())
-	at.ToldTrack(0, n.speed, w.agenda.Now())
+	at.ReportLoad(used, slots, w.agenda.Now())
+	at.ReportHealth(0, n.speed, w.agenda.Now())
 	at.End()
 	odds := &r.entry.near
-	if r.entry.fleet.IsFar(at) {
+	if r.entry.fleet.IsInOtherDomain(at) {
 		odds = &r.entry.far
 	}
 	odds.Note(w.load.Classes[r.class].Service, took)
@@ -258,7 +258,7 @@
 
 func (w *world) unreached(r *request, at *bffleet.Target) {
 	at.End()
-	at.SetAside(w.agenda.Now())
+	at.Suspend(w.agenda.Now())
 	w.ask(r)
 }
 
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -102,7 +102,7 @@
 	}
 	for _, m := range members {
 		n := w.byName[m.Inbound]
-		n.fleet = bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
+		n.fleet = bffleet.NewWithRandom(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		n.fleet.Replace(members)
 	}
 	return w
--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -215,9 +215,9 @@
 func (c *call) demand(refusal bfhost.Refused) bffleet.Demand {
 	name := c.route.Name()
 	return bffleet.Demand{
-		Service: c.service, Bytes: int(c.handler.sizes.get(name)), Usual: c.usualDuration(),
-		Running: time.Duration(c.handler.runTimes.get(name)), Left: c.timeLeft(), Objective: c.route.Objective(),
-		Near: c.staysInDomain(refusal),
+		Service: c.service, Bytes: int(c.handler.sizes.get(name)), UsualTime: c.usualDuration(),
+		RunTime: time.Duration(c.handler.runTimes.get(name)), Left: c.timeLeft(), Objective: c.route.Objective(),
+		SameDomain: c.staysInDomain(refusal),
 	}
 }
 
@@ -286,13 +286,13 @@
 		// The refusal does not depend on the target's free slots.
 		return
 	}
-	c.handler.metrics.countAcceptance(c.handler.parts.Fleet.IsFar(target), isRefused)
+	c.handler.metrics.countAcceptance(c.handler.parts.Fleet.IsInOtherDomain(target), isRefused)
 	c.oddsOf(target).Note(c.service, !isRefused)
 }
 
 // oddsOf returns the acceptance odds of the target's failure domain, local or remote.
 func (c *call) oddsOf(target *bffleet.Target) *bfwalk.AcceptRates {
-	if c.handler.parts.Fleet.IsFar(target) {
+	if c.handler.parts.Fleet.IsInOtherDomain(target) {
 		return &c.handler.remoteOdds
 	}
 	return &c.handler.localOdds
@@ -304,7 +304,7 @@
 	switch result := result.(type) {
 	case bfhost.Refused:
 		if blamesTarget(result.Reason) {
-			if length := target.SetAside(now); length > 0 {
+			if length := target.Suspend(now); length > 0 {
 				c.handler.reportSetAside(target, result, length)
 			}
 			if result.Err != nil {
@@ -313,16 +313,16 @@
 			return
 		}
 	case bfhost.Shed, bfhost.Lost:
-		target.Judge(true, now)
+		target.RecordResult(true, now)
 	case bfhost.Answered:
-		target.Judge(failed(result), now)
+		target.RecordResult(failed(result), now)
 		if !failed(result) {
 			c.handler.latencies.add(c.route.Name(), duration.Nanoseconds())
 		}
 	case bfhost.Expired:
 		return
 	}
-	target.Present()
+	target.Resume()
 }
 
 // sendLocal runs the request at this node's own target.
@@ -331,7 +331,7 @@
 	request.Header = c.request.Header.Clone()
 	result := c.handler.parts.Host.Run(ctx, bfhost.Job{Request: &request, Deadline: c.deadline, Policy: c.policy()})
 	used, slots := c.handler.parts.Host.Load()
-	target.Told(used, slots, c.handler.parts.Timer.Now())
+	target.ReportLoad(used, slots, c.handler.parts.Timer.Now())
 	c.updateHealth(target, c.handler.parts.Host.Health(c.route.Name()))
 	return result
 }
@@ -345,5 +345,5 @@
 		}
 		c.handler.runTimes.add(c.route.Name(), health.Running.Nanoseconds())
 	}
-	target.ToldTrack(health.Failing, slowness, c.handler.parts.Timer.Now())
+	target.ReportHealth(health.Failing, slowness, c.handler.parts.Timer.Now())
 }
--- a/lib/bfentry/look.go
+++ b/lib/bfentry/look.go
@@ -26,7 +26,7 @@
 // startProbe takes a target whose node refused a connection out of selection and probes
 // the node until it accepts one.
 func (h *Handler) startProbe(target *bffleet.Target) {
-	if !target.LookFor() {
+	if !target.StartProbing() {
 		return
 	}
 	h.parts.Spawn("probe node", func(ctx context.Context) error {
@@ -40,12 +40,12 @@
 	began := h.parts.Timer.Now()
 	pause := minProbeInterval
 	reported := false
-	for h.parts.Fleet.Holds(target) {
+	for h.parts.Fleet.Contains(target) {
 		if h.parts.Timer.Wait(ctx, h.parts.Timer.Jittered(pause, probeJitter)()) != nil {
 			return
 		}
 		if h.parts.Client.Preconnect(ctx, target.Member().Inbound) == nil {
-			target.Found()
+			target.StopProbing()
 			h.parts.Logger.Emit(bflog.NodeFound, slog.String("node", target.Member().Inbound))
 			return
 		}
--- a/lib/bfentry/remote.go
+++ b/lib/bfentry/remote.go
@@ -39,8 +39,8 @@
 func (c *call) readResult(from *bfexchange.Answer, target *bffleet.Target) bfhost.Result {
 	now := c.handler.parts.Timer.Now()
 	if used, slots, ok := bfhost.ReadLoad(from.Header()); ok {
-		target.Told(used, slots, now)
-		target.ToldBacklog(bfhost.ReadBacklog(from.Header()), now)
+		target.ReportLoad(used, slots, now)
+		target.ReportBacklog(bfhost.ReadBacklog(from.Header()), now)
 	}
 	if health, ok := bfhost.ReadHealth(from.Header()); ok {
 		c.updateHealth(target, health)
--- a/lib/bffleet/cost.go
+++ b/lib/bffleet/cost.go
@@ -11,14 +11,14 @@
 	Service string
 	// Bytes is the size of the request and its answer.
 	Bytes int
-	// Usual is the usual time from send to answer for requests of the same route.
-	Usual time.Duration
-	// Running is the run time at a target of average speed, 0 if unknown.
-	Running time.Duration
+	// UsualTime is the usual time from send to answer for requests of the same route.
+	UsualTime time.Duration
+	// RunTime is the run time at a target of average speed, 0 if unknown.
+	RunTime time.Duration
 	// Objective is the time in which the request should be answered, Left the rest of it.
 	Objective, Left time.Duration
-	// Near restricts the choice to targets in the node's own failure domain.
-	Near bool
+	// SameDomain restricts the choice to targets in the node's own failure domain.
+	SameDomain bool
 }
 
 // The costs of a target, where 1 is the value of one answer.
@@ -94,10 +94,10 @@
 
 // running returns the run time at a target of average speed.
 func (d Demand) running() time.Duration {
-	if d.Running > 0 {
-		return d.Running
+	if d.RunTime > 0 {
+		return d.RunTime
 	}
-	return d.Usual
+	return d.UsualTime
 }
 
 // lateness returns the probability that the answer is late after a wait, if run times are
--- a/lib/bffleet/fleet.go
+++ b/lib/bffleet/fleet.go
@@ -37,11 +37,11 @@
 }
 
 // New returns the empty fleet of a node.
-func New(place Place) *Fleet { return NewWithChance(place, rand.Float64) }
+func New(place Place) *Fleet { return NewWithRandom(place, rand.Float64) }
 
-// NewWithChance is New with a source of random numbers from 0 to 1, for deterministic
+// NewWithRandom is New with a source of random numbers from 0 to 1, for deterministic
 // simulations.
-func NewWithChance(place Place, chance func() float64) *Fleet {
+func NewWithRandom(place Place, chance func() float64) *Fleet {
 	f := &Fleet{place: place, chance: chance}
 	f.view.Store(&view{})
 	return f
@@ -126,11 +126,11 @@
 	return lost
 }
 
-// Holds reports whether the target belongs to a current member.
-func (f *Fleet) Holds(t *Target) bool { return f.view.Load().members[t.member.Inbound] == t }
+// Contains reports whether the target belongs to a current member.
+func (f *Fleet) Contains(t *Target) bool { return f.view.Load().members[t.member.Inbound] == t }
 
-// IsFar reports whether the target is in a failure domain other than the node's.
-func (f *Fleet) IsFar(t *Target) bool { return t.member.Domain != f.place.Domain }
+// IsInOtherDomain reports whether the target is in a failure domain other than the node's.
+func (f *Fleet) IsInOtherDomain(t *Target) bool { return t.member.Domain != f.place.Domain }
 
 // Size returns the number of members.
 func (f *Fleet) Size() int { return len(f.view.Load().members) }
@@ -176,10 +176,10 @@
 		if t.probing.Load() || slices.Contains(tried, t) {
 			continue
 		}
-		if !withSuspended && t.isSuspended(now) || demand.Near && f.IsFar(t) {
+		if !withSuspended && t.isSuspended(now) || demand.SameDomain && f.IsInOtherDomain(t) {
 			continue
 		}
-		if !f.IsFar(t) {
+		if !f.IsInOtherDomain(t) {
 			near++
 		}
 		cost, full := t.cost(f.place, demand, now, f.chance())
@@ -188,7 +188,7 @@
 		}
 	}
 	best.others = near
-	if best.target != nil && !f.IsFar(best.target) {
+	if best.target != nil && !f.IsInOtherDomain(best.target) {
 		best.others--
 	}
 	return best
--- a/lib/bffleet/fleet_test.go
+++ b/lib/bffleet/fleet_test.go
@@ -44,15 +44,15 @@
 	picks(f, start, picksUntilBoth) // so that neither is chosen for its missing report
 	is.Equal(picks(f, start, 20)["10.0.0.1:1"], 20)
 	own := f.view.Load().members["10.0.0.1:1"]
-	look := Demand{Service: "portal", Running: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
+	look := Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
 	other := f.view.Load().members["10.0.0.2:1"]
-	other.Told(8, 10, start)
-	own.Told(10, 10, start) // a wait of 10 ms
+	other.ReportLoad(8, 10, start)
+	own.ReportLoad(10, 10, start) // a wait of 10 ms
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.1:1"], 20)
-	own.Told(25, 10, start) // of 160 ms
+	own.ReportLoad(25, 10, start) // of 160 ms
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.2:1"], 20)
-	other.Told(0, 10, start)
-	own.Told(12, 10, start) // a hop costs less than the last slots of a domain
+	other.ReportLoad(0, 10, start)
+	own.ReportLoad(12, 10, start) // a hop costs less than the last slots of a domain
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.2:1"], 20)
 }
 
@@ -68,7 +68,7 @@
 	is.Equal(got["10.0.0.2:1"], 1)
 	got = picks(f, start.Add(1200*time.Millisecond), picksUntilBoth)
 	is.Equal(got["10.0.0.2:1"], 1) // still no report
-	f.view.Load().members["10.0.0.2:1"].Told(0, 10, start.Add(2*time.Second))
+	f.view.Load().members["10.0.0.2:1"].ReportLoad(0, 10, start.Add(2*time.Second))
 	got = picks(f, start.Add(5*time.Second), 10)
 	is.Equal(got["10.0.0.2:1"], 0)
 }
@@ -83,20 +83,20 @@
 	other := f.view.Load().members["10.0.0.2:1"]
 	// The other target is overloaded, and chosen only while the target is suspended.
 	pick := func(now time.Time) *Target {
-		other.Told(30, 10, now)
+		other.ReportLoad(30, 10, now)
 		return f.Pick(Demand{Service: "portal"}, now, nil).Target()
 	}
 	now := start
 	is.Equal(pick(now), target)
 	for _, length := range []time.Duration{100, 200, 400, 800, 1500, 1500} {
-		target.SetAside(now)
-		target.SetAside(now) // a second refusal doesn't extend the suspension
+		target.Suspend(now)
+		target.Suspend(now) // a second refusal doesn't extend the suspension
 		is.Equal(pick(now.Add(length*time.Millisecond-1)), other)
 		now = now.Add(length * time.Millisecond)
 		is.Equal(pick(now), target)
 	}
-	target.SetAside(now)
-	target.Present()
+	target.Suspend(now)
+	target.Resume()
 	is.Equal(pick(now), target)
 }
 
@@ -107,10 +107,10 @@
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord")})
 	target := f.view.Load().members["10.0.0.1:1"]
-	target.SetAside(start)
+	target.Suspend(start)
 	is.Equal(f.Pick(Demand{Service: "portal"}, start, nil).Target(), target)
 	is.True(f.Pick(Demand{Service: "portal"}, start, []*Target{target}).Target() == nil) // once
-	target.LookFor()
+	target.StartProbing()
 	is.True(f.Pick(Demand{Service: "portal"}, start, nil).Target() == nil)
 }
 
@@ -119,12 +119,12 @@
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
 	for range 30 {
-		f.view.Load().members["10.0.0.1:1"].Judge(true, start)
+		f.view.Load().members["10.0.0.1:1"].RecordResult(true, start)
 	}
 	picks(f, start, 2)
 	is.Equal(picks(f, start, 20)["10.0.0.2:1"], 20)
 	for range 200 {
-		f.view.Load().members["10.0.0.1:1"].Judge(false, start)
+		f.view.Load().members["10.0.0.1:1"].RecordResult(false, start)
 	}
 	is.True(picks(f, start, 200)["10.0.0.1:1"] > 20) // it recovers
 }
@@ -135,7 +135,7 @@
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
 	for range 100 {
-		f.view.Load().members["10.0.0.1:1"].Judge(true, start)
+		f.view.Load().members["10.0.0.1:1"].RecordResult(true, start)
 	}
 	is.Equal(picks(f, start, 100)["10.0.0.1:1"], 0)
 	is.True(picks(f, start.Add(15*time.Second), 100)["10.0.0.1:1"] > 20)
@@ -145,7 +145,7 @@
 	is := is.New(t)
 	target := &Target{member: member(1, "nord")}
 	target.Begin()
-	target.Told(9, 10, start)
+	target.ReportLoad(9, 10, start)
 	is.Equal(target.load(start), 1.0) // nine in use, and one more
 	is.True(target.load(start.Add(3*time.Second)) < 0.3)
 }
@@ -203,8 +203,8 @@
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
 	own := f.view.Load().members["10.0.0.1:1"]
 	other := f.view.Load().members["10.0.0.2:1"]
-	own.Told(8, 10, start)
-	other.Told(0, 10, start)
+	own.ReportLoad(8, 10, start)
+	other.ReportLoad(0, 10, start)
 	download := Demand{Service: "portal", Bytes: 90_000}
 	is.Equal(f.Pick(download, start, nil).Target(), own)
 	is.Equal(f.Pick(Demand{Service: "portal", Bytes: 500}, start, nil).Target(), other)
@@ -218,14 +218,14 @@
 	f.Replace([]Member{member(1, "nord"), member(2, "sued")})
 	near := f.view.Load().members["10.0.0.1:1"]
 	far := f.view.Load().members["10.0.0.2:1"]
-	near.Told(0, 10, start)
-	far.Told(0, 10, start)
-	near.ToldBacklog(900*time.Millisecond, start)
+	near.ReportLoad(0, 10, start)
+	far.ReportLoad(0, 10, start)
+	near.ReportBacklog(900*time.Millisecond, start)
 	download := Demand{Service: "portal", Bytes: 90_000, Objective: time.Second}
 	is.Equal(f.Pick(download, start, nil).Target(), far)
 	is.Equal(f.Pick(Demand{Service: "portal", Bytes: 500, Objective: time.Second}, start, nil).Target(), near)
 	is.Equal(f.Pick(download, start.Add(700*time.Millisecond), nil).Target(), near)
-	near.ToldBacklog(0, start)
+	near.ReportBacklog(0, start)
 	is.Equal(f.Pick(download, start, nil).Target(), near)
 }
 
@@ -235,7 +235,7 @@
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
-	f.view.Load().members["10.0.0.1:1"].ToldTrack(0.5, 0, start)
+	f.view.Load().members["10.0.0.1:1"].ReportHealth(0.5, 0, start)
 	is.Equal(picks(f, start, 100)["10.0.0.1:1"], 0)
 	is.True(picks(f, start.Add(15*time.Second), 100)["10.0.0.1:1"] > 20)
 }
@@ -245,12 +245,12 @@
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord")})
-	f.view.Load().members["10.0.0.1:1"].ToldTrack(0, 2, start)
-	f.view.Load().members["10.0.0.2:1"].ToldTrack(0, 0.8, start)
+	f.view.Load().members["10.0.0.1:1"].ReportHealth(0, 2, start)
+	f.view.Load().members["10.0.0.2:1"].ReportHealth(0, 0.8, start)
 	count := func(left time.Duration) int {
 		slow := 0
 		for range 100 {
-			if f.Pick(Demand{Service: "portal", Running: 100 * time.Millisecond, Objective: left, Left: left}, start, nil).Target().Member().Inbound == "10.0.0.1:1" {
+			if f.Pick(Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: left, Left: left}, start, nil).Target().Member().Inbound == "10.0.0.1:1" {
 				slow++
 			}
 		}
@@ -266,24 +266,24 @@
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "sued")})
-	f.view.Load().members["10.0.0.1:1"].Told(2, 10, start)
+	f.view.Load().members["10.0.0.1:1"].ReportLoad(2, 10, start)
 	long := Demand{Service: "portal", Bytes: 6000, Objective: time.Second, Left: time.Second}
 	is.Equal(picksOf(f, long, start, picksUntilBoth)["10.0.0.1:1"], picksUntilBoth)
 	is.Equal(picks(f, start, picksUntilBoth)["10.0.0.2:1"], 1)
 }
 
-// Guards against Near choices in another domain, even when its target costs less or no
+// Guards against SameDomain choices in another domain, even when its target costs less or no
 // other is left.
 func TestNearChoiceStaysInDomain(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord"), member(3, "sued")})
 	for _, inbound := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		f.view.Load().members[inbound].Told(25, 10, start)
+		f.view.Load().members[inbound].ReportLoad(25, 10, start)
 	}
-	look := Demand{Service: "portal", Running: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
+	look := Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
 	is.Equal(picksOf(f, look, start, 20)["10.0.0.3:1"], 20)
-	look.Near = true
+	look.SameDomain = true
 	first := f.Pick(look, start, nil).Target()
 	second := f.Pick(look, start, []*Target{first}).Target()
 	is.Equal(first.Member().Domain, "nord")
--- a/lib/bffleet/standing.go
+++ b/lib/bffleet/standing.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Standing is the status of one target as a node sees it, for operators.
-type Standing struct {
+// TargetStatus is the status of one target as a node sees it, for operators.
+type TargetStatus struct {
 	Member Member
 	// InFlight is the number of the node's own requests at the target.
 	InFlight int
@@ -16,31 +16,31 @@
 	// Slots is 0 if there is none.
 	Used, Slots int
 	Age         time.Duration
-	// Lost is set while the target's node is unreachable and being probed, Aside while
+	// Lost is set while the target's node is unreachable and being probed, Suspended while
 	// the target is suspended.
-	Lost, Aside bool
+	Lost, Suspended bool
 }
 
-// Takes reports whether the target is eligible for requests.
-func (s Standing) Takes() bool { return !s.Lost && !s.Aside }
+// IsEligible reports whether the target is eligible for requests.
+func (s TargetStatus) IsEligible() bool { return !s.Lost && !s.Suspended }
 
-// Word returns the name of the state.
-func (s Standing) Word() string {
+// State returns the name of the state.
+func (s TargetStatus) State() string {
 	switch {
 	case s.Lost:
 		return "lost"
-	case s.Aside:
+	case s.Suspended:
 		return "aside"
 	}
 	return "ready"
 }
 
-// Why returns the reason for the state.
-func (s Standing) Why() string {
+// Reason returns the reason for the state.
+func (s TargetStatus) Reason() string {
 	switch {
 	case s.Lost:
 		return "its node accepts no connections and is being probed"
-	case s.Aside:
+	case s.Suspended:
 		return "its node recently refused a request for a reason other than lack of slots"
 	case s.Slots == 0:
 		return "nothing was heard of its load yet"
@@ -48,18 +48,18 @@
 	return fmt.Sprintf("%d of %d slots in use %v ago", s.Used, s.Slots, s.Age.Round(time.Millisecond))
 }
 
-// Standings returns the status of all members' targets, ordered by domain and name.
-func (f *Fleet) Standings(now time.Time) []Standing {
-	var list []Standing
+// Statuses returns the status of all members' targets, ordered by domain and name.
+func (f *Fleet) Statuses(now time.Time) []TargetStatus {
+	var list []TargetStatus
 	for _, t := range f.view.Load().members {
-		s := Standing{Member: t.member, InFlight: int(t.inFlight.Load()), Lost: t.probing.Load()}
-		s.Aside = !s.Lost && t.isSuspended(now)
+		s := TargetStatus{Member: t.member, InFlight: int(t.inFlight.Load()), Lost: t.probing.Load()}
+		s.Suspended = !s.Lost && t.isSuspended(now)
 		if report := t.lastLoad.Load(); report != nil {
 			s.Used, s.Slots, s.Age = report.used, report.slots, now.Sub(report.when)
 		}
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b Standing) int {
+	slices.SortFunc(list, func(a, b TargetStatus) int {
 		return cmp.Or(cmp.Compare(a.Member.Domain, b.Member.Domain), cmp.Compare(a.Member.Name(), b.Member.Name()))
 	})
 	return list
--- a/lib/bffleet/target.go
+++ b/lib/bffleet/target.go
@@ -49,8 +49,8 @@
 	when   time.Time
 }
 
-// ToldBacklog records the backlog of the node's link as reported with an answer.
-func (t *Target) ToldBacklog(length time.Duration, now time.Time) {
+// ReportBacklog records the backlog of the node's link as reported with an answer.
+func (t *Target) ReportBacklog(length time.Duration, now time.Time) {
 	if length > 0 || t.backlog.Load() != nil {
 		t.backlog.Store(&backlogReport{length, now})
 	}
@@ -87,8 +87,8 @@
 // End reverts one Begin.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Told records the load as reported with an answer.
-func (t *Target) Told(used, slots int, now time.Time) {
+// ReportLoad records the load as reported with an answer.
+func (t *Target) ReportLoad(used, slots int, now time.Time) {
 	t.lastLoad.Store(&loadReport{used: used, slots: slots, own: int(t.inFlight.Load()), when: now})
 }
 
@@ -101,9 +101,9 @@
 	maxSuspension = 1500 * time.Millisecond
 )
 
-// SetAside suspends the target and returns for how long. Each consecutive suspension is
+// Suspend suspends the target and returns for how long. Each consecutive suspension is
 // twice as long as the one before. It returns 0 if the target is suspended already.
-func (t *Target) SetAside(now time.Time) time.Duration {
+func (t *Target) Suspend(now time.Time) time.Duration {
 	length := minSuspension
 	if before := t.suspended.Load(); before != nil {
 		if now.Before(before.until) {
@@ -115,23 +115,23 @@
 	return length
 }
 
-// Present ends a suspension, after the target's node accepted a request.
-func (t *Target) Present() {
+// Resume ends a suspension, after the target's node accepted a request.
+func (t *Target) Resume() {
 	if t.suspended.Load() != nil {
 		t.suspended.Store(nil)
 	}
 }
 
-// LookFor excludes the target from requests until Found. It reports whether the caller
+// StartProbing excludes the target from requests until StopProbing. It reports whether the caller
 // should start probing, which is false if probing is in progress.
 //
 // Probes replace requests here, since a request to an unreachable machine waits for its
 // connection until it is late, and a late nested call fails its parent.
-func (t *Target) LookFor() bool { return t.probing.CompareAndSwap(false, true) }
+func (t *Target) StartProbing() bool { return t.probing.CompareAndSwap(false, true) }
 
-// Found ends LookFor, after the target's node accepted a connection.
-func (t *Target) Found() {
-	t.Present()
+// StopProbing ends StartProbing, after the target's node accepted a connection.
+func (t *Target) StopProbing() {
+	t.Resume()
 	t.probing.Store(false)
 }
 
@@ -144,8 +144,8 @@
 // slownessUnit is a slowness of 1.
 const slownessUnit = 1 << 16
 
-// Judge counts an answer as a success or a failure of the target.
-func (t *Target) Judge(failed bool, now time.Time) {
+// RecordResult counts an answer as a success or a failure of the target.
+func (t *Target) RecordResult(failed bool, now time.Time) {
 	t.countedAt.Store(now.UnixNano())
 	t.failing.Note(failed)
 }
@@ -167,9 +167,9 @@
 	return max(seen, report.failing*math.Exp(-float64(now.Sub(report.when))/float64(failureDecay)))
 }
 
-// ToldTrack records the target's health as reported by its node: the share of requests
+// ReportHealth records the target's health as reported by its node: the share of requests
 // that it fails, and its run time over the mean of its service, 0 if unknown.
-func (t *Target) ToldTrack(failing, slowness float64, now time.Time) {
+func (t *Target) ReportHealth(failing, slowness float64, now time.Time) {
 	t.health.Store(&healthReport{failing: failing, when: now})
 	if slowness > 0 {
 		t.slowness.Store(uint32(min(slowness, maxSlowness) * slownessUnit))
--- a/lib/bfinspect/backend.go
+++ b/lib/bfinspect/backend.go
@@ -100,10 +100,10 @@
 // Members lists the members that the node knows.
 func (b *Backend) Members(context.Context) ([]bfquery.Member, error) {
 	var list []bfquery.Member
-	for _, s := range b.parts.Fleet.Standings(b.Now()) {
+	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
 		list = append(list, bfquery.Member{
 			Instance: s.Member.Name(), Service: s.Member.Service, Region: b.parts.Region, Domain: s.Member.Domain,
-			Address: s.Member.Inbound, State: s.Word(), Incarnation: s.Member.Revision,
+			Address: s.Member.Inbound, State: s.State(), Incarnation: s.Member.Revision,
 		})
 	}
 	return list, nil
@@ -112,15 +112,15 @@
 // Targets lists the targets that the node knows.
 func (b *Backend) Targets(context.Context) ([]bfquery.Target, error) {
 	var list []bfquery.Target
-	for _, s := range b.parts.Fleet.Standings(b.Now()) {
+	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
 		list = append(list, target(s))
 	}
 	return list, nil
 }
 
-func target(s bffleet.Standing) bfquery.Target {
+func target(s bffleet.TargetStatus) bfquery.Target {
 	return bfquery.Target{
-		Instance: s.Member.Name(), Service: s.Member.Service, Domain: s.Member.Domain, State: s.Word(),
+		Instance: s.Member.Name(), Service: s.Member.Service, Domain: s.Member.Domain, State: s.State(),
 		Slots: s.Member.Slots, InUse: s.InFlight,
 	}
 }
@@ -143,9 +143,9 @@
 	}
 	e.Route, e.Service, e.Policy = route.Name(), route.Services()[0].Service, route.Kind().String()
 	e.Reasons = append(e.Reasons, reasons(route)...)
-	for _, s := range b.parts.Fleet.Standings(b.Now()) {
+	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
 		if route.GoesTo(s.Member.Service) {
-			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: target(s), Eligible: s.Takes(), Why: s.Why()})
+			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: target(s), Eligible: s.IsEligible(), Why: s.Reason()})
 		}
 	}
 	return e, nil
--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, m := range members {
-		fleet := bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
+		fleet := bffleet.NewWithRandom(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		fleet.Replace(members)
 		w.entries = append(w.entries, &entry{fleet: fleet})
 	}
@@ -117,8 +117,8 @@
 	e := w.entryOf(c)
 	left := w.load.Objective - w.agenda.Now().Sub(c.began)
 	demand := bffleet.Demand{
-		Service: service, Bytes: 1500, Usual: e.usual, Running: w.load.Running, Objective: w.load.Objective, Left: left,
-		Near: c.full && w.ways.ByOdds && !bfwalk.TriesOtherDomain(e.far.Of(service), w.random.Float64()),
+		Service: service, Bytes: 1500, UsualTime: e.usual, RunTime: w.load.Running, Objective: w.load.Objective, Left: left,
+		SameDomain: c.full && w.ways.ByOdds && !bfwalk.TriesOtherDomain(e.far.Of(service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), c.tried)
 	chosen := choice.Target()
@@ -129,7 +129,7 @@
 	c.tried = append(c.tried, chosen)
 	way := nearWay
 	w.report.Asks++
-	if e.fleet.IsFar(chosen) {
+	if e.fleet.IsInOtherDomain(chosen) {
 		way = farWay
 		w.report.FarAsks++
 	}
@@ -187,11 +187,11 @@
 func (w *world) hear(e *entry, at *bffleet.Target, took bool) {
 	t := w.targets[at.Member().Inbound]
 	used, slots := t.queue.Load()
-	at.Told(used, slots, w.agenda.Now())
-	at.ToldTrack(0, t.speed, w.agenda.Now())
+	at.ReportLoad(used, slots, w.agenda.Now())
+	at.ReportHealth(0, t.speed, w.agenda.Now())
 	at.End()
 	odds := &e.odds
-	if e.fleet.IsFar(at) {
+	if e.fleet.IsInOtherDomain(at) {
 		odds = &e.far
 	}
 	odds.Note(service, took)
