--- a/bfnode/internal/bfmesh/metrics.go
+++ b/bfnode/internal/bfmesh/metrics.go
@@ -22,7 +22,7 @@
 	gauge("requests_active", n.entry.Active)
 	gauge("link_backlog_ms", func() int64 { return n.pacer.Backlog().Milliseconds() })
 	gauge("quarantine_contents", func() int64 { return int64(n.book.View().Len()) })
-	gauge("quarantine_holds", func() int64 { return truth(n.book.View().Holds()) })
+	gauge("quarantine_holds", func() int64 { return truth(n.book.View().HasHeld()) })
 	gauge("log_lines_dropped", n.logger.Dropped)
 	n.metrics.Publish("node")
 }
--- a/lib/bfbackup/backup_test.go
+++ b/lib/bfbackup/backup_test.go
@@ -80,7 +80,7 @@
 	is.NoErr(anew.step(ctx))
 	is.NoErr(anew.step(ctx))
 	is.Equal(s.calls.Load(), int32(2)) // read once, and what it holds is not written again
-	is.True(empty.View().Holds())
+	is.True(empty.View().HasHeld())
 	_, held := empty.View().Refuse(keyOf("bad"), time.Now())
 	is.True(held)
 }
@@ -97,7 +97,7 @@
 	is.NoErr(b.step(ctx))
 	anew, empty := newNode(s, false)
 	is.NoErr(anew.step(ctx))
-	is.True(!empty.View().Holds())
+	is.True(!empty.View().HasHeld())
 }
 
 // Guards against a store that is away, loses answers, or is written to by another node.
@@ -149,5 +149,5 @@
 	anew, empty := newNode(s, false)
 	is.True(anew.step(ctx) != nil)
 	is.NoErr(anew.step(ctx))
-	is.True(!empty.View().Holds())
+	is.True(!empty.View().HasHeld())
 }
--- a/lib/bfcaller/send.go
+++ b/lib/bfcaller/send.go
@@ -46,7 +46,7 @@
 // quarantined reports whether the request is quarantined across the mesh, and for how long.
 func (c *call) quarantined(now time.Time) (remaining time.Duration, isQuarantined bool) {
 	view := c.entry.config.Quarantine.View()
-	if !view.Holds() {
+	if !view.HasHeld() {
 		return 0, false
 	}
 	request := bfhop.QuarantineRequest(c.request.Method, c.request.target(), c.request.Tenant, c.request.Body)
--- a/lib/bfemulator/quarantine.go
+++ b/lib/bfemulator/quarantine.go
@@ -16,7 +16,7 @@
 // holds refuses a request that its entry knows to be held.
 func (w *world) holds(r *request) bool {
 	view := r.entry.book.View()
-	if !view.Holds() {
+	if !view.HasHeld() {
 		return false
 	}
 	if _, held := view.Refuse(r.key, w.agenda.Now()); !held {
@@ -30,14 +30,14 @@
 // takes reports whether a node hands a request to its target, and whether that runs apart.
 func (w *world) takes(r *request, n *node) (apart, taken bool) {
 	view := n.book.View()
-	if !view.Watches() {
+	if !view.HasSuspects() {
 		return false, true
 	}
 	switch view.Judge(r.key, w.agenda.Now()).(type) {
 	case bfquarantine.Held:
 		w.report.classes[r.class].Held++
 		return false, false
-	case bfquarantine.Apart:
+	case bfquarantine.Isolated:
 		if n.apart {
 			return true, false
 		}
@@ -55,7 +55,7 @@
 	if served {
 		u.node.answers.Add(sumOf(u.request.key), w.agenda.Now())
 	}
-	if served && u.node.book.View().Watches() {
+	if served && u.node.book.View().HasSuspects() {
 		u.node.book.Answered(u.request.key, w.agenda.Now())
 		w.tell(u.node)
 	}
@@ -95,7 +95,7 @@
 
 // tell has the other nodes hear of what one has learned.
 func (w *world) tell(from *node) {
-	news := from.book.TakeNews(w.agenda.Now())
+	news := from.book.TakeUpdates(w.agenda.Now())
 	if len(news) == 0 {
 		return
 	}
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -59,7 +59,7 @@
 	// book is what the node knows of requests under which targets end, apart whether its
 	// target runs one that has to run apart; until then the target that one ended is away.
 	book    *bfquarantine.Book
-	answers bfquarantine.Answers
+	answers bfquarantine.RecentAnswers
 	apart   bool
 	away    time.Time
 }
--- a/lib/bfentry/refusal.go
+++ b/lib/bfentry/refusal.go
@@ -91,7 +91,7 @@
 // such a request is sent to no target.
 func (c *call) quarantined(now time.Time) (refusal bfhost.Refused, ok bool) {
 	view := c.handler.parts.Quarantine.View()
-	if !view.Holds() {
+	if !view.HasHeld() {
 		return bfhost.Refused{}, false
 	}
 	entry, ok := view.Refuse(c.key(), now)
--- a/lib/bfflight/register.go
+++ b/lib/bfflight/register.go
@@ -56,7 +56,7 @@
 	// flights holds every *Flight that has not ended.
 	flights sync.Map
 	// answers remembers the recent answers of the node's targets, by hashes with seed.
-	answers bfquarantine.Answers
+	answers bfquarantine.RecentAnswers
 	seed    maphash.Seed
 	// suspectInFlight is set while a request with an Apart verdict is in flight.
 	suspectInFlight atomic.Bool
@@ -109,7 +109,7 @@
 
 func (r *Register) judge(request bfquarantine.Request) (bfquarantine.Verdict, error) {
 	view := r.options.Book.View()
-	if !view.Watches() {
+	if !view.HasSuspects() {
 		return bfquarantine.Free{}, nil
 	}
 	now := r.options.Now()
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, apart := verdict.(bfquarantine.Apart)
+	_, apart := verdict.(bfquarantine.Isolated)
 	if apart && !r.suspectInFlight.CompareAndSwap(false, true) {
 		return nil, &BusyError{}
 	}
@@ -150,7 +150,7 @@
 func (f *Flight) Answered() {
 	r, now := f.register, f.register.options.Now()
 	r.answers.Add(r.requestHash(f.request), now)
-	if r.options.Book.View().Watches() {
+	if r.options.Book.View().HasSuspects() {
 		r.options.Book.Answered(bfquarantine.KeyOf(f.request), now)
 	}
 }
--- a/lib/bfflight/register_test.go
+++ b/lib/bfflight/register_test.go
@@ -81,7 +81,7 @@
 		at := r.target(fmt.Sprint("t", i))
 		r.end(at, r.begin(at, "/popular"), r.begin(at, fmt.Sprint("/once/", i)))
 	}
-	r.True(!r.book.View().Watches())
+	r.True(!r.book.View().HasSuspects())
 	r.Equal(len(r.crashes), 5)
 	r.Equal(r.crashes[0].Answered, 1)
 	r.Equal(len(r.crashes[0].Blamed), 1)
--- a/lib/bfflight/report.go
+++ b/lib/bfflight/report.go
@@ -25,7 +25,7 @@
 		switch verdict := view.Judge(key, now).(type) {
 		case bfquarantine.Held:
 			logger.Emit(bflog.RequestQuarantined, content, slog.Duration("for", verdict.Until().Sub(now)))
-		case bfquarantine.Apart:
+		case bfquarantine.Isolated:
 			logger.Emit(bflog.RequestSuspected, content)
 		case bfquarantine.Free:
 		}
--- a/lib/bfhost/quarantine_test.go
+++ b/lib/bfhost/quarantine_test.go
@@ -62,7 +62,7 @@
 	close(finish)
 	r.Equal(<-end, "200 hello")
 	r.Equal(r.run(other), "200 hello")
-	r.True(!r.host.parts.Quarantine.View().Watches()) // both were answered
+	r.True(!r.host.parts.Quarantine.View().HasSuspects()) // both were answered
 }
 
 // Guards against a request staying quarantined after it was answered.
@@ -79,10 +79,10 @@
 	r.group.Go("run", func(context.Context) error { end <- r.run(popular); return nil })
 	<-begun
 	r.suspect(popular, 3)
-	r.True(r.host.parts.Quarantine.View().Holds())
+	r.True(r.host.parts.Quarantine.View().HasHeld())
 	close(finish)
 	r.Equal(<-end, "200 hello")
-	r.True(!r.host.parts.Quarantine.View().Holds())
+	r.True(!r.host.parts.Quarantine.View().HasHeld())
 }
 
 // Guards against running a request that was quarantined while it waited for a slot.
--- a/lib/bfquarantine/answers.go
+++ b/lib/bfquarantine/answers.go
@@ -17,13 +17,13 @@
 	filterCapacity = filterBits / 8
 )
 
-// Answers remembers in Bloom filters which requests targets answered recently. It is safe
+// RecentAnswers remembers in Bloom filters which requests targets answered recently. It is safe
 // for concurrent use.
 //
 // A frequent request runs at several targets at any moment. If these crash together for
 // another reason, it ran at each crash, and there may be no other run left to clear it.
 // But it was answered shortly before, which a request that crashes targets never is.
-type Answers struct{ filters atomic.Pointer[filters] }
+type RecentAnswers struct{ filters atomic.Pointer[filters] }
 
 // filters holds the filter that answers are added to and the one before it.
 type filters struct {
@@ -37,7 +37,7 @@
 }
 
 // Add records an answer to the request with a hash of sum.
-func (a *Answers) Add(sum uint64, now time.Time) {
+func (a *RecentAnswers) Add(sum uint64, now time.Time) {
 	f := a.filters.Load()
 	if f == nil || now.Sub(f.began) >= answerRetention || f.newest.added.Load() >= filterCapacity {
 		f = a.rotate(f, now)
@@ -50,7 +50,7 @@
 
 // rotate begins a new filter, unless another goroutine has done so, and returns the
 // current filters.
-func (a *Answers) rotate(old *filters, now time.Time) *filters {
+func (a *RecentAnswers) rotate(old *filters, now time.Time) *filters {
 	next := &filters{newest: new(filter), began: now}
 	if old != nil && now.Sub(old.began) < 2*answerRetention {
 		next.older = old.newest
@@ -63,7 +63,7 @@
 
 // Has reports whether the request with a hash of sum was answered recently. It may return
 // true for one that was not, with the false-positive rate of the filters.
-func (a *Answers) Has(sum uint64, now time.Time) bool {
+func (a *RecentAnswers) Has(sum uint64, now time.Time) bool {
 	f := a.filters.Load()
 	if f == nil || now.Sub(f.began) >= 2*answerRetention {
 		return false
--- a/lib/bfquarantine/answers_test.go
+++ b/lib/bfquarantine/answers_test.go
@@ -9,7 +9,7 @@
 // Guards against answers being forgotten early or remembered forever.
 func TestAnswersAreRememberedForAWhile(t *testing.T) {
 	is := is.New(t)
-	var a Answers
+	var a RecentAnswers
 	is.True(!a.Has(mix(7), start))
 	a.Add(mix(7), start)
 	is.True(a.Has(mix(7), start))
@@ -27,7 +27,7 @@
 // unblamed.
 func TestFalsePositiveRate(t *testing.T) {
 	is := is.New(t)
-	var a Answers
+	var a RecentAnswers
 	const answers, asked = 20 * filterCapacity, 100_000
 	for i := range uint64(answers) {
 		a.Add(mix(i+1), start)
@@ -43,7 +43,7 @@
 }
 
 func BenchmarkAddAnAnswer(b *testing.B) {
-	var a Answers
+	var a RecentAnswers
 	sum := uint64(0)
 	for b.Loop() {
 		sum++
--- a/lib/bfquarantine/book.go
+++ b/lib/bfquarantine/book.go
@@ -25,7 +25,7 @@
 	changed chan struct{}
 
 	mu sync.Mutex
-	// updated are the contents whose records this node changed since the last TakeNews.
+	// updated are the contents whose records this node changed since the last TakeUpdates.
 	updated map[Content]bool
 }
 
@@ -39,7 +39,7 @@
 // View returns the current snapshot.
 func (b *Book) View() *View { return b.view.Load() }
 
-// Changed returns a channel that receives after this node changed a record, when TakeNews
+// Changed returns a channel that receives after this node changed a record, when TakeUpdates
 // has updates for other nodes.
 func (b *Book) Changed() <-chan struct{} { return b.changed }
 
@@ -86,7 +86,7 @@
 	return true
 }
 
-// put sets a record and schedules it for TakeNews.
+// put sets a record and schedules it for TakeUpdates.
 func (b *Book) put(records map[Content]record, content Content, r record) map[Content]record {
 	if records == nil {
 		records = map[Content]record{}
@@ -137,8 +137,8 @@
 	maxAge = 2 * maxStretch * maxHold
 )
 
-// TakeNews returns the records that this node itself changed since the last call.
-func (b *Book) TakeNews(now time.Time) []Record {
+// TakeUpdates returns the records that this node itself changed since the last call.
+func (b *Book) TakeUpdates(now time.Time) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.view.Load()
--- a/lib/bfquarantine/book_test.go
+++ b/lib/bfquarantine/book_test.go
@@ -54,12 +54,12 @@
 	is := is.New(t)
 	b := New("n")
 	bad := key("/bad", "c")
-	is.True(!b.View().Watches())
+	is.True(!b.View().HasSuspects())
 	crashed(b, bad, 1, start)
 	is.Equal(name(b.View().Judge(bad, start)), "bfquarantine.Free")
-	is.True(!b.View().Watches()) // no node has to compute keys after a single crash
+	is.True(!b.View().HasSuspects()) // no node has to compute keys after a single crash
 	now := crashed(b, bad, 1, start.Add(time.Minute))
-	is.Equal(name(b.View().Judge(bad, now)), "bfquarantine.Apart")
+	is.Equal(name(b.View().Judge(bad, now)), "bfquarantine.Isolated")
 	now = crashed(b, bad, 1, start.Add(2*time.Minute))
 	is.Equal(name(b.View().Judge(bad, now)), "bfquarantine.Held")
 	held, refused := b.View().Refuse(bad, now)
@@ -143,7 +143,7 @@
 		held := b.View().Judge(bad, now).(Held)
 		is.True(!held.Until().Before(now.Add(minHold)) && held.Until().Before(now.Add(maxStretch*minHold+time.Second)))
 		ends = append(ends, held.Until())
-		is.Equal(name(b.View().Judge(bad, held.Until())), "bfquarantine.Apart")
+		is.Equal(name(b.View().Judge(bad, held.Until())), "bfquarantine.Isolated")
 		again := held.Until().Add(time.Second)
 		crashed(b, bad, 1, again)
 		is.Equal(name(b.View().Judge(bad, again)), "bfquarantine.Held")
@@ -237,7 +237,7 @@
 func BenchmarkEmptyBook(b *testing.B) {
 	book := New("n")
 	for b.Loop() {
-		if book.View().Watches() {
+		if book.View().HasSuspects() {
 			b.Fatal()
 		}
 	}
@@ -273,14 +273,14 @@
 	now := crashed(b, two, 2, crashed(b, one, 2, start).Add(time.Second))
 	other.Merge(b.Records(now), now)
 	is.Equal(len(b.List(now)), 1)
-	is.Equal(b.List(now)[0].Ends, 4)
+	is.Equal(b.List(now)[0].Crashes, 4)
 	is.Equal(b.List(now)[0].Callers, 2)
 	is.Equal(name(b.List(now)[0].Worst), "bfquarantine.Held")
 	content, ok := ParseContent(one.Content.String())
 	is.True(ok)
 	is.True(b.Release(content, now))
 	is.True(!b.Release(content, now))
-	other.Merge(b.TakeNews(now), now)
+	other.Merge(b.TakeUpdates(now), now)
 	for _, k := range []Key{one, two} {
 		is.Equal(name(b.View().Judge(k, now)), "bfquarantine.Free")
 		is.Equal(name(other.View().Judge(k, now)), "bfquarantine.Free")
--- a/lib/bfquarantine/list.go
+++ b/lib/bfquarantine/list.go
@@ -12,9 +12,9 @@
 	Content Content
 	// Worst is the verdict on the caller whose requests ran at the most crashes.
 	Worst Verdict
-	// Ends is the number of targets that crashed, Callers the number of callers whose
+	// Crashes is the number of targets that crashed, Callers the number of callers whose
 	// requests they ran.
-	Ends, Callers int
+	Crashes, Callers int
 	// Last is the time of the last crash.
 	Last time.Time
 }
@@ -32,7 +32,7 @@
 			callers[mark.Caller] = true
 		}
 		items = append(items, Item{
-			Content: content, Worst: judge(r.most, r.last, now, 1), Ends: r.distinctCrashes(), Callers: len(callers), Last: r.last,
+			Content: content, Worst: judge(r.most, r.last, now, 1), Crashes: r.distinctCrashes(), Callers: len(callers), Last: r.last,
 		})
 	}
 	slices.SortFunc(items, func(x, y Item) int { return y.Last.Compare(x.Last) })
--- a/lib/bfquarantine/verdict.go
+++ b/lib/bfquarantine/verdict.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Verdict is how a request may run. It is a sealed interface, implemented by Free, Apart
-// and Held.
+// Verdict is how a request may run. It is a sealed interface, implemented by Free,
+// Isolated and Held.
 type Verdict interface{ verdict() }
 
 // Free requests run without restrictions.
 type Free struct{}
 
-// Apart requests don't run concurrently with another Apart request at the same target, so
+// Isolated requests don't run concurrently with another Isolated request at the same target, so
 // that a crash can be attributed to one of them.
-type Apart struct{}
+type Isolated struct{}
 
 // Held requests don't run.
 type Held struct{ until time.Time }
@@ -19,9 +19,9 @@
 // Until returns when the request may run again.
 func (h Held) Until() time.Time { return h.until }
 
-func (Free) verdict()  {}
-func (Apart) verdict() {}
-func (Held) verdict()  {}
+func (Free) verdict()     {}
+func (Isolated) verdict() {}
+func (Held) verdict()     {}
 
 const (
 	// crashLimit is the number of crashes after which a request is held.
@@ -57,5 +57,5 @@
 	if crashes >= crashLimit && now.Before(until) {
 		return Held{until}
 	}
-	return Apart{}
+	return Isolated{}
 }
--- a/lib/bfquarantine/view.go
+++ b/lib/bfquarantine/view.go
@@ -30,12 +30,12 @@
 	return v
 }
 
-// Watches reports whether any request is not Free. If it returns false, callers needn't
+// HasSuspects reports whether any request is not Free. If it returns false, callers needn't
 // compute keys.
-func (v *View) Watches() bool { return v.watches }
+func (v *View) HasSuspects() bool { return v.watches }
 
-// Holds reports whether any request may be Held.
-func (v *View) Holds() bool { return v.held != 0 }
+// HasHeld reports whether any request may be Held.
+func (v *View) HasHeld() bool { return v.held != 0 }
 
 // HeldDigest returns a digest of the requests that may be Held, 0 if there is none.
 func (v *View) HeldDigest() uint64 { return v.held }
--- a/lib/bfquery/rows.go
+++ b/lib/bfquery/rows.go
@@ -134,11 +134,11 @@
 	switch verdict := i.Worst.(type) {
 	case bfquarantine.Held:
 		state, left = "held", verdict.Until().Sub(now)
-	case bfquarantine.Apart:
+	case bfquarantine.Isolated:
 		state = "apart"
 	}
 	return row{
-		text(i.Content.String()), text(state), number(i.Ends), number(i.Callers),
+		text(i.Content.String()), text(state), number(i.Crashes), number(i.Callers),
 		bfresult.DurationCell(now.Sub(i.Last).Truncate(time.Millisecond)), bfresult.DurationCell(left.Truncate(time.Millisecond)),
 	}
 }
--- a/lib/bfrumor/exchange.go
+++ b/lib/bfrumor/exchange.go
@@ -101,7 +101,7 @@
 		case <-e.config.Book.Changed():
 		case <-e.wake:
 		}
-		sent := e.send(e.config.Recipients(true), e.config.Book.TakeNews(e.config.Timer.Now()))
+		sent := e.send(e.config.Recipients(true), e.config.Book.TakeUpdates(e.config.Timer.Now()))
 		sent += e.send(e.config.Recipients(false), e.takeReceived())
 		if e.config.Timer.Wait(ctx, batchPause+time.Duration(sent)*peerPause) != nil {
 			return nil
--- a/lib/bfrumor/exchange_test.go
+++ b/lib/bfrumor/exchange_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func holds(e *Exchange) bool { return e.config.Book.View().Holds() }
+func holds(e *Exchange) bool { return e.config.Book.View().HasHeld() }
 
 // Guards against crashes that were each observed by a different node not being added up.
 func TestCrashesSeenByDifferentNodesAddUp(t *testing.T) {
@@ -190,7 +190,7 @@
 		ran = append(ran, bfquarantine.KeyOf(bfquarantine.Request{Target: fmt.Sprint(i)}))
 	}
 	book.Crashed(bfquarantine.CrashOf("end"), ran, time.Now())
-	records, err := bfcodec.Marshal(book.TakeNews(time.Now()))
+	records, err := bfcodec.Marshal(book.TakeUpdates(time.Now()))
 	is.NoErr(err)
 	data, err := json.Marshal(message{Peer: "10.128.100.100:65535", Records: records})
 	is.NoErr(err)
