--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -125,7 +125,7 @@
 
 // targetCrashed tells of a target that ended, and of what it ran.
 func (n *node) targetCrashed(crash bfflight.Crash) {
-	bfflight.Report(n.logger, crash, n.book.View(), n.timer.Now())
+	bfflight.LogCrash(n.logger, crash, n.book.View(), n.timer.Now())
 }
 
 func (n *node) newTeller() {
--- a/bfnode/internal/bfmesh/quarantine.go
+++ b/bfnode/internal/bfmesh/quarantine.go
@@ -24,5 +24,5 @@
 // targetCrashed tells of a target that ended, and of what it ran.
 func (n *node) targetCrashed(crash bfflight.Crash) {
 	n.metrics.Counter("target_crashes").Add(1)
-	bfflight.Report(n.logger, crash, n.book.View(), n.timer.Now())
+	bfflight.LogCrash(n.logger, crash, n.book.View(), n.timer.Now())
 }
--- a/lib/bfflight/crash.go
+++ b/lib/bfflight/crash.go
@@ -38,11 +38,11 @@
 	probeTimeout = 100 * time.Millisecond
 )
 
-// Lost checks whether the target has crashed, after a request that got no answer.
+// CheckCrash checks whether the target has crashed, after a request that got no answer.
 //
 // A crash loses all requests in flight at once, so concurrent calls share one check. Call
-// Lost before End, since only requests in flight are part of the Crash.
-func (f *Flight) Lost(ctx context.Context) {
+// CheckCrash before End, since only requests in flight are part of the Crash.
+func (f *Flight) CheckCrash(ctx context.Context) {
 	if ctx.Err() != nil {
 		// The request was cancelled or timed out.
 		return
@@ -57,16 +57,16 @@
 }
 
 // hasCrashed reports whether a target has crashed and the crash was not recorded yet.
-func (r *Register) hasCrashed(target Target) bool {
+func (r *Tracker) hasCrashed(target Target) bool {
 	if last := r.lastCrashed.Load(); last != nil && *last == target.Name() {
 		return false
 	}
-	switch target.Fate() {
+	switch target.State() {
 	case Left:
 		return false
-	case Succeeded:
+	case Replaced:
 		return true
-	case Present:
+	case Running:
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 }
 
 // recordCrash records the recordCrash of a target against the requests in flight there.
-func (r *Register) recordCrash(target Target) {
+func (r *Tracker) recordCrash(target Target) {
 	name := target.Name()
 	r.lastCrashed.Store(&name)
 	now := r.options.Now()
--- a/lib/bfflight/register.go
+++ b/lib/bfflight/register.go
@@ -19,22 +19,22 @@
 	Name() string
 	// Address returns the address that the target listens at.
 	Address() string
-	// Fate returns the last known state of the incarnation.
-	Fate() Fate
+	// State returns the last known state of the incarnation.
+	State() State
 }
 
-// Fate is the last known state of a target's incarnation.
-type Fate int
+// State is the last known state of a target's incarnation.
+type State int
 
 // The states of a target's incarnation.
 const (
-	// Present means that the incarnation has not announced its end.
-	Present Fate = iota
+	// Running means that the incarnation has not announced its end.
+	Running State = iota
 	// Left means that the incarnation has announced its end.
 	Left
-	// Succeeded means that another incarnation has replaced it without such an
+	// Replaced means that another incarnation has replaced it without such an
 	// announcement.
-	Succeeded
+	Replaced
 )
 
 // Options configures a Register.
@@ -49,16 +49,16 @@
 	Crashed func(Crash)
 }
 
-// Register tracks the requests in flight at the targets of one node. It is safe for
+// Tracker tracks the requests in flight at the targets of one node. It is safe for
 // concurrent use.
-type Register struct {
+type Tracker struct {
 	options Options
 	// flights holds every *Flight that has not ended.
 	flights sync.Map
 	// answers remembers the recent answers of the node's targets, by hashes with seed.
 	answers bfquarantine.RecentAnswers
 	seed    maphash.Seed
-	// suspectInFlight is set while a request with an Apart verdict is in flight.
+	// suspectInFlight is set while a request with an Isolated verdict is in flight.
 	suspectInFlight atomic.Bool
 	// checks merges concurrent checks for a crash of the same target. lastCrashed is the name
 	// of the last target that crashed.
@@ -67,8 +67,8 @@
 }
 
 // New returns a register without requests.
-func New(options Options) *Register {
-	return &Register{options: options, seed: maphash.MakeSeed()}
+func New(options Options) *Tracker {
+	return &Tracker{options: options, seed: maphash.MakeSeed()}
 }
 
 // HeldError reports a request that did not run because it is quarantined.
@@ -93,7 +93,7 @@
 
 // Flight is one request in flight; End must be called.
 type Flight struct {
-	register *Register
+	register *Tracker
 	target   Target
 	id       string
 	request  bfquarantine.Request
@@ -102,12 +102,12 @@
 }
 
 // Check returns a HeldError if the request is quarantined.
-func (r *Register) Check(request bfquarantine.Request) error {
+func (r *Tracker) Check(request bfquarantine.Request) error {
 	_, err := r.judge(request)
 	return err
 }
 
-func (r *Register) judge(request bfquarantine.Request) (bfquarantine.Verdict, error) {
+func (r *Tracker) judge(request bfquarantine.Request) (bfquarantine.Verdict, error) {
 	view := r.options.Book.View()
 	if !view.HasSuspects() {
 		return bfquarantine.Free{}, nil
@@ -122,7 +122,7 @@
 
 // Begin adds a request that is about to be sent to a target. Its errors are HeldError and
 // BusyError.
-func (r *Register) Begin(target Target, id string, request bfquarantine.Request) (*Flight, error) {
+func (r *Tracker) Begin(target Target, id string, request bfquarantine.Request) (*Flight, error) {
 	verdict, err := r.judge(request)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 
 // requestHash returns a hash of the request that is valid within this process. It is computed for
 // each answer, and is much cheaper than a bfquarantine.Key.
-func (r *Register) requestHash(request bfquarantine.Request) uint64 {
+func (r *Tracker) requestHash(request bfquarantine.Request) uint64 {
 	var h maphash.Hash
 	h.SetSeed(r.seed)
 	for _, part := range []string{request.Method, request.Host, request.Target, request.Caller} {
--- a/lib/bfflight/register_test.go
+++ b/lib/bfflight/register_test.go
@@ -16,17 +16,17 @@
 type target struct {
 	name  string
 	ended bool
-	fate  Fate
+	fate  State
 }
 
 func (t *target) Name() string    { return t.name }
 func (t *target) Address() string { return t.name }
-func (t *target) Fate() Fate      { return t.fate }
+func (t *target) State() State    { return t.fate }
 
 // fixture is a register with fake targets.
 type fixture struct {
 	*is.I
-	register *Register
+	register *Tracker
 	book     *bfquarantine.Book
 	targets  map[string]*target
 	crashes  []Crash
@@ -64,7 +64,7 @@
 func (r *fixture) end(at *target, flights ...*Flight) {
 	at.ended = true
 	for _, f := range flights {
-		f.Lost(context.Background())
+		f.CheckCrash(context.Background())
 	}
 	for _, f := range flights {
 		f.End()
@@ -96,7 +96,7 @@
 	r.Equal(len(r.crashes), 1)
 	r.Equal(len(r.crashes[0].Runs), 2)
 	r.Equal(r.dials, 1)
-	elsewhere.Lost(context.Background())
+	elsewhere.CheckCrash(context.Background())
 	r.Equal(len(r.crashes), 1) // b still accepts connections
 }
 
@@ -110,12 +110,12 @@
 	cancel()
 	ended := r.target("ended")
 	ended.ended = true
-	r.begin(ended, "/2").Lost(left)
+	r.begin(ended, "/2").CheckCrash(left)
 	r.Equal(len(r.crashes), 0)
 	r.Equal(r.dials, 0)
 	succeeded := r.target("succeeded")
-	succeeded.fate = Succeeded
-	r.begin(succeeded, "/3").Lost(context.Background())
+	succeeded.fate = Replaced
+	r.begin(succeeded, "/3").CheckCrash(context.Background())
 	r.Equal(len(r.crashes), 1)
 	r.Equal(r.dials, 0) // the next incarnation has the same address
 }
--- a/lib/bfflight/report.go
+++ b/lib/bfflight/report.go
@@ -11,9 +11,9 @@
 // loggedRuns bounds the requests listed in one log line.
 const loggedRuns = 16
 
-// Report logs a crash with the requests in flight, and each blamed request that is now
+// LogCrash logs a crash with the requests in flight, and each blamed request that is now
 // quarantined or suspected.
-func Report(logger *bflog.Logger, crash Crash, view *bfquarantine.View, now time.Time) {
+func LogCrash(logger *bflog.Logger, crash Crash, view *bfquarantine.View, now time.Time) {
 	runs := make([]string, 0, loggedRuns)
 	for _, run := range crash.Runs[:min(len(crash.Runs), loggedRuns)] {
 		runs = append(runs, run.ID+" "+run.Key.Content.String()+" "+run.Ran.String())
--- a/lib/bfguard/flight.go
+++ b/lib/bfguard/flight.go
@@ -15,7 +15,7 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-func (g *Guard) newFlights() *bfflight.Register {
+func (g *Guard) newFlights() *bfflight.Tracker {
 	return bfflight.New(bfflight.Options{
 		Book: g.config.Quarantine, Now: g.config.Timer.Now, Dial: dial, Crashed: g.config.Crashed,
 	})
@@ -43,16 +43,16 @@
 // Address is the address at which the target serves requests.
 func (f flightTarget) Address() string { return f.status.Address }
 
-// Fate returns what is known of the target process from announcements.
-func (f flightTarget) Fate() bfflight.Fate {
+// State returns what is known of the target process from announcements.
+func (f flightTarget) State() bfflight.State {
 	now := f.guard.Status(f.guard.config.Timer.Now())
 	switch {
 	case now.Incarnation != f.status.Incarnation:
-		return bfflight.Succeeded
+		return bfflight.Replaced
 	case now.State == bfroster.TargetLeaving:
 		return bfflight.Left
 	}
-	return bfflight.Present
+	return bfflight.Running
 }
 
 func (in *inboundRequest) quarantineRequest() bfquarantine.Request {
@@ -77,6 +77,6 @@
 // reportLoss makes the register check whether the target has ended.
 func (in *inboundRequest) reportLoss() {
 	if in.guard.config.Timer.Now().Before(in.deadline) {
-		in.flight.Lost(in.r.Context())
+		in.flight.CheckCrash(in.r.Context())
 	}
 }
--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -59,7 +59,7 @@
 	announced announcedTarget
 	claims    *claims
 	// flights tracks the requests that the target is processing.
-	flights *bfflight.Register
+	flights *bfflight.Tracker
 	// current is replaced as a whole by Observe; nil before the target's first announcement.
 	current atomic.Pointer[targetProcess]
 	// inFlight counts the requests that the target processes or that are queued for it,
--- a/lib/bfhost/flight.go
+++ b/lib/bfhost/flight.go
@@ -31,7 +31,7 @@
 }
 
 // newFlights makes the register of the requests in flight at the target.
-func (h *Host) newFlights() *bfflight.Register {
+func (h *Host) newFlights() *bfflight.Tracker {
 	return bfflight.New(bfflight.Options{
 		Book: h.parts.Quarantine, Now: h.parts.Timer.Now, Crashed: h.crashed,
 		// A successful dial leaves an idle connection, which replaces the broken one.
@@ -60,8 +60,8 @@
 	return f.Address() + " " + f.Incarnation() + " " + f.Started().Format(time.RFC3339Nano)
 }
 
-// Fate is the state of this start of the target as of the latest heartbeat or departure.
-func (f flightTarget) Fate() bfflight.Fate {
+// State is the state of this start of the target as of the latest heartbeat or departure.
+func (f flightTarget) State() bfflight.State {
 	f.host.mu.Lock()
 	defer f.host.mu.Unlock()
 	current := f.host.tracker.current
@@ -70,9 +70,9 @@
 	case f.host.tracker.hasLeft(f.heartbeat), same && !current.acceptsWork:
 		return bfflight.Left
 	case current != nil && !same:
-		return bfflight.Succeeded
+		return bfflight.Replaced
 	}
-	return bfflight.Present
+	return bfflight.Running
 }
 
 // flightRefusal is the refusal of a request that the register of flights rejected.
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -51,7 +51,7 @@
 	failures   failureShare
 	// runs maps the ID of each request in progress to its *bfbudget.Run.
 	runs    sync.Map
-	flights *bfflight.Register
+	flights *bfflight.Tracker
 }
 
 // New makes a Host without a target.
@@ -278,7 +278,7 @@
 	if !h.parts.Timer.Now().Before(job.Deadline) {
 		return Expired{Sent: true}
 	}
-	to.flight.Lost(ctx)
+	to.flight.CheckCrash(ctx)
 	return Lost{Reason: err.Error()}
 }
 
