--- a/lib/bfshare/share.go
+++ b/lib/bfshare/share.go
@@ -16,8 +16,8 @@
 	one = 1 << 16
 )
 
-// Full returns a share that starts at 1.
-func Full() *Share {
+// NewFull returns a share that starts at 1.
+func NewFull() *Share {
 	s := &Share{}
 	s.value.Store(one)
 	return s
--- a/lib/bfshare/share_test.go
+++ b/lib/bfshare/share_test.go
@@ -26,5 +26,5 @@
 		s.Note(false)
 	}
 	is.True(s.Value() > 0.25 && s.Value() < 0.4)
-	is.Equal(Full().Value(), 1.0)
+	is.Equal(NewFull().Value(), 1.0)
 }
--- a/lib/bfwalk/odds.go
+++ b/lib/bfwalk/odds.go
@@ -23,7 +23,7 @@
 func (o *AcceptRates) share(service string) *bfshare.Share {
 	held, found := o.byService.Load(service)
 	if !found {
-		held, _ = o.byService.LoadOrStore(service, bfshare.Full())
+		held, _ = o.byService.LoadOrStore(service, bfshare.NewFull())
 	}
 	return held.(*bfshare.Share)
 }
