--- a/lib/bfadmit/estimate.go
+++ b/lib/bfadmit/estimate.go
@@ -162,7 +162,7 @@
 		case wait.total > toDrain && g.draining:
 			g.refuseWaiter(p.job, Refuse{reason: Draining})
 		case wait.total > latest:
-			g.refuseWaiter(p.job, Refuse{reason: Unreachable, retryAfter: g.retryAfter(now, c)})
+			g.refuseWaiter(p.job, Refuse{reason: DeadlineUnreachable, retryAfter: g.retryAfter(now, c)})
 		default:
 			kept++
 			t.kept++
--- a/lib/bfadmit/gate.go
+++ b/lib/bfadmit/gate.go
@@ -98,7 +98,7 @@
 	c, changed := g.classOf(request)
 	g.settleIf(now, changed)
 	if !now.Before(request.Deadline) {
-		return Refuse{reason: Unreachable, retryAfter: g.retryAfter(now, c)}, g.notices
+		return Refuse{reason: DeadlineUnreachable, retryAfter: g.retryAfter(now, c)}, g.notices
 	}
 	t := c.tenant(request.Tenant, g.turn+1)
 	j := &job{request: request, class: c, tenant: t, level: t.inUse + len(t.queue)}
@@ -131,7 +131,7 @@
 	own := overtaking.starts(j, c.ahead(j.tenant, place), place)
 	wait := g.waitOf(c, g.rateOf(now, c), own, place)
 	if wait.total*g.margin+g.serviceOf(c) > request.Deadline.Sub(now) {
-		return Refuse{reason: Unreachable, retryAfter: g.retryAfter(now, c)}
+		return Refuse{reason: DeadlineUnreachable, retryAfter: g.retryAfter(now, c)}
 	}
 	if !g.makeRoom(now, j) {
 		return Refuse{reason: QueueFull, retryAfter: g.retryAfter(now, c)}
--- a/lib/bfadmit/limiter_test.go
+++ b/lib/bfadmit/limiter_test.go
@@ -95,7 +95,7 @@
 		_, err = l.Acquire(ctx, lookUpRequest(1, 10*time.Second))
 		var refused *RefusedError
 		is.True(errors.As(err, &refused))
-		is.Equal(refused.Refuse.Reason(), Unreachable)
+		is.Equal(refused.Refuse.Reason(), DeadlineUnreachable)
 		is.Equal(time.Since(start), 5*time.Second+time.Nanosecond) // idle for 5 s, 5 s left
 		_, err = l.Acquire(ctx, lookUpRequest(2, 4*time.Second))
 		is.True(errors.As(err, &refused)) // refused at once
--- a/lib/bfadmit/message.go
+++ b/lib/bfadmit/message.go
@@ -57,8 +57,8 @@
 const (
 	// QueueFull means that the queue of the class or of the gate is full.
 	QueueFull Reason = iota + 1
-	// Unreachable means that the request is not expected to finish by its deadline.
-	Unreachable
+	// DeadlineUnreachable means that the request is not expected to finish by its deadline.
+	DeadlineUnreachable
 	// Displaced means that the queued request was removed in favor of another one.
 	Displaced
 	// Draining means that the target accepts no new requests.
@@ -73,7 +73,7 @@
 	switch r {
 	case QueueFull:
 		return "queue full"
-	case Unreachable:
+	case DeadlineUnreachable:
 		return "deadline can't be met"
 	case Displaced:
 		return "displaced"
--- a/lib/bfadmit/naive_test.go
+++ b/lib/bfadmit/naive_test.go
@@ -224,7 +224,7 @@
 			case !n.drainBy.IsZero() && now.Add(wait).After(n.drainBy):
 				n.refuse(j, Draining)
 			case now.Add(wait + n.serviceOf(class)).After(j.Deadline):
-				n.refuse(j, Unreachable)
+				n.refuse(j, DeadlineUnreachable)
 			default:
 				kept++
 				tenantKept[j.Tenant]++
@@ -257,7 +257,7 @@
 
 func (n *naiveGate) judge(now time.Time, j *naiveJob) Reason {
 	if !now.Before(j.Deadline) {
-		return Unreachable
+		return DeadlineUnreachable
 	}
 	if n.running("", "") < n.capacity.effective(now) && n.hasRoom(j.Class, j.Tenant) {
 		n.run(now, j)
@@ -273,7 +273,7 @@
 	wait := n.wait(now, j.Class, j.Tenant, ahead, mine)
 	n.list = append(n.list, j)
 	if now.Add(2*wait + n.serviceOf(j.Class)).After(j.Deadline) {
-		return Unreachable
+		return DeadlineUnreachable
 	}
 	if others >= j.Queue {
 		victim, most := n.longest(j.Class, j)
--- a/lib/bfguard/run.go
+++ b/lib/bfguard/run.go
@@ -94,7 +94,7 @@
 	case bfadmit.Duplicate:
 		// Records allow an ID to run once, so the limiter must not contain it yet.
 		in.guard.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
-	case bfadmit.QueueFull, bfadmit.Unreachable, bfadmit.Displaced:
+	case bfadmit.QueueFull, bfadmit.DeadlineUnreachable, bfadmit.Displaced:
 	}
 	return in.abort(reason, refused.Refuse.RetryAfter())
 }
