--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -62,8 +62,8 @@
 // entry is a node that callers come to; there is one beside each target.
 type entry struct {
 	fleet *bffleet.Fleet
-	odds  bfwalk.Odds
-	far   bfwalk.Odds
+	odds  bfwalk.AcceptRates
+	far   bfwalk.AcceptRates
 	// usual is the mean time from a sending to its answer.
 	usual time.Duration
 }
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, m := range members {
-		fleet := bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
+		fleet := bffleet.NewWithRandom(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		fleet.Replace(members)
 		w.entries = append(w.entries, &entry{fleet: fleet})
 	}
@@ -117,8 +117,8 @@
 	e := w.entryOf(c)
 	left := w.load.Objective - w.agenda.Now().Sub(c.began)
 	demand := bffleet.Demand{
-		Service: service, Bytes: 1500, Usual: e.usual, Running: w.load.Running, Objective: w.load.Objective, Left: left,
-		Near: c.full && w.ways.ByOdds && !bfwalk.GoesFar(e.far.Of(service), w.random.Float64()),
+		Service: service, Bytes: 1500, UsualTime: e.usual, RunTime: w.load.Running, Objective: w.load.Objective, Left: left,
+		SameDomain: c.full && w.ways.ByOdds && !bfwalk.TriesOtherDomain(e.far.Of(service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), c.tried)
 	chosen := choice.Target()
@@ -129,13 +129,13 @@
 	c.tried = append(c.tried, chosen)
 	way := nearWay
 	w.report.Asks++
-	if e.fleet.IsFar(chosen) {
+	if e.fleet.IsInOtherDomain(chosen) {
 		way = farWay
 		w.report.FarAsks++
 	}
 	request := bfslot.Request{Late: left < e.usual}
-	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.Waits(choice.Others(), e.odds.Of(service))) {
-		request.Patience = bfwalk.Patience(left, e.usual)
+	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.QueuesAtTarget(choice.Others(), e.odds.Of(service))) {
+		request.MaxWait = bfwalk.MaxWait(left, e.usual)
 	}
 	chosen.Begin()
 	w.agenda.After(way, func() { w.enter(c, chosen, request, way) })
@@ -147,7 +147,7 @@
 	if w.ways.ByOdds {
 		odds = e.odds.Of(service)
 	}
-	return w.agenda.Now().Sub(c.attempt) > bfwalk.Longest(w.load.Objective, odds)
+	return w.agenda.Now().Sub(c.attempt) > bfwalk.MaxSearch(w.load.Objective, odds)
 }
 
 // enter has a request ask for a slot.
@@ -162,7 +162,7 @@
 		w.run(c, at, way)
 	default:
 		t.granted[ticket] = func() { w.run(c, at, way) }
-		w.agenda.After(request.Patience, func() {
+		w.agenda.After(request.MaxWait, func() {
 			if t.queue.Leave(ticket) {
 				w.agenda.After(way, func() { w.turnedAway(c, at) })
 			}
@@ -187,11 +187,11 @@
 func (w *world) hear(e *entry, at *bffleet.Target, took bool) {
 	t := w.targets[at.Member().Inbound]
 	used, slots := t.queue.Load()
-	at.Told(used, slots, w.agenda.Now())
-	at.ToldTrack(0, t.speed, w.agenda.Now())
+	at.ReportLoad(used, slots, w.agenda.Now())
+	at.ReportHealth(0, t.speed, w.agenda.Now())
 	at.End()
 	odds := &e.odds
-	if e.fleet.IsFar(at) {
+	if e.fleet.IsInOtherDomain(at) {
 		odds = &e.far
 	}
 	odds.Note(service, took)
@@ -225,7 +225,7 @@
 		odds = e.odds.Of(service)
 	}
 	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.began), Left: c.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(odds, w.random.Float64())
+	pause := refused.RetryAfter(odds, w.random.Float64())
 	if c.retries == 0 || w.agenda.Now().Add(pause).After(c.deadline) {
 		w.report.Refused++
 		return
