--- a/lib/bfconfig/bench_test.go
+++ b/lib/bfconfig/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// large is a state of 5,000 objects: services, policies, and mostly routes.
-func large(b *testing.B) *State {
+// largeState returns a state of 5,000 objects, most of them routes.
+func largeState(b *testing.B) *State {
 	b.Helper()
 	var ops []Op
 	for i := range 810 {
@@ -30,7 +30,7 @@
 }
 
 func BenchmarkApply5000(b *testing.B) {
-	state := large(b)
+	state := largeState(b)
 	_, delta, err := state.Propose(NewChange("one", "bench", time.UnixMilli(2), []Op{
 		Put{RouteSpec{Name: "route-7", Prefix: "/portal/seven", Service: "service-1", Policy: "policy-1"}},
 	}))
@@ -45,7 +45,7 @@
 }
 
 func BenchmarkRestore5000(b *testing.B) {
-	state := large(b)
+	state := largeState(b)
 	data, err := state.EncodeSnapshot()
 	if err != nil {
 		b.Fatal(err)
--- a/lib/bfconfig/codec.go
+++ b/lib/bfconfig/codec.go
@@ -15,8 +15,8 @@
 	"bilberryflow.org/lib/bfcodec"
 )
 
-// Deltas and snapshots are deterministic CBOR, so equal content has equal
-// bytes and the digest of an object is the hash of its encoding.
+// Deltas and snapshots are encoded as deterministic CBOR: equal content has
+// equal bytes, so the hash of an object's encoding serves as its digest.
 
 var (
 	encMode = bfcodec.Must(cbor.EncOptions{
@@ -26,16 +26,16 @@
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20,
 	}.DecMode())
-	packer   = bfcodec.Must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault)))
-	unpacker = bfcodec.Must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotSize)))
+	compressor   = bfcodec.Must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault)))
+	decompressor = bfcodec.Must(zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotSize)))
 )
 
-// maxSnapshotSize is the largest state in bytes that a node unpacks. A broken or
-// hostile frame of a few kilobytes could otherwise unpack to more than the
-// node's 128 MB and have it killed; a quarter of that is some 300,000 objects.
+// maxSnapshotSize is the maximum size, in bytes, of a decompressed snapshot. A
+// corrupt or malicious frame of a few kilobytes could otherwise expand beyond
+// the node's memory limit of 128 MB. A quarter of that holds about 300,000 objects.
 const maxSnapshotSize = 32 << 20
 
-// opWire is an operation as it travels: exactly one field is set.
+// opWire is the encoded form of an operation; exactly one field is set.
 type opWire struct {
 	Service *ServiceSpec `cbor:"1,keyasint,omitempty" json:"service,omitempty"`
 	Route   *RouteSpec   `cbor:"2,keyasint,omitempty" json:"route,omitempty"`
@@ -51,7 +51,7 @@
 	case Put:
 		return objectWire(op.Object)
 	}
-	return opWire{}, fmt.Errorf("operation of unknown type %T", op)
+	return opWire{}, fmt.Errorf("unknown operation type %T", op)
 }
 
 func objectWire(object Object) (opWire, error) {
@@ -66,7 +66,7 @@
 		o.Start, o.End = o.Start.UTC(), o.End.UTC()
 		return opWire{Event: &o}, nil
 	}
-	return opWire{}, fmt.Errorf("object of unknown type %T", object)
+	return opWire{}, fmt.Errorf("unknown object type %T", object)
 }
 
 func (w opWire) op() (Op, error) {
@@ -88,18 +88,19 @@
 		ops = append(ops, Remove{*w.Remove})
 	}
 	if len(ops) != 1 {
-		return nil, fmt.Errorf("operation with %d parts instead of one", len(ops))
+		return nil, fmt.Errorf("operation has %d fields set, want exactly 1", len(ops))
 	}
 	return ops[0], nil
 }
 
-// hashObject covers the revision too, since commits decide conflicts by it.
+// hashObject hashes the object and its revision. The revision is included
+// because commits use it to detect conflicts.
 func hashObject(object Object, revision Version) (Digest, error) {
 	wire, err := objectWire(object)
 	if err != nil {
 		return Digest{}, err
 	}
-	data, err := encMode.Marshal(objectItem{Object: wire, Revision: revision})
+	data, err := encMode.Marshal(snapshotItem{Object: wire, Revision: revision})
 	if err != nil {
 		return Digest{}, err
 	}
@@ -111,11 +112,11 @@
 	Digest  Digest   `cbor:"2,keyasint"`
 	ID      string   `cbor:"3,keyasint"`
 	Author  string   `cbor:"4,keyasint"`
-	At      int64    `cbor:"5,keyasint"` // milliseconds since 1970
+	At      int64    `cbor:"5,keyasint"` // milliseconds since the Unix epoch
 	Ops     []opWire `cbor:"6,keyasint"`
 }
 
-// Encode writes the delta in its compact form.
+// Encode encodes the delta as CBOR.
 func (d Delta) Encode() ([]byte, error) {
 	wire := deltaWire{
 		Version: d.version, Digest: d.digest, ID: d.change.id, Author: d.change.author, At: d.change.at.UnixMilli(),
@@ -130,24 +131,24 @@
 	return encMode.Marshal(wire)
 }
 
-// DecodeDelta reads what Encode wrote.
+// DecodeDelta decodes a delta encoded by Delta.Encode; invalid data gives a *bfcodec.Error.
 func DecodeDelta(data []byte) (Delta, error) {
 	var wire deltaWire
 	if err := decMode.Unmarshal(data, &wire); err != nil {
 		return Delta{}, &bfcodec.Error{What: "delta", Reason: err}
 	}
-	ops, err := wireOps(wire.Ops)
+	ops, err := opsFromWire(wire.Ops)
 	if err != nil {
 		return Delta{}, &bfcodec.Error{What: "delta", Reason: err}
 	}
 	if wire.Version == 0 || len(ops) == 0 {
-		return Delta{}, &bfcodec.Error{What: "delta", Reason: errors.New("no version or no operations")}
+		return Delta{}, &bfcodec.Error{What: "delta", Reason: errors.New("missing version or operations")}
 	}
 	change := NewChange(wire.ID, wire.Author, time.UnixMilli(wire.At), ops)
 	return Delta{version: wire.Version, digest: wire.Digest, change: change}, nil
 }
 
-func wireOps(wires []opWire) ([]Op, error) {
+func opsFromWire(wires []opWire) ([]Op, error) {
 	ops := make([]Op, 0, len(wires))
 	for _, w := range wires {
 		op, err := w.op()
@@ -159,7 +160,7 @@
 	return ops, nil
 }
 
-// EncodeOps writes operations as JSON, the form of operators' staged changes.
+// EncodeOps encodes operations as JSON, the format of staged changes.
 func EncodeOps(ops []Op) ([]byte, error) {
 	wires := make([]opWire, 0, len(ops))
 	for _, op := range ops {
@@ -172,18 +173,18 @@
 	return json.Marshal(wires)
 }
 
-// DecodeOps reads what EncodeOps wrote.
+// DecodeOps decodes operations encoded by EncodeOps; invalid data gives a *bfcodec.Error.
 func DecodeOps(data []byte) ([]Op, error) {
 	var wires []opWire
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields() // a mistyped limit must not be confirmed as no limit
+	decoder.DisallowUnknownFields() // a misspelled limit would otherwise be confirmed as no limit
 	if err := decoder.Decode(&wires); err != nil {
 		return nil, &bfcodec.Error{What: "operations", Reason: err}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, &bfcodec.Error{What: "operations", Reason: errors.New("more than one value")}
+		return nil, &bfcodec.Error{What: "operations", Reason: errors.New("trailing data after the list of operations")}
 	}
-	ops, err := wireOps(wires)
+	ops, err := opsFromWire(wires)
 	if err != nil {
 		return nil, &bfcodec.Error{What: "operations", Reason: err}
 	}
@@ -191,17 +192,17 @@
 }
 
 type snapshotWire struct {
-	Version Version      `cbor:"1,keyasint"`
-	Digest  Digest       `cbor:"2,keyasint"`
-	Objects []objectItem `cbor:"3,keyasint"`
+	Version Version        `cbor:"1,keyasint"`
+	Digest  Digest         `cbor:"2,keyasint"`
+	Objects []snapshotItem `cbor:"3,keyasint"`
 }
 
-type objectItem struct {
+type snapshotItem struct {
 	Object   opWire  `cbor:"1,keyasint"`
 	Revision Version `cbor:"2,keyasint"`
 }
 
-// EncodeSnapshot writes the whole state, compressed; equal states give equal bytes.
+// EncodeSnapshot encodes the whole state as compressed CBOR; equal states give equal bytes.
 func (s *State) EncodeSnapshot() ([]byte, error) {
 	wire := snapshotWire{Version: s.version, Digest: s.Digest()}
 	for _, kind := range Kinds() {
@@ -210,23 +211,22 @@
 			if err != nil {
 				return nil, err
 			}
-			wire.Objects = append(wire.Objects, objectItem{Object: w, Revision: s.Revision(object.Ref())})
+			wire.Objects = append(wire.Objects, snapshotItem{Object: w, Revision: s.Revision(object.Ref())})
 		}
 	}
 	data, err := encMode.Marshal(wire)
 	if err != nil {
 		return nil, err
 	}
-	return packer.EncodeAll(data, nil), nil
+	return compressor.EncodeAll(data, nil), nil
 }
 
-// Restore reads what EncodeSnapshot wrote and validates it whole.
+// Restore decodes and validates a snapshot encoded by EncodeSnapshot.
 //
-// want is the version the snapshot was asked for: one that is cut short,
-// damaged or of another version is refused, and the caller falls back to an
-// older one.
+// want is the expected version. A truncated or corrupt snapshot, or one of
+// another version, gives an error, and the caller falls back to an older snapshot.
 func Restore(data []byte, want Version) (*State, error) {
-	plain, err := unpacker.DecodeAll(data, nil)
+	plain, err := decompressor.DecodeAll(data, nil)
 	if err != nil {
 		return nil, &bfcodec.Error{What: "snapshot", Reason: err}
 	}
@@ -250,7 +250,7 @@
 		}
 		put, isPut := op.(Put)
 		if !isPut {
-			return nil, &bfcodec.Error{What: "snapshot", Reason: fmt.Errorf("holds %T", op)}
+			return nil, &bfcodec.Error{What: "snapshot", Reason: fmt.Errorf("unexpected operation %T", op)}
 		}
 		s.version = item.Revision
 		if err := s.put(put.Object); err != nil {
--- a/lib/bfconfig/digest.go
+++ b/lib/bfconfig/digest.go
@@ -7,20 +7,20 @@
 	"fmt"
 )
 
-// Digest identifies the whole content of a version.
+// Digest identifies the content of a version.
 //
-// It is the sum, modulo 2^128, of a 128-bit hash of each object and of the
-// version, so a delta updates it by its own objects alone. It guards against
-// loss and faults, not against forgery.
+// It is the sum, modulo 2^128, of the 128-bit hashes of the version number and
+// of each object, so applying a delta only rehashes the changed objects. It
+// detects corruption and software faults, but not deliberate forgery.
 type Digest [16]byte
 
-// String is the digest in hexadecimal.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// MarshalText writes the digest in hexadecimal.
+// MarshalText encodes the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads the digest in hexadecimal.
+// UnmarshalText decodes a digest in hexadecimal; it fails on another length or an invalid digit.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
 		return fmt.Errorf("digest %q has the wrong length", text)
@@ -29,7 +29,7 @@
 	return err
 }
 
-func (d Digest) plus(o Digest) Digest {
+func (d Digest) add(o Digest) Digest {
 	low := binary.LittleEndian.Uint64(d[:8]) + binary.LittleEndian.Uint64(o[:8])
 	var carry uint64
 	if low < binary.LittleEndian.Uint64(o[:8]) {
@@ -39,7 +39,7 @@
 	return digestOf(low, high)
 }
 
-func (d Digest) minus(o Digest) Digest {
+func (d Digest) subtract(o Digest) Digest {
 	lowD, lowO := binary.LittleEndian.Uint64(d[:8]), binary.LittleEndian.Uint64(o[:8])
 	var borrow uint64
 	if lowD < lowO {
--- a/lib/bfconfig/doc.go
+++ b/lib/bfconfig/doc.go
@@ -1,8 +1,8 @@
-// Package bfconfig holds the objects of configuration, the totally ordered
-// versions they form, and the pure rules between them.
+// Package bfconfig defines the configuration objects, the totally ordered
+// versions they form, and the rules that validate them.
 //
-// A State is one whole version and never changes once made. Every State that
-// exists is closed: each reference in it resolves. The only ways to make one
-// are Apply and Restore, and both validate, so no node can hold a version in
-// part or a route that points at nothing.
+// A State is an immutable, complete version in which every reference resolves.
+// States are created only by Empty, Propose, Apply and Restore. The last three
+// validate the result, so a node never has a partially applied version or a
+// route to an object that does not exist.
 package bfconfig
--- a/lib/bfconfig/hostile_test.go
+++ b/lib/bfconfig/hostile_test.go
@@ -13,16 +13,16 @@
 	"bilberryflow.org/lib/bfcodec"
 )
 
-// portal is a valid state and the delta that led to it from the one before.
-func portal(t testing.TB) (before, after *State, delta Delta) {
+// exampleStates returns two consecutive valid states and the delta between them.
+func exampleStates(t testing.TB) (before, after *State, delta Delta) {
 	t.Helper()
-	before, _, err := Empty().Propose(NewChange("first", "ada", time.UnixMilli(1), base()))
+	before, _, err := Empty().Propose(NewChange("first", "ada", time.UnixMilli(1), baseOps()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	after, delta, err = before.Propose(NewChange("second", "bo", time.UnixMilli(2), []Op{
 		Put{RouteSpec{Name: "logos", Prefix: "/logos", Methods: []string{"GET"}, Service: "a", Policy: "b"}},
-		Put{EventSpec{Name: "deadline", Start: eventTimes, End: eventTimes.Add(time.Hour),
+		Put{EventSpec{Name: "deadline", Start: eventStart, End: eventStart.Add(time.Hour),
 			Overrides: []Override{{Route: "logos", Policy: "c"}}}},
 		Remove{Ref{KindRoute, "b"}},
 	}))
@@ -32,9 +32,9 @@
 	return before, after, delta
 }
 
-func encoded(t testing.TB) (delta, snapshot []byte) {
+func encodedExamples(t testing.TB) (delta, snapshot []byte) {
 	t.Helper()
-	_, after, step := portal(t)
+	_, after, step := exampleStates(t)
 	delta, err := step.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -46,27 +46,26 @@
 	return delta, snapshot
 }
 
-// damaged calls each with data cut at every place and with every bit turned.
-func damaged(data []byte, each func([]byte)) {
+// forEachCorruption calls visit with data truncated at every length and with every single bit flipped.
+func forEachCorruption(data []byte, visit func([]byte)) {
 	for i := range data {
-		each(data[:i])
+		visit(data[:i])
 		for bit := range 8 {
 			flipped := slices.Clone(data)
 			flipped[i] ^= 1 << bit
-			each(flipped)
+			visit(flipped)
 		}
 	}
 }
 
-// A frame or an object arrives cut short, with a bit turned, or it is another
-// one's. The node must refuse it whole or get exactly the state its author
-// meant; the state it held before must not change either way.
-func TestDamagedBytesNeverHalfApply(t *testing.T) {
+// Truncated, corrupt or foreign data must be rejected or produce exactly the
+// author's state, and must never modify the current state.
+func TestCorruptInputIsNeverPartlyApplied(t *testing.T) {
 	is := is.New(t)
-	before, after, _ := portal(t)
+	before, after, _ := exampleStates(t)
 	digest := before.Digest()
-	delta, snapshot := encoded(t)
-	damaged(delta, func(data []byte) {
+	delta, snapshot := encodedExamples(t)
+	forEachCorruption(delta, func(data []byte) {
 		if decoded, err := DecodeDelta(data); err == nil {
 			if next, err := before.Apply(decoded); err == nil {
 				is.Equal(next.Digest(), after.Digest())
@@ -74,37 +73,37 @@
 		}
 		is.Equal(before.Digest(), digest)
 	})
-	damaged(snapshot, func(data []byte) {
+	forEachCorruption(snapshot, func(data []byte) {
 		if state, err := Restore(data, after.Version()); err == nil {
 			is.Equal(state.Digest(), after.Digest())
 		}
 	})
-	plain, err := unpacker.DecodeAll(snapshot, nil)
+	plain, err := decompressor.DecodeAll(snapshot, nil)
 	is.NoErr(err)
-	damaged(plain, func(data []byte) { // past zstd's own checksum
-		if state, err := Restore(packer.EncodeAll(data, nil), after.Version()); err == nil {
+	forEachCorruption(plain, func(data []byte) { // bypasses zstd's checksum
+		if state, err := Restore(compressor.EncodeAll(data, nil), after.Version()); err == nil {
 			is.Equal(state.Digest(), after.Digest())
 		}
 	})
-	var version *VersionError
+	var versionErr *VersionError
 	_, err = Restore(snapshot, after.Version()+1)
-	is.True(errors.As(err, &version))
+	is.True(errors.As(err, &versionErr))
 	var codec *bfcodec.Error
-	for _, foreign := range [][]byte{nil, delta, []byte("GET / HTTP/1.1\r\n\r\n"), {0xf6}, {0xa0}, {0x80}} {
-		_, err = Restore(foreign, after.Version())
+	for _, invalid := range [][]byte{nil, delta, []byte("GET / HTTP/1.1\r\n\r\n"), {0xf6}, {0xa0}, {0x80}} {
+		_, err = Restore(invalid, after.Version())
 		is.True(errors.As(err, &codec))
 	}
-	for _, foreign := range [][]byte{nil, snapshot, []byte("GET / HTTP/1.1\r\n\r\n"), {0xf6}, {0xa0}, {0x80}} {
-		_, err = DecodeDelta(foreign)
+	for _, invalid := range [][]byte{nil, snapshot, []byte("GET / HTTP/1.1\r\n\r\n"), {0xf6}, {0xa0}, {0x80}} {
+		_, err = DecodeDelta(invalid)
 		is.True(errors.As(err, &codec))
 	}
 }
 
-// An operator's client sends a change whose author is not UTF-8. Were it
-// committed, its row could be written but never read: every node would stay at
-// the version before it, and no later change could reach any of them.
-func TestChangeThatNoNodeCouldReadIsRefused(t *testing.T) {
-	before, _, _ := portal(t)
+// A change that can be encoded but not decoded, such as one with an author that
+// is not UTF-8, must be rejected. Once committed, it would block every node at
+// the preceding version.
+func TestUndecodableChangeIsRejected(t *testing.T) {
+	before, _, _ := exampleStates(t)
 	ops := []Op{Put{ServiceSpec{Name: "new"}}}
 	long := strings.Repeat("x", 200)
 	for _, c := range []struct{ id, author, field string }{
@@ -114,16 +113,16 @@
 		t.Run(fmt.Sprintf("%q by %q", c.id, c.author), func(t *testing.T) {
 			is := is.New(t)
 			_, _, err := before.Propose(NewChange(c.id, c.author, time.UnixMilli(1), ops))
-			var wrong *ChangeError
-			is.True(errors.As(err, &wrong))
-			is.Equal(wrong.Field, c.field)
+			var changeErr *ChangeError
+			is.True(errors.As(err, &changeErr))
+			is.Equal(changeErr.Field, c.field)
 		})
 	}
 }
 
-// A change that can be staged must be storable as JSON too: a time beyond the
-// year 9999 is valid in CBOR and impossible in the form of staged changes.
-func TestEventTimesHaveBothForms(t *testing.T) {
+// A year beyond 9999 is valid in CBOR but not in JSON, the format of staged
+// changes, so it must be rejected.
+func TestEventTimesFitBothEncodings(t *testing.T) {
 	is := is.New(t)
 	for _, year := range []int{1, 1969, 10_000} {
 		start := time.Date(year, 5, 1, 0, 0, 0, 0, time.UTC)
@@ -132,7 +131,7 @@
 		var field *FieldError
 		is.True(errors.As(err, &field))
 	}
-	_, _, delta := portal(t)
+	_, _, delta := exampleStates(t)
 	data, err := EncodeOps(delta.Change().Ops())
 	is.NoErr(err)
 	ops, err := DecodeOps(data)
@@ -142,9 +141,9 @@
 	is.True(Equal(event, delta.Change().Ops()[1].(Put).Object))
 }
 
-// An operator mistypes a field. Taken silently, the change would be confirmed
-// without what it was made for, and a class would run without its limit.
-func TestMistypedFieldIsRefused(t *testing.T) {
+// A misspelled field must be rejected. If it were ignored, a change could be
+// confirmed without the limit that it was meant to set.
+func TestUnknownFieldIsRejected(t *testing.T) {
 	is := is.New(t)
 	var codec *bfcodec.Error
 	for _, text := range []string{
@@ -152,34 +151,34 @@
 		`[{"service":{"name":"a"},"remove":{"kind":"service","name":"a"}}]`,
 	} {
 		_, err := DecodeOps([]byte(text))
-		is.True(errors.As(err, &codec)) // refused
+		is.True(errors.As(err, &codec)) // rejected
 	}
 }
 
-// A node's memory is 128 MB. A frame of a few kilobytes that unpacks to more
-// would have it killed, and with it every request it carries.
-func TestSnapshotThatUnpacksWithoutBoundIsRefused(t *testing.T) {
+// A small frame that decompresses beyond the node's memory limit of 128 MB
+// must be rejected, or the process would be killed.
+func TestOversizedSnapshotIsRejected(t *testing.T) {
 	is := is.New(t)
-	bomb := packer.EncodeAll(make([]byte, maxSnapshotSize+1), nil)
+	bomb := compressor.EncodeAll(make([]byte, maxSnapshotSize+1), nil)
 	_, err := Restore(bomb, 1)
 	var codec *bfcodec.Error
 	is.True(errors.As(err, &codec))
-	is.True(maxSnapshotSize <= 32<<20) // a quarter of the node's memory
+	is.True(maxSnapshotSize <= 32<<20) // a quarter of the node's memory limit
 }
 
 func FuzzDecodeDelta(f *testing.F) {
-	delta, snapshot := encoded(f)
+	delta, snapshot := encodedExamples(f)
 	f.Add(delta)
 	f.Add(snapshot)
 	f.Add([]byte{0xf6})
-	before, after, _ := portal(f)
+	before, after, _ := exampleStates(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		decoded, err := DecodeDelta(data)
 		if err != nil {
 			return
 		}
 		if _, err := decoded.Encode(); err != nil {
-			t.Fatalf("read but not writable: %v", err)
+			t.Fatalf("decoded delta can't be encoded: %v", err)
 		}
 		if next, err := before.Apply(decoded); err == nil && next.Version() != after.Version() {
 			t.Fatalf("applied to version %d", next.Version())
@@ -188,7 +187,7 @@
 }
 
 func FuzzRestore(f *testing.F) {
-	delta, snapshot := encoded(f)
+	delta, snapshot := encodedExamples(f)
 	f.Add(snapshot)
 	f.Add(delta)
 	f.Add([]byte{})
@@ -199,10 +198,10 @@
 		}
 		again, err := state.EncodeSnapshot()
 		if err != nil {
-			t.Fatalf("read but not writable: %v", err)
+			t.Fatalf("restored snapshot can't be encoded: %v", err)
 		}
 		if same, err := Restore(again, 2); err != nil || same.Digest() != state.Digest() {
-			t.Fatalf("changed on the way: %v", err)
+			t.Fatalf("snapshot changed by encoding and restoring: %v", err)
 		}
 	})
 }
--- a/lib/bfconfig/main_test.go
+++ b/lib/bfconfig/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that every run draws the same cases.
+// TestMain sets a fixed seed so that every run generates the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "500"} {
--- a/lib/bfconfig/naive_test.go
+++ b/lib/bfconfig/naive_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// naive is a version as a plain map; every step copies and checks all of it.
-type naive struct {
+// referenceState is a simple model of State that copies and checks every object at each step.
+type referenceState struct {
 	version Version
 	objects map[Ref]entry
 }
 
-// next runs the operations and collects the kind of every fault of the result.
-func (n naive) next(ops []Op) (naive, map[string]bool) {
-	after := naive{version: n.version + 1, objects: maps.Clone(n.objects)}
+// next applies the operations and collects the types of all errors in the result.
+func (n referenceState) next(ops []Op) (referenceState, map[string]bool) {
+	after := referenceState{version: n.version + 1, objects: maps.Clone(n.objects)}
 	faults := map[string]bool{}
 	fault := func(err error) { faults[fmt.Sprintf("%T", err)] = true }
 	if len(ops) == 0 {
@@ -39,19 +39,19 @@
 		delete(after.objects, op.Target())
 	}
 	for _, a := range after.objects {
-		for _, needed := range a.object.references() {
-			if _, found := after.objects[needed]; !found {
+		for _, required := range a.object.references() {
+			if _, found := after.objects[required]; !found {
 				fault(&DanglingError{})
 			}
 		}
 		for _, b := range after.objects {
-			after.compare(a.object, b.object, fault)
+			after.checkConflict(a.object, b.object, fault)
 		}
 	}
 	return after, faults
 }
 
-func (naive) compare(a, b Object, fault func(error)) {
+func (referenceState) checkConflict(a, b Object, fault func(error)) {
 	if a.Ref() == b.Ref() {
 		return
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// digest adds up all hashes with math/big.
-func (n naive) digest(t *rapid.T) Digest {
+// digest computes the sum of all hashes with math/big.
+func (n referenceState) digest(t *rapid.T) Digest {
 	sum := new(big.Int)
 	add := func(d Digest) {
 		slices.Reverse(d[:])
@@ -99,20 +99,20 @@
 	return d
 }
 
-// same fails unless the state is exactly the naive version.
-func (n naive) same(t *rapid.T, s *State) {
+// requireEqual fails the test unless s equals the reference state.
+func (n referenceState) requireEqual(t *rapid.T, s *State) {
 	if s.Version() != n.version || s.Len() != len(n.objects) || s.Digest() != n.digest(t) {
-		t.Fatalf("version %d with %d objects, naive: %d with %d", s.Version(), s.Len(), n.version, len(n.objects))
+		t.Fatalf("version %d with %d objects, reference: version %d with %d", s.Version(), s.Len(), n.version, len(n.objects))
 	}
 	for ref, e := range n.objects {
 		object, found := s.Object(ref)
 		if !found || !Equal(object, e.object) || s.Revision(ref) != e.revision {
-			t.Fatalf("%s at revision %d, naive: %d", ref, s.Revision(ref), e.revision)
+			t.Fatalf("%s at revision %d, reference: %d", ref, s.Revision(ref), e.revision)
 		}
 	}
 }
 
-var eventTimes = time.Date(2026, 10, 1, 8, 0, 0, 0, time.FixedZone("CEST", 7200))
+var eventStart = time.Date(2026, 10, 1, 8, 0, 0, 0, time.FixedZone("CEST", 7200))
 
 func drawOp(t *rapid.T) Op {
 	name := func(label string) string {
@@ -135,7 +135,7 @@
 			Methods: rapid.SampledFrom([][]string{nil, nil, {}, {"GET"}, {"GET", "POST"}, {"PUT"}}).Draw(t, "methods"),
 		}}
 	default:
-		start := eventTimes.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "start")) * time.Hour)
+		start := eventStart.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "start")) * time.Hour)
 		length := time.Duration(rapid.IntRange(0, 3).Draw(t, "length")) * time.Hour
 		event := EventSpec{Name: ref.Name, Start: start, End: start.Add(length)}
 		for range rapid.IntRange(0, 2).Draw(t, "overrides") {
@@ -145,8 +145,8 @@
 	}
 }
 
-// base gives every draw a chance to be valid: routes and events need something to point at.
-func base() []Op {
+// baseOps returns objects that generated routes and events can refer to.
+func baseOps() []Op {
 	var ops []Op
 	for _, name := range []string{"a", "b", "c"} {
 		ops = append(ops,
@@ -157,44 +157,44 @@
 	return ops
 }
 
-// Every node must come to the same state as its author, or refuse the whole
-// change. The real code updates counts and sums by the operations alone; the
-// naive one looks at everything each time. Where they differ, a node would
-// hold a dangling route, or report a digest that no other node has.
-func TestStateMatchesNaive(t *testing.T) {
-	accepted, refused := 0, map[string]int{}
+// The incremental validation and digest must agree with a reference that checks
+// every object at each step. Otherwise a node could have a dangling route, or a
+// digest that differs from every other node's.
+func TestStateMatchesReference(t *testing.T) {
+	accepted, rejected := 0, map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		real, model := Empty(), naive{objects: map[Ref]entry{}}
+		real, model := Empty(), referenceState{objects: map[Ref]entry{}}
 		for step := range 25 {
 			ops := rapid.SliceOfN(rapid.Custom(drawOp), min(step%8, 1), 3).Draw(t, "ops")
 			if step == 0 {
-				ops = base()
+				ops = baseOps()
 			}
 			expected, faults := model.next(ops)
-			change := NewChange(fmt.Sprint("c", step), "ada", eventTimes, ops)
+			change := NewChange(fmt.Sprint("c", step), "ada", eventStart, ops)
 			next, delta, err := real.Propose(change)
 			if (err == nil) != (len(faults) == 0) || err != nil && !faults[fmt.Sprintf("%T", err)] {
-				t.Fatalf("%T (%v), naive: %v", err, err, faults)
+				t.Fatalf("%T (%v), reference: %v", err, err, faults)
 			}
-			model.same(t, real)
+			model.requireEqual(t, real)
 			if err != nil {
-				refused[fmt.Sprintf("%T", err)]++
+				rejected[fmt.Sprintf("%T", err)]++
 				continue
 			}
 			accepted++
-			expected.same(t, next)
-			real, model = travel(t, real, delta), expected
-			model.same(t, real)
+			expected.requireEqual(t, next)
+			real, model = roundTrip(t, real, delta), expected
+			model.requireEqual(t, real)
 		}
 	})
-	t.Logf("accepted %d, refused %v", accepted, refused)
-	if accepted == 0 || len(refused) < 6 {
-		t.Fatal("the cases drawn reach too little")
+	t.Logf("accepted %d, rejected %v", accepted, rejected)
+	if accepted == 0 || len(rejected) < 6 {
+		t.Fatal("the generated cases cover too few errors")
 	}
 }
 
-// travel takes the state to another node: the delta by its bytes, then the whole as a snapshot.
-func travel(t *rapid.T, s *State, delta Delta) *State {
+// roundTrip applies the delta after encoding and decoding it, then encodes and
+// restores the result as a snapshot.
+func roundTrip(t *rapid.T, s *State, delta Delta) *State {
 	data, err := delta.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 	}
 	again, err := decoded.Encode()
 	if err != nil || !slices.Equal(data, again) {
-		t.Fatalf("delta changed on the way: %v", err)
+		t.Fatalf("delta changed by encoding and decoding: %v", err)
 	}
 	next, err := s.Apply(decoded)
 	if err != nil {
--- a/lib/bfconfig/object.go
+++ b/lib/bfconfig/object.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// Version is a place in the one total order of configurations; 0 is the empty one.
+// Version is the sequence number of a configuration; versions are totally
+// ordered, and version 0 is the empty configuration.
 type Version uint64
 
-// Kind is what an object is.
+// Kind is the type of a configuration object.
 type Kind string
 
 // The kinds of objects.
@@ -18,103 +19,104 @@
 	KindPolicy  Kind = "policy"
 )
 
-// Kinds lists every kind in the order in which pages show them.
+// Kinds returns all kinds in display order.
 func Kinds() []Kind { return []Kind{KindEvent, KindService, KindRoute, KindPolicy} }
 
-// Ref names one object.
+// Ref identifies an object by kind and name.
 type Ref struct {
 	Kind Kind   `json:"kind" cbor:"1,keyasint"`
 	Name string `json:"name" cbor:"2,keyasint"`
 }
 
-// String is the form of operators' commands.
+// String returns the form used in operators' commands, such as "route home".
 func (r Ref) String() string { return string(r.Kind) + " " + r.Name }
 
-// Object is the sealed set of configuration objects: ServiceSpec, RouteSpec, PolicySpec and EventSpec.
+// Object is a configuration object: ServiceSpec, RouteSpec, PolicySpec or EventSpec.
 //
-// A spec is a message: it is what operators write and what travels. Values of
-// specs inside a State are never changed.
+// Specs are the format that operators write and that nodes exchange. Specs
+// inside a State must not be modified.
 type Object interface {
-	// Ref is the object's kind and name.
+	// Ref returns the object's kind and name.
 	Ref() Ref
-	// references lists what must exist for this object to be valid.
+	// references lists the objects that must exist for this one to be valid.
 	references() []Ref
-	// check validates the object by itself.
+	// check validates the object's own fields.
 	check() error
 }
 
-// References lists what must exist for object to be valid.
+// References lists the objects that must exist for object to be valid.
 func References(object Object) []Ref { return object.references() }
 
-// ServiceSpec is a set of target instances that answer the same requests.
+// ServiceSpec describes a set of interchangeable target instances.
 type ServiceSpec struct {
 	Name string `json:"name" cbor:"1,keyasint"`
-	// Slots is how many requests one target runs at once, where the target announces no number.
+	// Slots is the number of concurrent requests per target, for targets that announce no number.
 	Slots int `json:"slots,omitempty" cbor:"2,keyasint,omitempty"`
-	// ColdStart is how long a new target takes to reach its full rate.
+	// ColdStart is how long a newly started target takes to reach its full rate.
 	ColdStart time.Duration `json:"coldStart,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// RouteSpec sends requests by method and path prefix to a service under a policy.
+// RouteSpec routes requests by method and path prefix to a service and applies a policy.
 type RouteSpec struct {
 	Name string `json:"name" cbor:"1,keyasint"`
-	// Prefix is matched on whole path segments; the longest prefix wins.
+	// Prefix matches whole path segments; the longest matching prefix wins.
 	Prefix string `json:"prefix" cbor:"2,keyasint"`
-	// Methods are the HTTP methods of the route; none means every method.
+	// Methods lists the HTTP methods of the route; empty means every method.
 	Methods []string `json:"methods,omitempty" cbor:"3,keyasint,omitempty"`
 	Service string   `json:"service" cbor:"4,keyasint"`
 	Policy  string   `json:"policy" cbor:"5,keyasint"`
 }
 
-// PolicySpec says how one class of request may be treated.
+// PolicySpec defines limits, retries and priority for a class of requests.
 type PolicySpec struct {
 	Name string `json:"name" cbor:"1,keyasint"`
-	// Class labels the requests in admission and metrics.
+	// Class identifies the requests in admission control and metrics.
 	Class string `json:"class" cbor:"2,keyasint"`
-	// Idempotent requests may be sent again; all others run at most once.
+	// Idempotent allows requests to be retried; all others run at most once.
 	Idempotent bool `json:"idempotent,omitempty" cbor:"3,keyasint,omitempty"`
-	// Deadline bounds a request that brings none, and caps one that does.
+	// Deadline is the default and the maximum deadline of a request.
 	Deadline time.Duration `json:"deadline" cbor:"4,keyasint"`
-	// Priority orders classes at a full target: the higher one goes first.
+	// Priority orders classes at a saturated target; higher values go first.
 	Priority int `json:"priority,omitempty" cbor:"5,keyasint,omitempty"`
-	// Queue is how many requests of the class may wait at one target.
+	// Queue is the maximum number of requests of the class that wait at one target.
 	Queue int `json:"queue,omitempty" cbor:"6,keyasint,omitempty"`
-	// Concurrency caps the class's slots at one target; 0 means no cap.
+	// Concurrency is the maximum number of slots of the class at one target; 0 means no limit.
 	Concurrency int `json:"concurrency,omitempty" cbor:"7,keyasint,omitempty"`
-	// RetryPercent is the share of recent successes that may be retried.
+	// RetryPercent is the retry budget, as a percentage of recent successful requests.
 	RetryPercent int `json:"retryPercent,omitempty" cbor:"8,keyasint,omitempty"`
-	// TenantLimit caps one tenant's slots at one target; 0 means no cap.
+	// TenantLimit is the maximum number of slots of one tenant at one target; 0 means no limit.
 	TenantLimit int `json:"tenantLimit,omitempty" cbor:"9,keyasint,omitempty"`
-	// DurableKeys has callers' idempotency keys claimed in the table, so that they hold across instances.
+	// DurableKeys stores claims of callers' idempotency keys in the table, so
+	// that they are valid across instances.
 	DurableKeys bool `json:"durableKeys,omitempty" cbor:"10,keyasint,omitempty"`
 }
 
-// EventSpec changes the policies of routes between a fixed start and end.
+// EventSpec overrides the policies of routes between a start and an end time.
 type EventSpec struct {
 	Name  string    `json:"name" cbor:"1,keyasint"`
 	Start time.Time `json:"start" cbor:"2,keyasint"`
 	End   time.Time `json:"end" cbor:"3,keyasint"`
-	// WarmUp is how long before the start nodes open connections to the services of its routes.
+	// WarmUp is how long before the start nodes begin to open connections to the services of its routes.
 	WarmUp    time.Duration `json:"warmUp,omitempty" cbor:"4,keyasint,omitempty"`
 	Overrides []Override    `json:"overrides,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
-// Override puts a route under another policy while its event lasts.
+// Override replaces the policy of a route during an event.
 type Override struct {
 	Route  string `json:"route" cbor:"1,keyasint"`
 	Policy string `json:"policy" cbor:"2,keyasint"`
 }
 
-// Ref is the service's kind and name.
+// Ref returns the service's kind and name.
 func (s ServiceSpec) Ref() Ref { return Ref{KindService, s.Name} }
 
-// Ref is the route's kind and name.
+// Ref returns the route's kind and name.
 func (s RouteSpec) Ref() Ref { return Ref{KindRoute, s.Name} }
 
-// Ref is the policy's kind and name.
+// Ref returns the policy's kind and name.
 func (s PolicySpec) Ref() Ref { return Ref{KindPolicy, s.Name} }
 
-// Ref is the event's kind and name.
+// Ref returns the event's kind and name.
 func (s EventSpec) Ref() Ref { return Ref{KindEvent, s.Name} }
 
 func (s ServiceSpec) references() []Ref { return nil }
--- a/lib/bfconfig/state.go
+++ b/lib/bfconfig/state.go
@@ -9,49 +9,49 @@
 	"slices"
 )
 
-// entry is an object as a state holds it.
+// entry is an object in a state with its metadata.
 type entry struct {
 	object Object
-	// revision is the version that put the object as it is.
+	// revision is the version in which the object was last put.
 	revision Version
 	hash     Digest
 }
 
-// State is one whole version; it never changes once made.
+// State is one complete version of the configuration; it is immutable.
 type State struct {
 	version Version
 	objects map[Ref]entry
-	// referrers counts, for each object, the objects that need it.
+	// referrers counts the references to each object.
 	referrers map[Ref]int
-	// sum is the digest of the objects without the version.
-	sum Digest
+	// objectsDigest is the sum of the object hashes, without the hash of the version.
+	objectsDigest Digest
 }
 
-// Empty is version 0, with no objects.
+// Empty returns version 0, which has no objects.
 func Empty() *State {
 	return &State{objects: map[Ref]entry{}, referrers: map[Ref]int{}}
 }
 
-// Version is the state's place in the total order.
+// Version returns the version number of the state.
 func (s *State) Version() Version { return s.version }
 
-// Digest identifies the state's whole content and its version.
-func (s *State) Digest() Digest { return s.sum.plus(hashVersion(s.version)) }
+// Digest returns the digest of the state's content and version.
+func (s *State) Digest() Digest { return s.objectsDigest.add(hashVersion(s.version)) }
 
-// Len is how many objects the state has.
+// Len returns the number of objects.
 func (s *State) Len() int { return len(s.objects) }
 
-// Object returns the object that ref names.
+// Object returns the object that ref identifies, and whether it exists.
 func (s *State) Object(ref Ref) (Object, bool) {
 	e, found := s.objects[ref]
 	return e.object, found
 }
 
-// Revision is the version that last put the object that ref names, 0 where there is none.
+// Revision returns the version in which the object was last put, 0 if it does not exist.
 func (s *State) Revision(ref Ref) Version { return s.objects[ref].revision }
 
-// All gives the objects of a kind in no order, for those who need none: sorting
-// thousands of them is most of what building a view would cost.
+// All iterates over the objects of a kind in no particular order. It avoids the
+// sort of Objects, which would dominate the cost of building a view.
 func (s *State) All(kind Kind) iter.Seq[Object] {
 	return func(yield func(Object) bool) {
 		for ref, e := range s.objects {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Objects lists the objects of a kind by name.
+// Objects returns the objects of a kind, sorted by name.
 func (s *State) Objects(kind Kind) []Object {
 	var list []Object
 	for ref, e := range s.objects {
@@ -74,7 +74,7 @@
 	return list
 }
 
-// DanglingError reports a reference that would not resolve.
+// DanglingError reports a reference to an object that does not exist.
 type DanglingError struct {
 	From    Ref
 	Missing Ref
@@ -91,19 +91,19 @@
 // Error names the object.
 func (e *MissingError) Error() string { return fmt.Sprintf("%s does not exist", e.Ref) }
 
-// AmbiguousError reports two routes that would match the same request equally.
+// AmbiguousError reports two routes with the same prefix and a method in common.
 type AmbiguousError struct {
 	First, Second Ref
 	Prefix        string
 	Method        string
 }
 
-// Error names both routes and what they share.
+// Error names both routes, the method and the prefix.
 func (e *AmbiguousError) Error() string {
 	return fmt.Sprintf("%s and %s both match %s %s", e.First, e.Second, e.Method, e.Prefix)
 }
 
-// OverlapError reports two events that put one route under two policies at the same time.
+// OverlapError reports two events that override the policy of one route at the same time.
 type OverlapError struct {
 	First, Second Ref
 	Route         string
@@ -120,18 +120,18 @@
 // Error names the change.
 func (e *EmptyChangeError) Error() string { return fmt.Sprintf("change %q has no operations", e.ID) }
 
-// Propose builds the version after s that change leads to, and the delta to it.
+// Propose applies change to s and returns the next version and the delta to it.
 //
-// On an error s is what it was and nothing of the change exists anywhere.
+// It does not modify s. It fails if the change or the resulting state is invalid.
 func (s *State) Propose(change Change) (*State, Delta, error) {
-	next, err := s.run(change)
+	next, err := s.applyChange(change)
 	if err != nil {
 		return nil, Delta{}, err
 	}
 	return next, Delta{version: next.version, digest: next.Digest(), change: change}, nil
 }
 
-// VersionError reports a delta for another version than the one after the state's.
+// VersionError reports a delta or a snapshot of an unexpected version.
 type VersionError struct {
 	Held, Delta Version
 }
@@ -141,7 +141,7 @@
 	return fmt.Sprintf("delta to version %d does not apply to version %d", e.Delta, e.Held)
 }
 
-// DigestError reports that a version came out with another content than its author's.
+// DigestError reports that the content of a version differs from the content its author produced.
 type DigestError struct {
 	Version   Version
 	Got, Want Digest
@@ -152,15 +152,16 @@
 	return fmt.Sprintf("version %d has digest %s instead of %s", e.Version, e.Got, e.Want)
 }
 
-// Apply builds the version that delta leads to.
+// Apply returns the version that delta produces.
 //
-// The result is checked whole before anyone can see it: on an error the older
-// version stays in force, so a bad version is never applied in part.
+// It does not modify s and validates the result before returning it, so a
+// version is never partially applied. It fails with a VersionError if delta
+// does not follow s, and with a DigestError if the content differs.
 func (s *State) Apply(delta Delta) (*State, error) {
 	if delta.version != s.version+1 {
 		return nil, &VersionError{Held: s.version, Delta: delta.version}
 	}
-	next, err := s.run(delta.change)
+	next, err := s.applyChange(delta.change)
 	if err != nil {
 		return nil, err
 	}
@@ -170,8 +171,8 @@
 	return next, nil
 }
 
-// run is the one place where operations change a state; it validates the result.
-func (s *State) run(change Change) (*State, error) {
+// applyChange applies the operations to a copy of s and validates the result.
+func (s *State) applyChange(change Change) (*State, error) {
 	if len(change.ops) == 0 {
 		return nil, &EmptyChangeError{ID: change.id}
 	}
@@ -179,10 +180,10 @@
 		return nil, err
 	}
 	next := &State{
-		version:   s.version + 1,
-		objects:   maps.Clone(s.objects),
-		referrers: maps.Clone(s.referrers),
-		sum:       s.sum,
+		version:       s.version + 1,
+		objects:       maps.Clone(s.objects),
+		referrers:     maps.Clone(s.referrers),
+		objectsDigest: s.objectsDigest,
 	}
 	for _, op := range change.ops {
 		switch op := op.(type) {
@@ -191,11 +192,11 @@
 				return nil, err
 			}
 		case Remove:
-			if !next.drop(op.Ref) {
+			if !next.remove(op.Ref) {
 				return nil, &MissingError{Ref: op.Ref}
 			}
 		default:
-			return nil, fmt.Errorf("operation of unknown type %T", op)
+			return nil, fmt.Errorf("unknown operation type %T", op)
 		}
 	}
 	if err := next.validate(change.ops); err != nil {
@@ -206,7 +207,7 @@
 
 func (s *State) put(object Object) error {
 	if object == nil {
-		return errors.New("operation without an object")
+		return errors.New("put operation has no object")
 	}
 	if err := object.check(); err != nil {
 		return err
@@ -216,38 +217,38 @@
 		return err
 	}
 	ref := object.Ref()
-	s.drop(ref)
+	s.remove(ref)
 	s.objects[ref] = entry{object: object, revision: s.version, hash: hash}
-	s.sum = s.sum.plus(hash)
-	for _, needed := range object.references() {
-		s.referrers[needed]++
+	s.objectsDigest = s.objectsDigest.add(hash)
+	for _, required := range object.references() {
+		s.referrers[required]++
 	}
 	return nil
 }
 
-func (s *State) drop(ref Ref) bool {
+func (s *State) remove(ref Ref) bool {
 	e, found := s.objects[ref]
 	if !found {
 		return false
 	}
 	delete(s.objects, ref)
-	s.sum = s.sum.minus(e.hash)
-	for _, needed := range e.object.references() {
-		if s.referrers[needed]--; s.referrers[needed] == 0 {
-			delete(s.referrers, needed)
+	s.objectsDigest = s.objectsDigest.subtract(e.hash)
+	for _, required := range e.object.references() {
+		if s.referrers[required]--; s.referrers[required] == 0 {
+			delete(s.referrers, required)
 		}
 	}
 	return true
 }
 
-// validate checks what ops could have broken; the state before them was valid.
+// validate checks the objects affected by ops, assuming that the state was valid before them.
 func (s *State) validate(ops []Op) error {
 	for _, op := range ops {
 		ref := op.Target()
 		e, found := s.objects[ref]
 		if !found {
 			if s.referrers[ref] > 0 {
-				return &DanglingError{From: s.anyReferrer(ref), Missing: ref}
+				return &DanglingError{From: s.firstReferrer(ref), Missing: ref}
 			}
 			continue
 		}
@@ -257,11 +258,11 @@
 			}
 		}
 	}
-	return s.validateRivals(ops)
+	return s.validateConflicts(ops)
 }
 
-// anyReferrer finds the first object, by kind and name, that needs ref.
-func (s *State) anyReferrer(ref Ref) Ref {
+// firstReferrer returns the first object, by kind and name, that references ref.
+func (s *State) firstReferrer(ref Ref) Ref {
 	var first Ref
 	for from, e := range s.objects {
 		if slices.Contains(e.object.references(), ref) && (first == Ref{} || from.String() < first.String()) {
@@ -271,9 +272,10 @@
 	return first
 }
 
-// validateRivals refuses routes and events whose meaning would depend on an order between them.
-func (s *State) validateRivals(ops []Op) error {
-	found := s.rivals(ops)
+// validateConflicts rejects ambiguous routes and overlapping events, whose
+// effect would depend on the order of evaluation.
+func (s *State) validateConflicts(ops []Op) error {
+	candidates := s.conflictCandidates(ops)
 	for _, op := range ops {
 		e, exists := s.objects[op.Target()]
 		if !exists {
@@ -282,9 +284,9 @@
 		var err error
 		switch object := e.object.(type) {
 		case RouteSpec:
-			err = rivalRoute(object, found.routes[object.Prefix])
+			err = checkRouteConflict(object, candidates.routes[object.Prefix])
 		case EventSpec:
-			err = rivalEvent(object, found.events)
+			err = checkEventConflict(object, candidates.events)
 		case ServiceSpec, PolicySpec:
 		}
 		if err != nil {
@@ -294,16 +296,16 @@
 	return nil
 }
 
-// rivals are the objects that those of a change are compared with, by name.
-type rivals struct {
+// conflictSet holds the objects, sorted by name, that may conflict with those of a change.
+type conflictSet struct {
 	routes map[string][]RouteSpec // by prefix
 	events []EventSpec
 }
 
-// rivals reads the state once, however many operations there are: a snapshot
-// puts thousands of routes at once, and a node that restarts waits for it.
-func (s *State) rivals(ops []Op) rivals {
-	found := rivals{routes: map[string][]RouteSpec{}}
+// conflictCandidates collects the conflictSet in a single pass over the state. A pass for
+// each operation would make restoring a snapshot quadratic and delay restarts.
+func (s *State) conflictCandidates(ops []Op) conflictSet {
+	found := conflictSet{routes: map[string][]RouteSpec{}}
 	events := false
 	for _, op := range ops {
 		switch object := s.objects[op.Target()].object.(type) {
@@ -319,7 +321,7 @@
 	for _, e := range s.objects {
 		switch object := e.object.(type) {
 		case RouteSpec:
-			if list, wanted := found.routes[object.Prefix]; wanted {
+			if list, requested := found.routes[object.Prefix]; requested {
 				found.routes[object.Prefix] = append(list, object)
 			}
 		case EventSpec:
@@ -333,13 +335,13 @@
 	return found
 }
 
-func rivalRoute(route RouteSpec, samePrefix []RouteSpec) error {
-	for _, rival := range samePrefix {
-		if rival.Name == route.Name {
+func checkRouteConflict(route RouteSpec, samePrefix []RouteSpec) error {
+	for _, other := range samePrefix {
+		if other.Name == route.Name {
 			continue
 		}
-		if method, shared := sharedMethod(route.Methods, rival.Methods); shared {
-			return &AmbiguousError{First: rival.Ref(), Second: route.Ref(), Prefix: route.Prefix, Method: method}
+		if method, shared := sharedMethod(route.Methods, other.Methods); shared {
+			return &AmbiguousError{First: other.Ref(), Second: route.Ref(), Prefix: route.Prefix, Method: method}
 		}
 	}
 	return nil
@@ -354,18 +356,18 @@
 			return m, true
 		}
 	}
-	// A route for every method beside one for some is decided by the method.
+	// A route for specific methods takes precedence over one for every method.
 	return "", false
 }
 
-func rivalEvent(event EventSpec, events []EventSpec) error {
-	for _, rival := range events {
-		if rival.Name == event.Name || !rival.Start.Before(event.End) || !event.Start.Before(rival.End) {
+func checkEventConflict(event EventSpec, events []EventSpec) error {
+	for _, other := range events {
+		if other.Name == event.Name || !other.Start.Before(event.End) || !event.Start.Before(other.End) {
 			continue
 		}
 		for _, o := range event.Overrides {
-			if slices.ContainsFunc(rival.Overrides, func(r Override) bool { return r.Route == o.Route }) {
-				return &OverlapError{First: rival.Ref(), Second: event.Ref(), Route: o.Route}
+			if slices.ContainsFunc(other.Overrides, func(r Override) bool { return r.Route == o.Route }) {
+				return &OverlapError{First: other.Ref(), Second: event.Ref(), Route: o.Route}
 			}
 		}
 	}
