--- a/lib/bfcontrol/ask.go
+++ b/lib/bfcontrol/ask.go
@@ -9,17 +9,19 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Committed tells of a version that this node's commit made.
+// Committed spreads the encoded delta of a version that this node committed.
+// It fails if ctx or the loop has ended.
 func (c *Control) Committed(ctx context.Context, delta []byte) error {
 	return c.loop.Ask(ctx, func(now time.Time) { c.spreadActions(now, "", c.spreader.Committed(now, delta)) })
 }
 
-// Census asks the whole fleet what is in force.
+// Census counts the versions in force across the fleet, waiting at most wait.
+// It fails if ctx or the loop ends first.
 func (c *Control) Census(ctx context.Context, wait time.Duration) (bfcount.Tally, error) {
 	answer := make(chan bfcount.Tally, 1)
 	err := c.loop.Ask(ctx, func(now time.Time) {
 		id, actions := c.spreader.Census(now, wait)
-		c.census[id] = func(t bfcount.Tally) { answer <- t }
+		c.censuses[id] = func(t bfcount.Tally) { answer <- t }
 		c.spreadActions(now, "", actions)
 	})
 	if err != nil {
@@ -33,25 +35,27 @@
 	}
 }
 
-// Heard tells the newest version each member was heard to hold, and how long ago.
+// Heard returns the newest version that each member advertised and the time
+// since that advert, by the member's hash. It fails if ctx or the loop has ended.
 func (c *Control) Heard(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
 	versions, ages := map[uint64]bfconfig.Version{}, map[uint64]time.Duration{}
 	err := c.loop.Ask(ctx, func(now time.Time) {
-		for hash, head := range c.heard {
+		for hash, head := range c.memberHeads {
 			versions[hash], ages[hash] = head.version, now.Sub(head.at)
 		}
 	})
 	return versions, ages, err
 }
 
-// SetTarget tells the fleet of a change of the node's own target.
+// SetTarget announces the state and the slots of the node's own target to the
+// fleet. It fails if ctx or the loop has ended.
 func (c *Control) SetTarget(ctx context.Context, state bfroster.TargetState, slots int) error {
 	return c.loop.Ask(ctx, func(now time.Time) {
 		c.memberActions(now, c.members.SetTarget(now, state, uint32(slots)))
 	})
 }
 
-// Leave tells the fleet that the node stops.
+// Leave announces that the node leaves the fleet. It fails if ctx or the loop has ended.
 func (c *Control) Leave(ctx context.Context) error {
 	return c.loop.Ask(ctx, func(now time.Time) { c.memberActions(now, c.members.Leave(now)) })
 }
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -28,22 +28,22 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Datagrams is what Control needs of bfpeer.Datagrams.
+// Datagrams sends and receives datagrams; bfpeer.Datagrams implements it.
 type Datagrams interface {
 	bfpeer.Sender
 	Receive(ctx context.Context, handle func(from netip.AddrPort, data []byte) bfpeer.Purpose) error
 }
 
-// Calls is what Control needs of bfpeer.Calls.
+// Calls makes calls to peers; bfpeer.Calls implements it.
 type Calls interface {
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Parts is what a Control works with.
+// Parts holds the dependencies and the settings of a Control.
 type Parts struct {
-	// Self is the node's own row of the membership.
+	// Self is the node's own row in the membership.
 	Self bfroster.Row
-	// Seeds are peers' addresses from the settings.
+	// Seeds are the configured addresses of peers to join.
 	Seeds     []string
 	Profile   Profile
 	Table     bfstore.Table
@@ -56,60 +56,60 @@
 	Logger    *bflog.Logger
 	Metrics   *bfmetric.Registry
 	Seed      uint64
-	// Quarantine is compared with that of other members.
+	// Quarantine exchanges its digest with other members.
 	Quarantine Comparer
-	// Reincarnated is told each further incarnation that this process gets in the membership.
+	// Reincarnated is called with each new incarnation that this process takes in the membership.
 	Reincarnated func(incarnation uint64)
 }
 
-// Comparer keeps what all members are to know the same; its digest rides on their probes.
+// Comparer holds data that all members should agree on; its digest is sent with membership probes.
 type Comparer interface {
 	Digest() uint64
-	// Saw takes the digest of the member whose peer port is at an address.
+	// Saw records the digest received from the member with the given peer address.
 	Saw(address string, digest uint64)
 }
 
-// Control is a node's part in the control plane.
+// Control runs a node's part of the control plane.
 //
-// Everything but the atomics belongs to the goroutine of the loop.
+// All fields except the atomics are owned by the loop's goroutine.
 type Control struct {
-	parts    Parts
-	loop     *bfloop.Loop
-	members  *bfmember.Members
-	spreader *bfspread.Spreader
-	force    *force
-	// polls is set once the spreader polls the head.
-	polls  bool
-	share  share
-	source source
-	outbox *bfpeer.Outbox
-	rand   *rand.Rand
-	// peers maps the address of a member's datagrams to its hash.
+	parts      Parts
+	loop       *bfloop.Loop
+	members    *bfmember.Members
+	spreader   *bfspread.Spreader
+	activation *activation
+	// polling is set once the spreader polls the head.
+	polling     bool
+	publication publication
+	source      sourceStatus
+	outbox      *bfpeer.Outbox
+	rand        *rand.Rand
+	// peers maps the datagram address of each present member to the member's hash.
 	peers map[string]uint64
-	// heard is the newest head each member was heard to hold.
-	heard  map[uint64]heardHead
-	census map[uint32]func(bfcount.Tally)
-	// deliveries bounds the large messages that wait for the loop.
-	deliveries chan struct{}
+	// memberHeads holds the newest head that each member advertised.
+	memberHeads map[uint64]memberHead
+	censuses    map[uint32]func(bfcount.Tally)
+	// deliverySlots bounds the deliveries that wait for the loop.
+	deliverySlots chan struct{}
 
-	// undecodable counts messages that are none of this version.
-	undecodable *bfmetric.Counter
-	reports     *rate.Limiter
-	reported    *bfmetric.Counter
+	// undecodable counts messages that could not be decoded.
+	undecodable   *bfmetric.Counter
+	reportLimiter *rate.Limiter
+	reportCount   *bfmetric.Counter
 
 	view    atomic.Pointer[bfroute.View]
 	state   atomic.Pointer[bfconfig.State]
 	inForce atomic.Uint64
-	// inForceSince is when that version came into force, in microseconds since 1970.
+	// inForceSince is when that version was put in force, in microseconds since the Unix epoch.
 	inForceSince atomic.Int64
 }
 
-type heardHead struct {
+type memberHead struct {
 	version bfconfig.Version
 	at      time.Time
 }
 
-// New makes the control of the node that parts describes.
+// New returns a Control with the given dependencies; it fails if the membership settings are invalid.
 func New(parts Parts) (*Control, error) {
 	rng := rand.New(rand.NewPCG(parts.Seed, parts.Self.Incarnation))
 	members, err := bfmember.New(parts.Profile.Members, parts.Self, rng)
@@ -119,18 +119,18 @@
 	c := &Control{
 		parts: parts, members: members,
 		spreader: bfspread.New(parts.Profile.Spread, parts.Self, bfconfig.Empty(), rng),
-		rand:     rng, peers: map[string]uint64{}, heard: map[uint64]heardHead{},
-		census:      map[uint32]func(bfcount.Tally){},
-		deliveries:  make(chan struct{}, maxDeliveries),
-		undecodable: parts.Metrics.Counter("control_undecodable"),
-		reports:     rate.NewLimiter(reportRate, reportBurst),
-		reported:    parts.Metrics.Counter("control_reports"),
+		rand:     rng, peers: map[string]uint64{}, memberHeads: map[uint64]memberHead{},
+		censuses:      map[uint32]func(bfcount.Tally){},
+		deliverySlots: make(chan struct{}, maxPendingDeliveries),
+		undecodable:   parts.Metrics.Counter("control_undecodable"),
+		reportLimiter: rate.NewLimiter(reportRate, reportBurst),
+		reportCount:   parts.Metrics.Counter("control_reports"),
 	}
-	c.share.order = members.Order()
+	c.publication.order = members.Order()
 	c.peers[parts.Self.Peer] = parts.Self.Key().Hash
 	c.outbox = bfpeer.NewOutbox(parts.Datagrams, parts.Metrics)
-	c.source.publish(parts.Timer, parts.Metrics)
-	c.force = newForce(c)
+	c.source.registerGauges(parts.Timer, parts.Metrics)
+	c.activation = newActivation(c)
 	c.state.Store(bfconfig.Empty())
 	c.loop = bfloop.New(parts.Timer, bfloop.Core{Next: c.next, Tick: c.tick, After: c.after})
 	parts.Metrics.Gauge("config_version_held", func() int64 { return int64(c.state.Load().Version()) })
@@ -140,27 +140,28 @@
 	return c, nil
 }
 
-// View is the view in force, nil before the node has one.
+// View returns the view in force, nil before the first.
 func (c *Control) View() *bfroute.View { return c.view.Load() }
 
-// State is the newest version held, which may be ahead of the view for as long as its witnesses take.
+// State returns the newest adopted state. It can be newer than the view until
+// the node's witnesses acknowledge it.
 func (c *Control) State() *bfconfig.State { return c.state.Load() }
 
-// Self is the node's own name.
+// Self returns the ID of the node's instance.
 func (c *Control) Self() string { return c.parts.Self.ID }
 
-// Order is the membership now.
+// Order returns the current membership order.
 func (c *Control) Order() *bfroster.Order { return c.members.Order() }
 
-// Run serves the control plane until ctx ends.
+// Run runs the control plane until ctx ends.
 //
-// The cores begin before anything else comes to the loop: what a peer sent to
-// the process that ran here before may be the first thing in the socket.
+// The cores start before the loop processes any message: the socket may already
+// contain messages that peers sent to a previous process.
 func (c *Control) Run(ctx context.Context) error {
 	now := c.parts.Timer.Now()
-	c.source.begin(now)
+	c.source.recordContact(now)
 	c.memberActions(now, c.members.Start(now, c.parts.Seeds))
-	c.force.begin(now)
+	c.activation.begin(now)
 	c.parts.Group.Go("send datagrams", c.outbox.Run)
 	c.parts.Group.Go("datagrams", func(ctx context.Context) error {
 		return c.parts.Datagrams.Receive(ctx, c.receive)
@@ -170,7 +171,7 @@
 
 func (c *Control) next() time.Time {
 	next := c.members.Next()
-	for _, at := range []time.Time{c.spreader.Next(), c.force.next(), c.share.next()} {
+	for _, at := range []time.Time{c.spreader.Next(), c.activation.next(), c.publication.next()} {
 		if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
@@ -181,11 +182,11 @@
 func (c *Control) tick(now time.Time) {
 	c.memberActions(now, c.members.Tick(now))
 	c.spreadActions(now, "", c.spreader.Tick(now))
-	c.force.tick(now)
+	c.activation.tick(now)
 	c.checkAge(now)
 }
 
-// async runs fn off the loop and its result on it.
+// async runs fn on its own goroutine and passes the result to then on the loop.
 func async[T any](c *Control, name string, fn func(ctx context.Context) T, then func(now time.Time, result T)) {
 	c.parts.Group.Go(name, func(ctx context.Context) error {
 		result := fn(ctx)
@@ -195,14 +196,14 @@
 }
 
 const (
-	// reportRate and reportBurst bound the log lines that a stranger's messages can cause.
+	// reportRate (per second) and reportBurst limit the log lines that messages from unknown senders can cause.
 	reportRate  = 1
 	reportBurst = 10
 )
 
 func (c *Control) report(err error) {
-	c.reported.Add(1)
-	if c.reports.AllowN(c.parts.Timer.Now(), 1) {
+	c.reportCount.Add(1)
+	if c.reportLimiter.AllowN(c.parts.Timer.Now(), 1) {
 		c.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
 }
@@ -214,14 +215,14 @@
 			data, err := bfgossip.Encode(bfgossip.WithQuarantine(a.Message, c.parts.Self.Key().Hash, c.parts.Quarantine.Digest()))
 			c.send(a.Address, memberPurpose(a.Message), data, err)
 		case bfmember.AdvertReceived:
-			c.heardFrom(now, a)
+			c.advertReceived(now, a)
 			c.spreadActions(now, "", c.spreader.HeadAdvertised(now, a.From, bfspread.Head{
 				Version: bfconfig.Version(a.Advert.Version), Digest: a.Advert.Digest,
 			}))
 		case bfmember.Changed:
-			c.changeShare(a)
+			c.memberChanged(a)
 			if a.Old.ID != "" && a.New.Incarnation > a.Old.Incarnation && a.New.State.Present() {
-				c.force.reborn(&a.New)
+				c.activation.witnessRestarted(&a.New)
 			}
 			c.logMember(a)
 		case bfmember.Refuted:
@@ -242,35 +243,34 @@
 	}
 }
 
-// joined tells recovery of the whole membership; the order comes to it first.
+// joined passes the full membership to recovery and starts polling the head.
 //
-// Polls of the head begin here: a node that has not joined would take the fleet
-// for itself alone, and a herd that starts would read the table many times a
-// second each.
+// Before it has joined, a node would take itself for the whole fleet. If many
+// nodes started at once, each would poll the table many times a second.
 func (c *Control) joined(now time.Time) {
-	c.force.joined = true
-	c.share.stale = stale{directory: true, recovery: true}
-	c.share.at = time.Time{}
+	c.activation.joined = true
+	c.publication.pending = unpublished{directory: true, recovery: true}
+	c.publication.last = time.Time{}
 	c.after(now)
-	if !c.polls {
-		c.polls = true
+	if !c.polling {
+		c.polling = true
 		c.spreadActions(now, "", c.spreader.Start(now))
 	}
 }
 
-// heardFrom keeps what a member advertised; a stranger is not worth the memory.
-func (c *Control) heardFrom(now time.Time, a bfmember.AdvertReceived) {
+// advertReceived records the head of a member; senders that are not members are ignored to bound memory.
+func (c *Control) advertReceived(now time.Time, a bfmember.AdvertReceived) {
 	rank, member := c.members.Order().RankOf(a.From)
 	if !member {
 		return
 	}
-	c.contact(now)
+	c.recordContact(now)
 	c.parts.Quarantine.Saw(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
-	c.heard[a.From] = heardHead{bfconfig.Version(a.Advert.Version), now}
+	c.memberHeads[a.From] = memberHead{bfconfig.Version(a.Advert.Version), now}
 }
 
-// logOutage speaks for all members of the domain: their own rows stay as they
-// were, so without it the loss of a domain would leave no line in the log.
+// logOutage logs the loss or recovery of a failure domain. The members' own rows
+// don't change then, so nothing else would be logged.
 func (c *Control) logOutage(outage bfgossip.Outage) {
 	event := bflog.DomainLost
 	if !outage.Lost {
@@ -294,7 +294,7 @@
 	}
 }
 
-// spreadActions carries out what the spreader decided on a message that came from an address, if it was one.
+// spreadActions executes the spreader's actions. from is the sender's address if a message caused them, else empty.
 func (c *Control) spreadActions(now time.Time, from string, actions []bfspread.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -302,7 +302,7 @@
 			data, err := bfspread.Encode(a.Message)
 			address := a.Address
 			if address == "" {
-				// The asker is not in this node's view yet.
+				// The requesting node is not in this node's membership yet.
 				address = from
 			}
 			c.send(address, spreadPurpose(a.Message), data, err)
@@ -313,12 +313,12 @@
 		case bfspread.FetchSnapshot:
 			c.fetchSnapshot(a.AtLeast)
 		case bfspread.Adopt:
-			c.held(now, a.State)
+			c.versionAdopted(now, a.State)
 		case bfspread.RejectVersion:
-			c.refused(a)
+			c.logRejectedVersion(a)
 		case bfspread.CensusDone:
-			if answer, waiting := c.census[a.ID]; waiting {
-				delete(c.census, a.ID)
+			if answer, found := c.censuses[a.ID]; found {
+				delete(c.censuses, a.ID)
 				answer(a.Tally)
 			}
 		case bfspread.Report:
@@ -327,7 +327,7 @@
 	}
 }
 
-func (c *Control) refused(a bfspread.RejectVersion) {
+func (c *Control) logRejectedVersion(a bfspread.RejectVersion) {
 	event := bflog.VersionRefused
 	var digest *bfconfig.DigestError
 	if errors.As(a.Err, &digest) {
@@ -336,12 +336,12 @@
 	c.parts.Logger.Emit(event, slog.Uint64("version", uint64(a.Version)), bflog.Err(a.Err))
 }
 
-// held takes a version that the node now holds; it comes into force once its witnesses know.
-func (c *Control) held(now time.Time, state *bfconfig.State) {
+// versionAdopted handles a newly adopted state; it is put in force once the witnesses acknowledge it.
+func (c *Control) versionAdopted(now time.Time, state *bfconfig.State) {
 	c.state.Store(state)
 	head := bfspread.HeadOf(state)
-	// The ramps of cold targets are part of the configuration.
-	c.share.stale.directory = c.share.stale.directory || len(c.share.cold) > 0
+	// The cold start durations in the directory come from the configuration.
+	c.publication.pending.directory = c.publication.pending.directory || len(c.publication.coldTargets) > 0
 	c.members.SetAdvert(uint64(head.Version), head.Digest)
-	c.force.holds(now, state)
+	c.activation.addVersion(now, state)
 }
--- a/lib/bfcontrol/directory.go
+++ b/lib/bfcontrol/directory.go
@@ -12,77 +12,77 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// coldTarget is when a member's target was first seen cold in its incarnation.
+// coldTarget records when a member's target was first seen cold in the given incarnation.
 type coldTarget struct {
 	incarnation uint64
 	since       time.Time
 }
 
-// share is how the membership comes to those who route by it.
-type share struct {
-	// order is the one that the spreader has; the others may lack its changes.
-	order *bfroster.Order
-	stale stale
-	at    time.Time
-	cold  map[string]coldTarget
+// publication tracks which membership changes the directory and recovery have not received yet.
+type publication struct {
+	// order is the order last passed to the spreader; the others may lag behind it.
+	order       *bfroster.Order
+	pending     unpublished
+	last        time.Time
+	coldTargets map[string]coldTarget
 }
 
-// stale says who lacks changes. Most changes are suspicions and their
-// refutations, which neither of them looks at; a share at 25,000 members costs
-// some 30 ms of processor time, so those are left out.
-type stale struct{ directory, recovery bool }
+// unpublished records which consumers lack changes. Suspicions and refutations,
+// the most frequent changes, affect neither and are not published: one
+// publication takes about 30 ms of CPU time at 25,000 members.
+type unpublished struct{ directory, recovery bool }
 
-func (s stale) any() bool { return s.directory || s.recovery }
+func (u unpublished) any() bool { return u.directory || u.recovery }
 
 const (
-	// shareInterval bounds how often a changed membership is shared. The first
-	// change after a quiet time is shared at once; the members of a lost domain
-	// come one by one, and each share goes through the whole fleet.
-	shareInterval = 250 * time.Millisecond
-	// sharePerMember stretches the interval with the fleet, to three seconds at
-	// 25,000: a hundredth of a core even while members change all the time.
-	sharePerMember = 120 * time.Microsecond
+	// publishInterval is the minimum time between publications. The first change
+	// after it is published at once; later ones are batched, since each publication
+	// iterates over the whole fleet.
+	publishInterval = 250 * time.Millisecond
+	// publishIntervalPerMember lengthens the interval in large fleets, to 3 s at
+	// 25,000 members. It limits publication to about 1% of a core.
+	publishIntervalPerMember = 120 * time.Microsecond
 )
 
-// next is when a changed membership is shared, the zero time where none waits.
-func (s *share) next() time.Time {
-	if !s.stale.any() {
+// next returns when pending changes are published, the zero time if there are none.
+func (p *publication) next() time.Time {
+	if !p.pending.any() {
 		return time.Time{}
 	}
-	return s.at.Add(max(shareInterval, time.Duration(s.order.Len())*sharePerMember))
+	return p.last.Add(max(publishInterval, time.Duration(p.order.Len())*publishIntervalPerMember))
 }
 
-// after gives a changed membership to the spreader at once and to the others in time.
+// after passes a changed membership to the spreader at once and to the other consumers when it is due.
 func (c *Control) after(now time.Time) {
-	if order := c.members.Order(); order != c.share.order {
-		c.share.order = order
+	if order := c.members.Order(); order != c.publication.order {
+		c.publication.order = order
 		c.spreader.SetOrder(order)
 	}
-	if c.share.stale.any() && !now.Before(c.share.next()) {
-		c.shareNow(now)
+	if c.publication.pending.any() && !now.Before(c.publication.next()) {
+		c.publishNow(now)
 	}
 }
 
-// shareNow gives the membership to those who lack changes of it.
-func (c *Control) shareNow(now time.Time) {
-	lacking := c.share.stale
-	c.share.stale, c.share.at = stale{}, now
-	if lacking.directory {
-		c.swapDirectory(now, c.share.order)
+// publishNow passes the membership to the consumers that lack changes.
+func (c *Control) publishNow(now time.Time) {
+	pending := c.publication.pending
+	c.publication.pending, c.publication.last = unpublished{}, now
+	if pending.directory {
+		c.swapDirectory(now, c.publication.order)
 	}
-	if lacking.recovery {
-		c.force.membersChanged(now)
+	if pending.recovery {
+		c.activation.membersChanged(now)
 	}
-	if len(c.heard) > c.share.order.Len() {
-		maps.DeleteFunc(c.heard, func(hash uint64, _ heardHead) bool {
-			_, member := c.share.order.RankOf(hash)
+	if len(c.memberHeads) > c.publication.order.Len() {
+		maps.DeleteFunc(c.memberHeads, func(hash uint64, _ memberHead) bool {
+			_, member := c.publication.order.RankOf(hash)
 			return !member
 		})
 	}
 }
 
-// changeShare keeps the addresses of present members, and notes who lacks the change.
-func (c *Control) changeShare(a bfmember.Changed) {
+// memberChanged updates the peer addresses and records which consumers need the change.
+func (c *Control) memberChanged(a bfmember.Changed) {
 	hash, present := bfroster.HashID(a.New.ID), a.New.State.Present()
 	if c.peers[a.Old.Peer] == hash {
 		delete(c.peers, a.Old.Peer)
@@ -90,18 +90,18 @@
 	if present {
 		c.peers[a.New.Peer] = hash
 	}
-	came := present != (a.Old.ID != "" && a.Old.State.Present())
-	if came || a.Old.Region != a.New.Region || a.Old.Domain != a.New.Domain {
-		c.share.stale.recovery = true
+	presenceChanged := present != (a.Old.ID != "" && a.Old.State.Present())
+	if presenceChanged || a.Old.Region != a.New.Region || a.Old.Domain != a.New.Domain {
+		c.publication.pending.recovery = true
 	}
 	old := a.Old
 	old.State, old.Sequence = a.New.State, a.New.Sequence
-	if came || present && old != a.New {
-		c.share.stale.directory = true
+	if presenceChanged || present && old != a.New {
+		c.publication.pending.directory = true
 	}
 }
 
-// swapDirectory gives the order to the request path in its own terms.
+// swapDirectory replaces the members in the request path's directory.
 func (c *Control) swapDirectory(now time.Time, order *bfroster.Order) {
 	members := make([]bfdirectory.Member, 0, order.Len())
 	cold := map[string]coldTarget{}
@@ -110,15 +110,15 @@
 		members = append(members, bfdirectory.Member{
 			Home:          bfrecord.Home{Instance: row.ID, Incarnation: row.Incarnation},
 			FailureDomain: row.Domain, Service: row.Service, Inbound: row.Inbound, Peer: row.Peer,
-			Target: c.target(now, row, cold),
+			Target: c.directoryTarget(now, row, cold),
 		})
 	}
-	c.share.cold = cold
+	c.publication.coldTargets = cold
 	c.parts.Directory.Swap(members)
 }
 
-// target tells the state of a member's target, and adds one that is cold to cold.
-func (c *Control) target(now time.Time, row *bfroster.Row, cold map[string]coldTarget) bfchoice.Member {
+// directoryTarget converts the target of a member, and records it in cold if it is cold.
+func (c *Control) directoryTarget(now time.Time, row *bfroster.Row, cold map[string]coldTarget) bfchoice.Member {
 	member := bfchoice.Member{ID: row.ID, FailureDomain: row.Domain, Slots: int(row.Slots), State: bfchoice.Silent}
 	switch row.Target {
 	case bfroster.TargetReady:
@@ -135,14 +135,14 @@
 	return member
 }
 
-// coldTarget holds the start of a ramp: were it taken anew with each change of
-// the membership, a cold target would never be seen warm.
+// coldTarget returns when the target was first seen cold. It preserves the time
+// across membership changes; resetting it would restart the cold start ramp each time.
 func (c *Control) coldTarget(now time.Time, row *bfroster.Row) coldTarget {
-	held, found := c.share.cold[row.ID]
-	if !found || held.incarnation != row.Incarnation {
+	previous, found := c.publication.coldTargets[row.ID]
+	if !found || previous.incarnation != row.Incarnation {
 		return coldTarget{row.Incarnation, now}
 	}
-	return held
+	return previous
 }
 
 func (c *Control) coldStart(service string) time.Duration {
--- a/lib/bfcontrol/doc.go
+++ b/lib/bfcontrol/doc.go
@@ -1,7 +1,7 @@
-// Package bfcontrol runs a node's part in the control plane: it feeds messages,
-// times and the answers of the platform to the cores of membership, spreading
-// and recovery on one goroutine, and carries out what they decide.
+// Package bfcontrol runs a node's part of the control plane. On one goroutine, the
+// loop, it passes messages, timer ticks and the platform's replies to the
+// membership, spreading and recovery cores, and executes their actions.
 //
-// Readers on the request path never enter that goroutine: they load the view
-// and the directory, which it swaps whole.
+// The request path does not use that goroutine: it reads the view and the
+// directory, which the loop replaces atomically.
 package bfcontrol
--- a/lib/bfcontrol/head.go
+++ b/lib/bfcontrol/head.go
@@ -8,40 +8,38 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// headSearch paces the reads of the table's head by a node that starts.
+// headReads schedules reads of the table's head until the start version is decided.
 //
-// Half a failure domain that restarts while the table is away would read it
-// twice a second each, and hold it down with a thousand reads a second when it
-// comes back. So the waits between failed reads grow, with jitter, and no read
-// begins while one is out.
-type headSearch struct {
-	known, reading bool
-	at             time.Time
-	wait           time.Duration
+// It uses exponential backoff with jitter and one read at a time. Otherwise many
+// nodes that restart during a table outage would overload the table on recovery.
+type headReads struct {
+	known, inFlight bool
+	nextRead        time.Time
+	backoff         time.Duration
 }
 
 const (
-	firstHeadWait = 500 * time.Millisecond
-	maxHeadWait   = 8 * time.Second
+	minHeadBackoff = 500 * time.Millisecond
+	maxHeadBackoff = 8 * time.Second
 )
 
-func (h *headSearch) due(now time.Time) bool {
-	return !h.known && !h.reading && !now.Before(h.at)
+func (h *headReads) due(now time.Time) bool {
+	return !h.known && !h.inFlight && !now.Before(h.nextRead)
 }
 
-// ended takes the answer to a read.
-func (h *headSearch) ended(now time.Time, err error, rng *rand.Rand) {
-	h.reading, h.known = false, err == nil
-	h.wait = min(max(2*h.wait, firstHeadWait), maxHeadWait)
-	var away *bfstore.UnavailableError
-	if errors.As(err, &away) {
-		h.wait = max(h.wait, min(away.RetryAfter, maxHeadWait))
+// finished records the result of a read and schedules the next one.
+func (h *headReads) finished(now time.Time, err error, rng *rand.Rand) {
+	h.inFlight, h.known = false, err == nil
+	h.backoff = min(max(2*h.backoff, minHeadBackoff), maxHeadBackoff)
+	var unavailable *bfstore.UnavailableError
+	if errors.As(err, &unavailable) {
+		h.backoff = max(h.backoff, min(unavailable.RetryAfter, maxHeadBackoff))
 	}
-	h.at = now.Add(h.wait/2 + time.Duration(rng.Int64N(int64(h.wait))))
+	h.nextRead = now.Add(h.backoff/2 + time.Duration(rng.Int64N(int64(h.backoff))))
 }
 
-// readHead reads the head for the start, and for whoever else wants it.
-func (f *force) readHead() {
-	f.head.reading = true
-	f.control.readHead()
+// readHead reads the head for the start decision and for the spreader.
+func (act *activation) readHead() {
+	act.headReads.inFlight = true
+	act.control.readHead()
 }
--- a/lib/bfcontrol/hostile_test.go
+++ b/lib/bfcontrol/hostile_test.go
@@ -31,52 +31,54 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// sink is a network that takes everything and delivers nothing.
-type sink struct{}
+// discardNetwork accepts and discards all messages and delivers none.
+type discardNetwork struct{}
 
-func (sink) Send(netip.AddrPort, bfpeer.Purpose, []byte) error { return nil }
+func (discardNetwork) Send(netip.AddrPort, bfpeer.Purpose, []byte) error { return nil }
 
-func (sink) Receive(ctx context.Context, _ func(netip.AddrPort, []byte) bfpeer.Purpose) error {
+func (discardNetwork) Receive(ctx context.Context, _ func(netip.AddrPort, []byte) bfpeer.Purpose) error {
 	<-ctx.Done()
 	return nil
 }
 
-func (sink) Call(context.Context, string, string, any, any) error { return errors.New("nobody") }
+func (discardNetwork) Call(context.Context, string, string, any, any) error {
+	return errors.New("peer unreachable")
+}
 
-// alone makes a Control whose loop does not run, for a test to call on its own goroutine.
-func alone(tb testing.TB, datagrams Datagrams) *Control {
+// newIdleControl returns a Control whose loop is not running, so a test can call its methods directly.
+func newIdleControl(tb testing.TB, datagrams Datagrams) *Control {
 	memory := bfstore.NewMemory()
 	c, err := New(Parts{
 		Self: memberRow(0), Profile: Convergence(), Table: memory, Objects: memory,
-		Datagrams: datagrams, Calls: sink{}, Directory: bfdirectory.New("d0"), Timer: bftimer.New(1),
+		Datagrams: datagrams, Calls: discardNetwork{}, Directory: bfdirectory.New("d0"), Timer: bftimer.New(1),
 		Group: bfgroup.New(context.Background()), Logger: bflog.Discard(), Metrics: bfmetric.New(), Seed: 1,
-		Reincarnated: func(uint64) {}, Quarantine: &digests{},
+		Reincarnated: func(uint64) {}, Quarantine: &fakeComparer{},
 	})
 	is.New(tb).NoErr(err)
 	return c
 }
 
-// settled is alone with a few members, joined and with a version in force.
-func settled(tb testing.TB, now time.Time) *Control {
-	c := alone(tb, sink{})
-	c.source.begin(now)
+// newJoinedControl returns an idle Control that has joined a small fleet and has a version in force.
+func newJoinedControl(tb testing.TB, now time.Time) *Control {
+	c := newIdleControl(tb, discardNetwork{})
+	c.source.recordContact(now)
 	c.memberActions(now, c.members.Start(now, nil))
-	c.force.begin(now)
+	c.activation.begin(now)
 	c.memberActions(now, c.members.MeetingRead(now, nil, nil))
 	c.dispatch(now, "10.0.0.1:1", bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{memberRow(2), memberRow(3)}})
-	c.force.headRead(now, 0, nil)
+	c.activation.headRead(now, 0, nil)
 	c.after(now)
 	return c
 }
 
-// drain ends what the Control started.
-func (c *Control) drain() error {
+// stop stops the goroutines that the Control started and waits for them.
+func (c *Control) stop() error {
 	c.parts.Group.Cancel()
 	return c.parts.Group.Wait()
 }
 
-// samples holds a sound message of every kind.
-func samples(tb testing.TB) [][]byte {
+// sampleMessages returns a valid message of every kind, followed by short invalid ones.
+func sampleMessages(tb testing.TB) [][]byte {
 	is := is.New(tb)
 	row := memberRow(1)
 	change := bfconfig.NewChange("c", "anna", time.Unix(1e9, 0), []bfconfig.Op{bfconfig.Put{Object: bfconfig.ServiceSpec{Name: "s"}}})
@@ -130,8 +132,8 @@
 	return append(all, nil, []byte{0}, []byte{15}, []byte{31}, []byte{47}, []byte{255, 1, 2})
 }
 
-// feed gives bytes to a live Control as a datagram, and lets time pass.
-func feed(tb testing.TB, c *Control, now time.Time, data []byte) {
+// dispatchAndTick dispatches data as a datagram, then ticks the Control as time advances.
+func dispatchAndTick(tb testing.TB, c *Control, now time.Time, data []byte) {
 	if _, message := c.decode(data); message != nil {
 		c.dispatch(now, "10.0.0.1:1", message)
 	}
@@ -142,15 +144,14 @@
 	is.New(tb).True(c.View() == nil || c.View().Version() <= c.State().Version())
 }
 
-// Anyone can send a node bytes, as a datagram or by a call: messages cut short, with a bit
-// turned, of another version, empty. Whatever comes, the node goes on: a message
-// that crashes one would crash the fleet, since nodes hand on what they hear.
-func TestHostileMessagesCrashNobody(t *testing.T) {
+// Truncated, corrupted or foreign messages from any sender must not crash a node.
+// Nodes relay what they receive, so one such message could crash the whole fleet.
+func TestMalformedMessagesDoNotCrash(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	rng := rand.New(rand.NewPCG(3, 3))
-	for _, sample := range samples(t) {
-		c := settled(t, now)
-		feed(t, c, now, sample)
+	for _, sample := range sampleMessages(t) {
+		c := newJoinedControl(t, now)
+		dispatchAndTick(t, c, now, sample)
 		for i := range 150 {
 			data := slices.Clone(sample)
 			for range 1 + rng.IntN(3) {
@@ -158,30 +159,29 @@
 					data[1+rng.IntN(len(data)-1)] = byte(rng.Uint32())
 				}
 			}
-			feed(t, c, now.Add(time.Duration(i)*time.Second), data[:len(data)-rng.IntN(1+len(data)/4)])
+			dispatchAndTick(t, c, now.Add(time.Duration(i)*time.Second), data[:len(data)-rng.IntN(1+len(data)/4)])
 		}
-		is.New(t).NoErr(c.drain())
+		is.New(t).NoErr(c.stop())
 	}
 }
 
 func FuzzDispatch(f *testing.F) {
-	for _, sample := range samples(f) {
+	for _, sample := range sampleMessages(f) {
 		f.Add(sample)
 	}
 	now := time.Unix(1_800_000_000, 0)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := settled(t, now)
-		feed(t, c, now, data)
-		feed(t, c, now.Add(time.Minute), data)
-		is.New(t).NoErr(c.drain())
+		c := newJoinedControl(t, now)
+		dispatchAndTick(t, c, now, data)
+		dispatchAndTick(t, c, now.Add(time.Minute), data)
+		is.New(t).NoErr(c.stop())
 	})
 }
 
-// An empty datagram, noise as a datagram and noise in a call come to a node.
-// The operator finds each in the count of undecodable messages and nothing else.
-func TestForeignBytesAreCounted(t *testing.T) {
+// Datagrams and calls that can't be decoded must only increment a counter.
+func TestUndecodableMessagesAreCounted(t *testing.T) {
 	is := is.New(t)
-	c := alone(t, sink{})
+	c := newIdleControl(t, discardNetwork{})
 	from := netip.MustParseAddrPort("10.0.0.9:1")
 	c.receive(from, nil)
 	c.receive(from, []byte{200})
@@ -193,11 +193,10 @@
 	is.Equal(c.loop.Waiting(), 0)
 }
 
-// A node restarts while its peers still send notes to it as a witness. The first
-// that the new process reads must not crash it, or it would crash at each start
-// for as long as they repeat them.
-func TestMessageBeforeTheStart(t *testing.T) {
-	c := alone(t, sink{})
+// A message that the previous process's peers left in the socket must not crash a
+// starting node, or the node would crash at every restart while they resend it.
+func TestMessageQueuedBeforeStart(t *testing.T) {
+	c := newIdleControl(t, discardNetwork{})
 	note := witnessMessage{bfrecover.Note{Instance: "n2", Incarnation: 1, Epoch: 1, Version: 3}}
 	c.loop.Post(t.Context(), func(now time.Time) { c.dispatch(now, "10.0.0.1:1", note) })
 	c.parts.Group.Go("timer", c.parts.Timer.Run)
@@ -208,24 +207,23 @@
 	is.NoErr(c.parts.Group.Wait())
 }
 
-// stuck is a socket whose buffer is full: a send waits until the socket is closed.
-type stuck struct {
-	sink
+// blockedNetwork is a socket with a full buffer: Send blocks until ctx ends.
+type blockedNetwork struct {
+	discardNetwork
 	ctx context.Context
 }
 
-func (s stuck) Send(netip.AddrPort, bfpeer.Purpose, []byte) error {
+func (s blockedNetwork) Send(netip.AddrPort, bfpeer.Purpose, []byte) error {
 	<-s.ctx.Done()
 	return s.ctx.Err()
 }
 
-// The machine's network queue is full and a send waits. The loop must go on with
-// probes and versions and drop what it can't send; were it to wait, the fleet
-// would hold the node dead while its requests run.
-func TestFullSocketDoesNotStopTheLoop(t *testing.T) {
+// A blocked send must not block the loop; messages that can't be sent are dropped.
+// Otherwise the fleet would consider the node dead while it still serves requests.
+func TestBlockedSocketDoesNotBlockLoop(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	c := alone(t, stuck{ctx: ctx})
+	c := newIdleControl(t, blockedNetwork{ctx: ctx})
 	c.parts.Group.Go("timer", c.parts.Timer.Run)
 	c.parts.Group.Go("control", c.Run)
 	is.NoErr(c.loop.Ask(ctx, func(time.Time) {
@@ -238,34 +236,33 @@
 	c.parts.Group.Cancel()
 	is.NoErr(c.parts.Group.Wait())
 	var stopped *bfloop.StoppedError
-	is.True(errors.As(c.Leave(context.Background()), &stopped)) // asked too late, not asked for good
+	is.True(errors.As(c.Leave(context.Background()), &stopped)) // an error, not a call that blocks forever
 }
 
-// Calls with large messages come faster than a stopped loop takes them. Only a
-// bounded number may wait; without the bound each holds megabytes of a node of
-// 128 MB. Senders are told, and repeat what matters.
-func TestLargeMessagesWaitInBoundedNumber(t *testing.T) {
+// The number of deliveries waiting for a blocked loop must be bounded, since each
+// may hold megabytes. Further ones are rejected, and senders retry.
+func TestPendingDeliveriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := alone(t, sink{})
+		c := newIdleControl(t, discardNetwork{})
 		for range bfloop.QueueLength {
 			c.loop.Post(t.Context(), func(time.Time) {})
 		}
-		params, err := json.Marshal(&delivery{From: "10.0.0.1:1", Data: samples(t)[0]})
+		params, err := json.Marshal(&delivery{From: "10.0.0.1:1", Data: sampleMessages(t)[0]})
 		is.NoErr(err)
-		const calls = 4 * maxDeliveries
+		const calls = 4 * maxPendingDeliveries
 		start := time.Now()
 		results := make(chan error, calls)
 		for range calls {
 			go func() { _, err := c.deliver(t.Context(), params); results <- err }()
 		}
-		for range calls - maxDeliveries {
+		for range calls - maxPendingDeliveries {
 			var busy *BusyError
 			is.True(errors.As(<-results, &busy))
-			is.True(time.Now().Equal(start)) // told at once
+			is.True(time.Now().Equal(start)) // rejected immediately
 		}
-		for range maxDeliveries {
-			is.True(<-results != nil) // and nobody waits for good
+		for range maxPendingDeliveries {
+			is.True(<-results != nil) // no call blocks forever
 		}
 	})
 }
--- a/lib/bfcontrol/main_test.go
+++ b/lib/bfcontrol/main_test.go
@@ -7,8 +7,8 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// TestMain uses the codec once: it makes its channels at first use, and made in
-// one test's bubble of fake time they could not be used in any other.
+// TestMain initializes the codec outside of any synctest bubble. Its channels are
+// created at first use and could not be shared between bubbles.
 func TestMain(m *testing.M) {
 	data, err := bfconfig.Empty().EncodeSnapshot()
 	if err == nil {
--- a/lib/bfcontrol/platform.go
+++ b/lib/bfcontrol/platform.go
@@ -15,38 +15,38 @@
 
 const (
 	meetingPrefix = "meeting/"
-	// meetingEnd is the first key after all meeting rows.
+	// meetingEnd is the first key after the meeting rows.
 	meetingEnd = "meeting0"
-	// fetchLimit is how many deltas are read from the table at once.
+	// fetchLimit is the maximum number of deltas per table read.
 	fetchLimit = 500
 )
 
 func meetingKey(slot int) string { return fmt.Sprintf("%s%02d", meetingPrefix, slot) }
 
-type meetings struct {
+type meetingsRead struct {
 	rows []bfgossip.Meeting
 	err  error
 }
 
 func (c *Control) readMeeting() {
 	began := c.parts.Timer.Now()
-	async(c, "read meeting rows", func(ctx context.Context) meetings {
+	async(c, "read meeting rows", func(ctx context.Context) meetingsRead {
 		rows, err := c.parts.Table.Range(ctx, meetingPrefix, meetingEnd, c.parts.Profile.Members.MeetingSlots)
 		if err != nil {
-			return meetings{err: err}
+			return meetingsRead{err: err}
 		}
 		var found []bfgossip.Meeting
 		for _, row := range rows {
-			// A row that can't be read is written over by the next node that needs it.
+			// Rows that can't be decoded are skipped; the next write of the slot replaces them.
 			if meeting, err := bfgossip.DecodeMeeting(row.Value); err == nil {
 				found = append(found, meeting)
 			}
 		}
-		return meetings{rows: found}
-	}, func(now time.Time, m meetings) {
+		return meetingsRead{rows: found}
+	}, func(now time.Time, m meetingsRead) {
 		c.tableAnswered(now, began, m.err)
 		if m.err == nil {
-			c.force.metAt(m.rows)
+			c.activation.setMeetingMembers(m.rows)
 		}
 		c.memberActions(now, c.members.MeetingRead(now, m.rows, m.err))
 	})
@@ -59,7 +59,7 @@
 			c.report(err)
 			return nil
 		}
-		// Whoever comes next writes one again; nothing depends on this write.
+		// A failed write is ignored: other nodes write meeting rows too, and nothing depends on this one.
 		_ = c.parts.Table.Commit(ctx, bfstore.Transaction{
 			Writes: []bfstore.Write{{Key: meetingKey(meeting.Slot), Value: value}},
 		})
@@ -76,7 +76,7 @@
 	began := c.parts.Timer.Now()
 	async(c, "read head", c.tableHead, func(now time.Time, h headRead) {
 		c.tableAnswered(now, began, h.err)
-		c.force.headRead(now, h.version, h.err)
+		c.activation.headRead(now, h.version, h.err)
 		c.spreadActions(now, "", c.spreader.HeadRead(now, h.version, h.err))
 	})
 }
@@ -96,39 +96,39 @@
 type deltasRead struct {
 	deltas [][]byte
 	err    error
-	// whole is set where the row after the held version can't be used.
-	whole *snapshotRead
+	// snapshot is set if the delta after the current version is unusable.
+	snapshot *snapshotRead
 }
 
-// fetchDeltas reads the versions after one from the table.
+// fetchDeltas reads the deltas that follow a version from the table.
 //
-// A row may be gone or damaged. What comes before it is used; if it is the very
-// next one, no further read of rows leads past it, and the node would stay at
-// its version for good: only a snapshot does.
+// Rows may be missing or corrupt; the deltas before such a row are used. If the
+// very next row is unusable, no further read can get past it, so a snapshot is
+// loaded instead. Otherwise the node would stay at its version forever.
 func (c *Control) fetchDeltas(after bfconfig.Version) {
 	began := c.parts.Timer.Now()
 	async(c, "fetch deltas", func(ctx context.Context) deltasRead {
 		from, to := bfcommit.VersionRange(after+1, after+fetchLimit)
 		rows, err := c.parts.Table.Range(ctx, from, to, fetchLimit)
-		read := deltasRead{deltas: consecutive(after, rows), err: err}
-		// Without the look at the head, a member that advertises a version that
-		// does not exist would have others read snapshots for nothing.
+		read := deltasRead{deltas: consecutiveDeltas(after, rows), err: err}
+		// Checking the head keeps a member that advertises a nonexistent version
+		// from making other nodes load snapshots in vain.
 		if err == nil && len(read.deltas) == 0 && c.tableHead(ctx).version > after {
-			whole := c.loadSnapshot(ctx, after+1)
-			read.whole = &whole
+			snapshot := c.loadSnapshot(ctx, after+1)
+			read.snapshot = &snapshot
 		}
 		return read
 	}, func(now time.Time, d deltasRead) {
 		c.tableAnswered(now, began, d.err)
-		if d.whole != nil {
-			c.spreadActions(now, "", c.spreader.StoreSnapshot(now, d.whole.version, d.whole.data, d.whole.err))
+		if d.snapshot != nil {
+			c.spreadActions(now, "", c.spreader.StoreSnapshot(now, d.snapshot.version, d.snapshot.data, d.snapshot.err))
 		}
 		c.spreadActions(now, "", c.spreader.StoreDeltas(now, d.deltas, d.err))
 	})
 }
 
-// consecutive lists the deltas of the rows up to the first that does not follow.
-func consecutive(after bfconfig.Version, rows []bfstore.Row) [][]byte {
+// consecutiveDeltas returns the deltas up to the first row that is corrupt or out of sequence.
+func consecutiveDeltas(after bfconfig.Version, rows []bfstore.Row) [][]byte {
 	var deltas [][]byte
 	for _, row := range rows {
 		delta, err := bfconfig.DecodeDelta(row.Value)
--- a/lib/bfcontrol/profile.go
+++ b/lib/bfcontrol/profile.go
@@ -8,33 +8,32 @@
 	"bilberryflow.org/lib/bfspread"
 )
 
-// Profile is a set of control settings that were measured together; every node
-// of a fleet runs the same one.
+// Profile is a consistent set of control plane settings; all nodes of a fleet must use the same one.
 type Profile struct {
 	Members bfmember.Options
 	Spread  bfspread.Options
 	Recover bfrecover.Settings
 }
 
-// patience is longer than a process takes to start: after a herd's start the
-// witnesses are silent for a moment, and a start that does not wait for them
-// holds its versions back until every older note has lapsed.
-const patience = 5 * time.Second
+// witnessTimeout exceeds the start time of a process. When many nodes start at once,
+// witnesses don't answer at first; a start that doesn't wait for them delays
+// its versions until every older note expires.
+const witnessTimeout = 5 * time.Second
 
-// Convergence is the profile for a fleet that weighs convergence time more.
+// Convergence returns the profile that favors fast convergence over control traffic.
 func Convergence() Profile {
 	p := Profile{Members: bfmember.Convergence(), Spread: bfspread.Convergence(), Recover: bfrecover.DefaultSettings()}
-	p.Recover.WitnessTimeout = patience
-	// Five witnesses lose two and still note a version at once; three lose one,
-	// and after two lost machines some node would wait until its notes lapse.
+	p.Recover.WitnessTimeout = witnessTimeout
+	// Five witnesses tolerate the loss of two without delay. Three tolerate
+	// only one: after the loss of two machines a node could have to wait until notes expire.
 	p.Recover.Witnesses, p.Recover.Candidates = 5, 9
 	return p
 }
 
-// Bytes is the profile for a fleet that weighs control bytes more.
+// Bytes returns the profile that favors low control traffic over fast convergence.
 func Bytes() Profile {
 	p := Profile{Members: bfmember.Bytes(), Spread: bfspread.Bytes(), Recover: bfrecover.DefaultSettings()}
-	p.Recover.WitnessTimeout = patience
+	p.Recover.WitnessTimeout = witnessTimeout
 	p.Recover.Mode = bfrecover.BytesFirst
 	return p
 }
--- a/lib/bfcontrol/receive.go
+++ b/lib/bfcontrol/receive.go
@@ -11,7 +11,7 @@
 	"bilberryflow.org/lib/bfspread"
 )
 
-// receive takes one datagram.
+// receive handles one datagram and returns its traffic class.
 func (c *Control) receive(from netip.AddrPort, data []byte) bfpeer.Purpose {
 	purpose, message := c.decode(data)
 	if message == nil {
@@ -22,23 +22,23 @@
 	return purpose
 }
 
-// decode gives nil for bytes that are no message; anyone can send a datagram.
+// decode returns a nil message for data that can't be decoded; datagrams may come from any sender.
 func (c *Control) decode(data []byte) (bfpeer.Purpose, any) {
 	switch {
 	case bfgossip.Owns(data):
 		message, err := bfgossip.Decode(data)
-		return memberPurpose(message), orNil(message, err)
+		return memberPurpose(message), nilOnError(message, err)
 	case bfspread.Owns(data):
 		message, err := bfspread.Decode(data)
-		return spreadPurpose(message), orNil(message, err)
+		return spreadPurpose(message), nilOnError(message, err)
 	case ownsWitness(data):
 		message, err := decodeWitness(data)
-		return bfpeer.Witness, orNil(message, err)
+		return bfpeer.Witness, nilOnError(message, err)
 	}
 	return bfpeer.Membership, nil
 }
 
-func orNil(message any, err error) any {
+func nilOnError(message any, err error) any {
 	if err != nil {
 		return nil
 	}
@@ -50,26 +50,26 @@
 	case bfgossip.Message:
 		c.memberActions(now, c.members.Receive(now, from, message))
 	case witnessMessage:
-		c.force.receive(now, from, message)
+		c.activation.receive(now, from, message)
 	case bfspread.Message:
 		c.spreadActions(now, from, c.spreader.Receive(now, c.peers[from], message))
 	}
 }
 
-// Methods are the calls that Control answers.
+// Methods returns the calls that Control serves.
 func (c *Control) Methods() bfpeer.Methods {
 	return bfpeer.Methods{deliverMethod: {Purpose: bfpeer.Repair, Handle: c.deliver}}
 }
 
-// maxDeliveries bounds the large messages that wait for the loop at once; each
-// may be megabytes, and senders repeat what matters.
-const maxDeliveries = 16
+// maxPendingDeliveries bounds the deliveries that wait for the loop. Each may be
+// megabytes, and senders retry what matters.
+const maxPendingDeliveries = 16
 
-// BusyError reports a large message that was not taken.
+// BusyError reports a delivery rejected because too many are pending.
 type BusyError struct{}
 
-// Error says that the loop is behind.
-func (*BusyError) Error() string { return "too many messages wait" }
+// Error describes the overload.
+func (*BusyError) Error() string { return "too many pending deliveries" }
 
 func (c *Control) deliver(ctx context.Context, params json.RawMessage) (any, error) {
 	var d delivery
@@ -79,11 +79,11 @@
 	_, message := c.decode(d.Data)
 	if message == nil {
 		c.undecodable.Add(1)
-		return &delivered{}, nil
+		return &deliveryResult{}, nil
 	}
 	select {
-	case c.deliveries <- struct{}{}:
-		defer func() { <-c.deliveries }()
+	case c.deliverySlots <- struct{}{}:
+		defer func() { <-c.deliverySlots }()
 	default:
 		return nil, &BusyError{}
 	}
@@ -92,5 +92,5 @@
 	if !c.loop.Post(ctx, func(now time.Time) { c.dispatch(now, d.From, message) }) {
 		return nil, &BusyError{}
 	}
-	return &delivered{}, nil
+	return &deliveryResult{}, nil
 }
--- a/lib/bfcontrol/scale_test.go
+++ b/lib/bfcontrol/scale_test.go
@@ -16,7 +16,7 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// memberRow is a member of a fleet as large as the letter's: 10 regions, 26 domains, 810 services.
+// memberRow returns the row of member i in a fleet of 10 regions, 26 failure domains and 810 services.
 func memberRow(i int) bfroster.Row {
 	domain := i % 26
 	return bfroster.Row{
@@ -27,20 +27,20 @@
 	}
 }
 
-// inFleet is a Control that has joined a fleet of n by pages, with its gate open.
-func inFleet(tb testing.TB, now time.Time, n int) *Control {
-	c := alone(tb, sink{})
-	c.source.begin(now)
-	c.force.begin(now)
+// newFleetControl returns an idle Control that has joined a fleet of n members, with its gate open.
+func newFleetControl(tb testing.TB, now time.Time, n int) *Control {
+	c := newIdleControl(tb, discardNetwork{})
+	c.source.recordContact(now)
+	c.activation.begin(now)
 	actions := c.members.Start(now, []string{memberRow(1).Peer})
 	for i := 0; ; i++ {
-		request, asked := pageRequest(actions)
+		request, found := pageRequest(actions)
 		c.memberActions(now, actions)
-		if !asked {
+		if !found {
 			break
 		}
 		page := bfgossip.Page{Nonce: request.Nonce, More: i*500 < n}
-		for j := max(1, (i-1)*500); j < min(i*500, n); j++ { // the first is a sample
+		for j := max(1, (i-1)*500); j < min(i*500, n); j++ { // the first page is a sample
 			page.Rows = append(page.Rows, memberRow(j))
 		}
 		if i == 0 {
@@ -48,18 +48,18 @@
 		}
 		actions = c.members.Receive(now, memberRow(1).Peer, page)
 	}
-	c.force.headRead(now, 0, nil)
+	c.activation.headRead(now, 0, nil)
 	c.after(now)
-	c.shareAll(now)
+	c.publishAll(now)
 	is.New(tb).Equal(c.Order().Len(), n)
 	return c
 }
 
-// shareAll shares what waits, at once.
-func (c *Control) shareAll(now time.Time) {
-	c.share.at = time.Time{}
+// publishAll publishes pending changes immediately.
+func (c *Control) publishAll(now time.Time) {
+	c.publication.last = time.Time{}
 	c.after(now)
-	c.share.at = now
+	c.publication.last = now
 }
 
 func pageRequest(actions []bfmember.Action) (bfgossip.PageRequest, bool) {
@@ -73,26 +73,26 @@
 	return bfgossip.PageRequest{}, false
 }
 
-// change dispatches news of one member's target.
-func (c *Control) change(now time.Time, i int, sequence uint64) {
+// dispatchTargetChange dispatches a row with a changed target of member i.
+func (c *Control) dispatchTargetChange(now time.Time, i int, sequence uint64) {
 	row := memberRow(i)
 	row.Sequence, row.Slots = sequence, uint32(sequence)
 	c.dispatch(now, memberRow(1).Peer, bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{row}})
 }
 
-var sizes = []int{1_000, 5_000, 25_000}
+var fleetSizes = []int{1_000, 5_000, 25_000}
 
-// BenchmarkShare is one changed member, shared with the request path and recovery.
-func BenchmarkShare(b *testing.B) {
-	for _, n := range sizes {
+// BenchmarkPublish measures one membership change and its publication to the directory and recovery.
+func BenchmarkPublish(b *testing.B) {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			now := time.Unix(1_800_000_000, 0)
-			c := inFleet(b, now, n)
+			c := newFleetControl(b, now, n)
 			b.ReportAllocs()
 			began := cpuTime()
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(10 * time.Second)
-				c.change(now, 2+i%(n-2), uint64(i+1))
+				c.dispatchTargetChange(now, 2+i%(n-2), uint64(i+1))
 				c.after(now)
 			}
 			b.ReportMetric(float64(cpuTime()-began)/float64(b.N), "cpu-ns/op")
@@ -100,41 +100,41 @@
 	}
 }
 
-// BenchmarkChange is one changed member of many in an instant: it waits for the next share.
-func BenchmarkChange(b *testing.B) {
-	for _, n := range sizes {
+// BenchmarkMemberChange measures one membership change of many that wait for the next publication.
+func BenchmarkMemberChange(b *testing.B) {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			now := time.Unix(1_800_000_000, 0)
-			c := inFleet(b, now, n)
+			c := newFleetControl(b, now, n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				c.change(now, 2+i%(n-2), uint64(i+1))
+				c.dispatchTargetChange(now, 2+i%(n-2), uint64(i+1))
 				c.after(now)
 			}
 		})
 	}
 }
 
-// BenchmarkDirectory is the part of a share that the request path needs.
+// BenchmarkDirectory measures the directory update of a publication.
 func BenchmarkDirectory(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			now := time.Unix(1_800_000_000, 0)
-			c := inFleet(b, now, n)
+			c := newFleetControl(b, now, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.swapDirectory(now, c.share.order)
+				c.swapDirectory(now, c.publication.order)
 			}
 		})
 	}
 }
 
-// BenchmarkProbe is one probe without news, from the socket's bytes to the ack's.
+// BenchmarkProbe measures a probe without membership updates, from decoding it to the encoded ack.
 func BenchmarkProbe(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			now := time.Unix(1_800_000_000, 0)
-			c := inFleet(b, now, n)
+			c := newFleetControl(b, now, n)
 			probe := bfgossip.Probe{From: memberRow(1).Key().Hash, Nonce: 1, Advert: bfgossip.Advert{Members: c.Order().Digest()}}
 			data, err := bfgossip.Encode(probe)
 			is.New(b).NoErr(err)
@@ -149,17 +149,17 @@
 	}
 }
 
-// BenchmarkMemory reports what a Control keeps, after a garbage collection.
+// BenchmarkMemory reports the heap retained by a Control after garbage collection.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []struct{ members, objects int }{{1_000, 0}, {5_000, 0}, {25_000, 0}, {25_000, 5_000}} {
 		b.Run(fmt.Sprintf("%dmembers%dobjects", size.members, size.objects), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				c := inFleet(b, time.Unix(1_800_000_000, 0), size.members)
+				c := newFleetControl(b, time.Unix(1_800_000_000, 0), size.members)
 				if size.objects > 0 {
 					state := largeState(b, size.objects)
-					c.held(time.Unix(1_800_000_000, 0), state)
-					c.enforce(time.Unix(1_800_000_000, 0), state)
+					c.versionAdopted(time.Unix(1_800_000_000, 0), state)
+					c.activate(time.Unix(1_800_000_000, 0), state)
 				}
 				b.ReportMetric(float64(heap()-before)/(1<<20), "MiB")
 				runtime.KeepAlive(c)
@@ -168,7 +168,7 @@
 	}
 }
 
-// cpuTime is the processor time of the process, the garbage collector's with it.
+// cpuTime returns the CPU time of the process, including garbage collection.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -185,7 +185,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// largeState has services, policies and routes in equal parts.
+// largeState returns a state with equal numbers of services, policies and routes.
 func largeState(tb testing.TB, objects int) *bfconfig.State {
 	var ops []bfconfig.Op
 	for i := range objects / 3 {
@@ -201,43 +201,43 @@
 	return state
 }
 
-// The members of a lost domain come one by one within an instant. Each goes to
-// the spreader, and to the request path and recovery together with those after
-// it: the directory of the fleet must not be made a thousand times in a second.
-func TestChangesAreSharedTogether(t *testing.T) {
+// When many members change at once, such as in an outage of a failure domain, the
+// directory and recovery must receive the changes in batches. Rebuilding the
+// directory for each change would saturate the CPU.
+func TestMemberChangesAreBatched(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	c := inFleet(t, now, 300)
+	c := newFleetControl(t, now, 300)
 	now = now.Add(time.Minute)
-	c.change(now, 2, 1)
+	c.dispatchTargetChange(now, 2, 1)
 	c.after(now)
 	member, _ := c.parts.Directory.Member(memberRow(2).ID)
-	is.Equal(member.Target.Slots, 1) // after a quiet time at once
+	is.Equal(member.Target.Slots, 1) // the first change is published immediately
 	for i := 3; i < 200; i++ {
-		c.change(now, i, 1)
+		c.dispatchTargetChange(now, i, 1)
 		c.after(now)
 	}
 	member, _ = c.parts.Directory.Member(memberRow(3).ID)
 	is.Equal(member.Target.Slots, 12)
-	is.Equal(c.share.next(), now.Add(shareInterval))
-	c.after(now.Add(shareInterval))
+	is.Equal(c.publication.next(), now.Add(publishInterval))
+	c.after(now.Add(publishInterval))
 	member, _ = c.parts.Directory.Member(memberRow(199).ID)
 	is.Equal(member.Target.Slots, 1)
-	is.True(c.share.next().IsZero())
+	is.True(c.publication.next().IsZero())
 	suspect := memberRow(250)
 	suspect.State = bfroster.Suspect
 	c.dispatch(now, memberRow(1).Peer, bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{suspect}})
 	c.after(now)
-	is.True(c.share.next().IsZero()) // a suspicion changes nothing for them
-	is.Equal(c.share.order.Alive(), 299)
+	is.True(c.publication.next().IsZero()) // suspicions are not published
+	is.Equal(c.publication.order.Alive(), 299)
 }
 
-// Members come and go for months, each under a new name. What a node keeps of
-// those it heard from must not grow with them, or it is killed for its memory.
-func TestForgetsMembersThatAreGone(t *testing.T) {
+// Per-member state must be discarded when members leave. Otherwise memory would
+// grow with every instance name ever used.
+func TestStateOfRemovedMembersIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	c := inFleet(t, now, 20)
+	c := newFleetControl(t, now, 20)
 	for i := 1; i < 20; i++ {
 		c.dispatch(now, memberRow(i).Peer, bfgossip.Probe{From: memberRow(i).Key().Hash, Nonce: 1, Advert: bfgossip.Advert{Version: 1}})
 		cold := memberRow(i)
@@ -245,29 +245,28 @@
 		c.dispatch(now, memberRow(i).Peer, bfgossip.Repair{Self: cold})
 	}
 	c.after(now)
-	c.shareAll(now)
-	is.Equal(len(c.share.cold), 19)
+	c.publishAll(now)
+	is.Equal(len(c.publication.coldTargets), 19)
 	c.dispatch(now, "10.9.9.9:1", bfgossip.Probe{From: 12345, Nonce: 1})
-	is.Equal(len(c.heard), 19)
+	is.Equal(len(c.memberHeads), 19)
 	for i := 10; i < 20; i++ {
 		gone := memberRow(i)
 		gone.Sequence, gone.State = 1, bfroster.Left
 		c.dispatch(now, memberRow(1).Peer, bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{gone}})
 	}
 	c.after(now)
-	c.shareAll(now)
-	is.True(len(c.heard) <= 10)
-	is.Equal(len(c.share.cold), 9)
+	c.publishAll(now)
+	is.True(len(c.memberHeads) <= 10)
+	is.Equal(len(c.publication.coldTargets), 9)
 	is.Equal(len(c.peers), 10)
 }
 
-// Rows come, go, are suspected and refuted, restart and change their targets in
-// every order. Whatever is left out of a share, the directory must be what the
-// order says, or requests go to a target that left or to an incarnation that is gone.
-func TestDirectoryAgreesWithTheOrder(t *testing.T) {
+// After any sequence of membership changes, the published directory must match the
+// membership order. Otherwise requests go to departed targets or incarnations.
+func TestDirectoryMatchesMembership(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	c := inFleet(t, now, 12)
+	c := newFleetControl(t, now, 12)
 	rng := rand.New(rand.NewPCG(5, 5))
 	rows := map[int]bfroster.Row{}
 	for range 2_000 {
@@ -293,7 +292,7 @@
 		rows[i] = row
 		c.dispatch(now, memberRow(1).Peer, bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{row}})
 		c.after(now)
-		if !c.share.stale.any() {
+		if !c.publication.pending.any() {
 			is.NoErr(c.checkDirectory())
 		}
 	}
@@ -314,7 +313,7 @@
 			return fmt.Errorf("member %d: directory has %+v, order %+v", i, member, row)
 		}
 		if c.peers[row.Peer] != row.Key().Hash {
-			return fmt.Errorf("member %d: peer %s unknown", i, row.Peer)
+			return fmt.Errorf("member %d: peer address %s not mapped to the member", i, row.Peer)
 		}
 	}
 	return nil
--- a/lib/bfcontrol/send.go
+++ b/lib/bfcontrol/send.go
@@ -10,23 +10,23 @@
 	"bilberryflow.org/lib/bfspread"
 )
 
-// deliverMethod carries a message that is too large for a datagram.
+// deliverMethod is the call that carries a message too large for a datagram.
 const deliverMethod = "control.deliver"
 
-// deliverTimeout bounds one such message.
+// deliverTimeout bounds one delivery.
 const deliverTimeout = 5 * time.Second
 
-// delivery is the parameter of deliverMethod.
+// delivery holds the parameters of deliverMethod.
 type delivery struct {
 	// From is the sender's peer address.
 	From string `json:"from"`
 	Data []byte `json:"data"`
 }
 
-type delivered struct{}
+type deliveryResult struct{}
 
-// send sends a message, as a datagram where it fits one. A lost message is the
-// cores' business: each has its own timeouts and repairs.
+// send sends a message, as a datagram if it fits in one. Messages may be lost:
+// the cores have their own timeouts and repair.
 func (c *Control) send(address string, purpose bfpeer.Purpose, data []byte, err error) {
 	if err != nil {
 		c.report(err)
--- a/lib/bfcontrol/source.go
+++ b/lib/bfcontrol/source.go
@@ -12,74 +12,73 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// agedAfter is how long a node hears from nobody before it says that it is cut off.
-const agedAfter = 30 * time.Second
+// staleAfter is how long a node goes without contact before it logs that its configuration may be stale.
+const staleAfter = 30 * time.Second
 
-// source is what a node knows of the way to the source of configuration.
-type source struct {
-	// away is whether the table failed to answer last, changed since when.
-	away    atomic.Bool
-	changed time.Time
-	aged    bool
-	// contact is when the table or a member was last heard, in microseconds since 1970.
-	contact atomic.Int64
-	last    time.Time
+// sourceStatus tracks whether the configuration's sources, the table and the members, can be reached.
+type sourceStatus struct {
+	// tableUnavailable is whether the last table read failed; it last changed at tableChanged.
+	tableUnavailable atomic.Bool
+	tableChanged     time.Time
+	stale            bool
+	// lastContactMicros is when the table or a member last responded, in microseconds since the Unix epoch.
+	lastContactMicros atomic.Int64
+	lastContact       time.Time
 }
 
-func (s *source) publish(timer *bftimer.Service, metrics *bfmetric.Registry) {
+func (s *sourceStatus) registerGauges(timer *bftimer.Service, metrics *bfmetric.Registry) {
 	metrics.Gauge("table_away", func() int64 {
-		if s.away.Load() {
+		if s.tableUnavailable.Load() {
 			return 1
 		}
 		return 0
 	})
 	metrics.Gauge("config_age_us", func() int64 {
-		if at := s.contact.Load(); at > 0 {
+		if at := s.lastContactMicros.Load(); at > 0 {
 			return max(0, timer.Now().UnixMicro()-at)
 		}
 		return 0
 	})
 }
 
-func (s *source) begin(now time.Time) {
-	s.last = now
-	s.contact.Store(now.UnixMicro())
+func (s *sourceStatus) recordContact(now time.Time) {
+	s.lastContact = now
+	s.lastContactMicros.Store(now.UnixMicro())
 }
 
-// contact notes that the table or a member was heard.
-func (c *Control) contact(now time.Time) {
-	c.source.begin(now)
-	if c.source.aged {
-		c.source.aged = false
+// recordContact records a response of the table or a message from a member.
+func (c *Control) recordContact(now time.Time) {
+	c.source.recordContact(now)
+	if c.source.stale {
+		c.source.stale = false
 		c.parts.Logger.Emit(bflog.ConfigurationCurrent)
 	}
 }
 
-// checkAge says once that the node is cut off.
+// checkAge logs, once per isolation, that the configuration may be stale.
 func (c *Control) checkAge(now time.Time) {
-	if age := now.Sub(c.source.last); !c.source.aged && age >= agedAfter {
-		c.source.aged = true
+	if age := now.Sub(c.source.lastContact); !c.source.stale && age >= staleAfter {
+		c.source.stale = true
 		c.parts.Logger.Emit(bflog.ConfigurationAged, slog.Duration("age", age))
 	}
 }
 
-// tableAnswered takes how a read ended that began at began, and logs a change.
+// tableAnswered records the result of a table read that started at began, and logs changes of availability.
 //
-// Reads overtake each other. One that began before the last change and ends
-// after it tells of the time before, and would make the log say twice what
-// happened once.
+// Reads can complete out of order. The result of a read that started before the
+// last change is outdated and is ignored, or the log would repeat transitions.
 func (c *Control) tableAnswered(now, began time.Time, err error) {
-	var unavailable *bfstore.UnavailableError
-	away := errors.As(err, &unavailable)
-	if !away {
-		c.contact(now)
+	var unavailableErr *bfstore.UnavailableError
+	unavailable := errors.As(err, &unavailableErr)
+	if !unavailable {
+		c.recordContact(now)
 	}
-	if away == c.source.away.Load() || began.Before(c.source.changed) {
+	if unavailable == c.source.tableUnavailable.Load() || began.Before(c.source.tableChanged) {
 		return
 	}
-	c.source.away.Store(away)
-	c.source.changed = now
-	if away {
+	c.source.tableUnavailable.Store(unavailable)
+	c.source.tableChanged = now
+	if unavailable {
 		c.parts.Logger.Emit(bflog.TableUnavailable, bflog.Err(err))
 		return
 	}
--- a/lib/bfcontrol/source_test.go
+++ b/lib/bfcontrol/source_test.go
@@ -18,13 +18,12 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Two reads of the table are out at once when it goes away: the later one is
-// refused at once, the earlier one's answer comes last. The operator must see
-// one line, and not that the table is back while it is away.
-func TestOvertakenAnswerSaysNothing(t *testing.T) {
+// Two table reads are in flight when the table becomes unavailable, and the earlier
+// one completes last. Its outdated result must not be logged as a recovery.
+func TestOvertakenTableReadIsNotLogged(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	c := alone(t, sink{})
+	c := newIdleControl(t, discardNetwork{})
 	c.parts.Logger = bflog.New(&out, "n1", slog.LevelInfo)
 	began := time.Unix(1_800_000_000, 0)
 	away := &bfstore.UnavailableError{Reason: "refused"}
@@ -36,13 +35,12 @@
 	is.Equal(strings.Count(out.String(), "\n"), 2)
 }
 
-// A target starts cold before its node holds the version that says how long its
-// ramp is. Once it holds it, the ramp must count for requests here; else a cold
-// target gets its full share at once, for as long as the fleet stays the same.
-func TestRampComesWithTheConfiguration(t *testing.T) {
+// A target can be cold before its node has the version that defines its cold start
+// duration. The directory must then be updated, or the target gets its full share at once.
+func TestColdStartFollowsConfiguration(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	c := inFleet(t, now, 5)
+	c := newFleetControl(t, now, 5)
 	cold := memberRow(2)
 	cold.Sequence, cold.Target = 1, bfroster.TargetCold
 	c.dispatch(now, memberRow(1).Peer, bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{cold}})
@@ -55,36 +53,34 @@
 	})
 	state, _, err := bfconfig.Empty().Propose(change)
 	is.NoErr(err)
-	c.held(now, state)
-	c.after(now.Add(shareInterval))
+	c.versionAdopted(now, state)
+	c.after(now.Add(publishInterval))
 	member, _ = c.parts.Directory.Member(cold.ID)
 	is.Equal(member.Target.ColdStart, time.Minute)
 	is.Equal(member.Target.ColdSince, now)
 }
 
-// Versions come thick while the witnesses are silent, and one is skipped by a
-// snapshot. What waits must stay bounded, and only the newest that passed the
-// gate comes into force, never one from before the start.
-func TestHeldVersionsStayBounded(t *testing.T) {
+// The pending versions must stay bounded while the witnesses don't respond.
+func TestPendingVersionsAreBounded(t *testing.T) {
 	is := is.New(t)
-	c := inFleet(t, time.Unix(1_800_000_000, 0), 5)
+	c := newFleetControl(t, time.Unix(1_800_000_000, 0), 5)
 	state := bfconfig.Empty()
-	for i := range 3 * maxHeld {
+	for i := range 3 * maxPending {
 		service := bfconfig.ServiceSpec{Name: "s", Slots: i + 1}
 		next, _, err := state.Propose(bfconfig.NewChange("c", "anna", time.Unix(1e9, 0), []bfconfig.Op{bfconfig.Put{Object: service}}))
 		is.NoErr(err)
 		if state = next; i != 7 {
-			c.held(time.Unix(1_800_000_000, 0), state)
+			c.versionAdopted(time.Unix(1_800_000_000, 0), state)
 		}
 	}
-	is.True(len(c.force.held) <= maxHeld)
-	is.Equal(c.force.held[len(c.force.held)-1].Version(), state.Version())
+	is.True(len(c.activation.pending) <= maxPending)
+	is.Equal(c.activation.pending[len(c.activation.pending)-1].Version(), state.Version())
 	is.Equal(c.inForce.Load(), uint64(0))
 }
 
-// A whole domain is lost and comes back. The operator must find one line for
-// each: the members' own rows don't change, so nothing else in the log says it.
-func TestLostDomainIsLoggedOnce(t *testing.T) {
+// An outage of a failure domain and its end must each be logged once: the members'
+// own rows don't change, so nothing else is logged.
+func TestDomainOutageIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	c := &Control{}
--- a/lib/bfcontrol/witness.go
+++ b/lib/bfcontrol/witness.go
@@ -6,7 +6,7 @@
 	"bilberryflow.org/lib/bfrecover"
 )
 
-// The first byte of a witness's message names its form; 32 to 47 are this file's.
+// The first byte of a recovery message is its kind; the range 32 to 47 is reserved for this file.
 const (
 	kindNote byte = iota + 32
 	kindNoteAck
@@ -18,14 +18,14 @@
 // witnessMessage is a decoded message of bfrecover.
 type witnessMessage struct{ body any }
 
-// maxWitness bounds one message; the largest note has 8 sets of witnesses.
-const maxWitness = 16 << 10
+// maxWitnessBytes bounds an encoded message; the largest note has 8 witness sets.
+const maxWitnessBytes = 16 << 10
 
 func ownsWitness(data []byte) bool {
-	return len(data) > 0 && len(data) <= maxWitness && data[0] >= kindNote && data[0] < kindWitnessLimit
+	return len(data) > 0 && len(data) <= maxWitnessBytes && data[0] >= kindNote && data[0] < kindWitnessLimit
 }
 
-// sendWitness sends a message of bfrecover; a lost one is sent again by its core.
+// sendWitness sends a message of bfrecover; its core resends lost ones.
 func (c *Control) sendWitness(address string, message any) {
 	var kind byte
 	switch message.(type) {
