--- a/lib/bftraffic/change_test.go
+++ b/lib/bftraffic/change_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// largeSpec is a configuration of a number of routes, a hundred of them on each host.
+// largeSpec returns a configuration with the given number of routes, 100 on each host.
 func largeSpec(version Version, routes int) Spec {
 	spec := Spec{Version: version, Services: []ServiceSpec{{Name: "portal", MaxConns: 100}, {Name: "vault", MaxConns: 100}}}
 	for i := range routes {
@@ -19,11 +19,10 @@
 	return spec
 }
 
-// BenchmarkChangeOfOneRoute is what a node does for a version that changes one of
-// 1,600 routes. On a sixth of a core, every millisecond of it holds all requests of
-// the node up for six.
-func BenchmarkChangeOfOneRoute(b *testing.B) {
-	from, to := oneChanged(b)
+// BenchmarkApplyOneRoute measures applying a delta that changes one of 1,600 routes.
+// Nodes run on a fraction of a core, so this work delays all their requests.
+func BenchmarkApplyOneRoute(b *testing.B) {
+	from, to := snapshotsDifferingInOneRoute(b)
 	delta := DeltaOf(from, to)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -33,18 +32,18 @@
 	}
 }
 
-// BenchmarkDeltaOfOneRoute is what a member does that tells others of the version.
-func BenchmarkDeltaOfOneRoute(b *testing.B) {
-	from, to := oneChanged(b)
+// BenchmarkDiffOneRoute measures creating that delta, on the member that sends it.
+func BenchmarkDiffOneRoute(b *testing.B) {
+	from, to := snapshotsDifferingInOneRoute(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		DeltaOf(from, to)
 	}
 }
 
-// BenchmarkVersionReadWhole is what a member does that reads the version itself.
-func BenchmarkVersionReadWhole(b *testing.B) {
-	from, to := oneChanged(b)
+// BenchmarkNextOneRoute measures creating that version from its full configuration.
+func BenchmarkNextOneRoute(b *testing.B) {
+	from, to := snapshotsDifferingInOneRoute(b)
 	spec := to.Spec()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -54,8 +53,8 @@
 	}
 }
 
-// oneChanged gives two versions of 1,600 routes that differ in one.
-func oneChanged(b *testing.B) (from, to *Snapshot) {
+// snapshotsDifferingInOneRoute returns two versions of 1,600 routes that differ in one.
+func snapshotsDifferingInOneRoute(b *testing.B) (from, to *Snapshot) {
 	b.Helper()
 	const routes = 1600
 	from, err := NewSnapshot(largeSpec(7, routes))
--- a/lib/bftraffic/delta_rapid_test.go
+++ b/lib/bftraffic/delta_rapid_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// anySpec draws a configuration of a few hosts and prefixes.
+// anySpec generates a configuration with a few hosts and prefixes.
 func anySpec(t *rapid.T, version Version) Spec {
 	s := Spec{Version: version, Services: []ServiceSpec{{Name: "portal"}, {Name: "vault"}}}
 	for host := range 3 {
@@ -27,8 +27,8 @@
 	return s
 }
 
-// seen is everything that a request can see of a snapshot.
-func seen(s *Snapshot) string {
+// observable returns a text with everything about a snapshot that affects requests.
+func observable(s *Snapshot) string {
 	text := fmt.Sprintln(s.Version(), s.digest())
 	for host := range 3 {
 		for prefix := range 4 {
@@ -40,11 +40,11 @@
 	return text
 }
 
-// Snapshots share routes, hosts and sums with the ones before. Whatever versions
-// follow each other, by deltas or whole, each must look like one made from nothing.
-func TestSharedSnapshotsMatchThoseMadeFromNothing(t *testing.T) {
+// Snapshots share routes and hosts with the previous one. A snapshot derived by a
+// delta or from a full configuration must be equivalent to one created without a previous one.
+func TestDerivedSnapshotsMatchFreshOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		is := is.New(silent{t})
+		is := is.New(shrinkingT{t})
 		held, err := NewSnapshot(anySpec(t, 1))
 		is.NoErr(err)
 		for version := Version(2); version < 8; version++ {
@@ -53,17 +53,17 @@
 			is.NoErr(err)
 			byDelta, err := held.Apply(DeltaOf(held, fresh))
 			is.NoErr(err)
-			whole, err := held.Next(spec)
+			bySpec, err := held.Next(spec)
 			is.NoErr(err)
-			is.Equal(seen(byDelta), seen(fresh))
-			is.Equal(seen(whole), seen(fresh))
+			is.Equal(observable(byDelta), observable(fresh))
+			is.Equal(observable(bySpec), observable(fresh))
 			held = byDelta
 		}
 	})
 }
 
-// silent is a rapid.T as is.New takes it.
-type silent struct{ *rapid.T }
+// shrinkingT adapts a rapid.T to the interface of is.New.
+type shrinkingT struct{ *rapid.T }
 
-// Fail ends the example, so that rapid can make it smaller.
-func (s silent) Fail() { s.FailNow() }
+// Fail aborts the test case, so that rapid can shrink it.
+func (s shrinkingT) Fail() { s.FailNow() }
--- a/lib/bftraffic/delta_test.go
+++ b/lib/bftraffic/delta_test.go
@@ -7,27 +7,26 @@
 	"github.com/matryer/is"
 )
 
-func TestDeltaLeadsToTheSameConfiguration(t *testing.T) {
+func TestDeltaProducesTheSameConfiguration(t *testing.T) {
 	is := is.New(t)
 	from := mustSnapshot(t, spec(3, route("a", "h", "/a/"), route("b", "h", "/b/"), route("c", "h", "/c/")))
 	changed := route("b", "h", "/b/", Destination{"vault", 1})
 	to := mustSnapshot(t, spec(9, route("c", "h", "/c/"), changed, route("d", "H2", "/d/")))
 	delta := DeltaOf(from, to)
 	is.Equal(len(delta.Set), 2)
-	is.Equal(delta.Dropped, []Place{{"h", "/a/"}})
+	is.Equal(delta.Dropped, []RouteKey{{"h", "/a/"}})
 	made, err := from.Apply(delta)
 	is.NoErr(err)
 	is.Equal(made.Spec(), to.Spec())
 	is.Equal(made.Match("h2", "/d/x").Name(), "d")
 	is.True(made.Match("h", "/a/x") == nil)
-	is.Equal(from.Match("h", "/a/x").Name(), "a") // the old one is as it was
-	// A route that both versions have is shared, and goes on dealing where it was.
+	is.Equal(from.Match("h", "/a/x").Name(), "a") // from is unchanged
+	// Shared routes keep their position in the distribution of requests.
 	is.True(made.Match("h", "/c/x") == from.Match("h", "/c/x"))
 }
 
-// A delta meets another version than it was made for, or was damaged on its way.
-// Applied, it would leave routes that no operator wrote.
-func TestWrongDeltaIsRefusedWhole(t *testing.T) {
+// A delta that does not fit the current version or is corrupt must be rejected.
+func TestMismatchedDeltaIsRejected(t *testing.T) {
 	is := is.New(t)
 	from, to := mustSnapshot(t, spec(3, route("a", "h", "/a/"))), mustSnapshot(t, spec(4, route("a", "h", "/a2/")))
 	delta := DeltaOf(from, to)
@@ -43,9 +42,8 @@
 	is.True(errors.As(err, &wrong))
 }
 
-// Two members tell of versions that they read at different moments: one of 3 to 6,
-// the other of 3 to 7. A node that took 6 can take 7 from that too, unless 7 takes
-// back what 6 changed: then the delta has nothing of it, and must be refused.
+// A delta whose base is older than the current version applies if it includes all
+// changes since its base. If it lacks a change because it was reverted, it must be rejected.
 func TestDeltaMadeForAnOlderVersion(t *testing.T) {
 	is := is.New(t)
 	third := mustSnapshot(t, spec(3, route("a", "h", "/a/")))
@@ -60,22 +58,22 @@
 	is.True(errors.As(err, &wrong))
 }
 
-// Routes are shared between versions, and whether one is urgent depends on the
-// others. A version that adds a less urgent route makes the old one urgent.
+// Versions share routes, but whether a route is urgent depends on the other routes
+// and must be updated when these change.
 func TestUrgencyFollowsTheOtherRoutes(t *testing.T) {
 	is := is.New(t)
-	approve := route("approve", "h", "/approve/")
-	approve.Rank = 1
-	look := route("look", "h", "/look/")
-	look.Rank = 2
-	first := mustSnapshot(t, spec(3, approve))
+	higher := route("approve", "h", "/approve/")
+	higher.Rank = 1
+	lower := route("look", "h", "/look/")
+	lower.Rank = 2
+	first := mustSnapshot(t, spec(3, higher))
 	is.True(!first.Match("h", "/approve/1").Urgent())
-	second, err := first.Apply(DeltaOf(first, mustSnapshot(t, spec(4, approve, look))))
+	second, err := first.Apply(DeltaOf(first, mustSnapshot(t, spec(4, higher, lower))))
 	is.NoErr(err)
 	is.True(second.Match("h", "/approve/1").Urgent())
 	is.True(!second.Match("h", "/look/1").Urgent())
-	is.True(!first.Match("h", "/approve/1").Urgent()) // the old one is as it was
-	third, err := second.Next(spec(5, approve))
+	is.True(!first.Match("h", "/approve/1").Urgent()) // first is unchanged
+	third, err := second.Next(spec(5, higher))
 	is.NoErr(err)
 	is.True(!third.Match("h", "/approve/1").Urgent())
 }
--- a/lib/bftraffic/doc.go
+++ b/lib/bftraffic/doc.go
@@ -1,6 +1,6 @@
-// Package bftraffic is the configuration of traffic as the platform's operators
-// keep it: routes by host and path prefix, each with its services and limits.
+// Package bftraffic defines the traffic configuration that the platform's operators
+// maintain: routes by host and path prefix, with their services and limits.
 //
-// A Snapshot is immutable and is swapped whole. A Holder keeps the newest one
-// and never goes back.
+// A Snapshot is an immutable version of it. A Holder keeps a node's newest
+// snapshot and rejects older ones.
 package bftraffic
--- a/lib/bftraffic/holder.go
+++ b/lib/bftraffic/holder.go
@@ -5,34 +5,33 @@
 	"sync/atomic"
 )
 
-// Holder keeps the newest snapshot of one node, and some before it.
+// Holder keeps the newest snapshot of a node and some previous ones.
 type Holder struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Snapshot]
-	// before holds the snapshots that were in force last, the newest at the end.
-	before []*Snapshot
-	watch  func(*Snapshot)
+	// previous holds the snapshots most recently in force, the newest last.
+	previous []*Snapshot
+	onAdopt  func(*Snapshot)
 }
 
-// keptBefore is how many snapshots before the newest are kept, for deltas to nodes
-// that still hold one of them. Versions are told within a second, and come four a
-// second in a storm.
-const keptBefore = 8
+// maxPrevious is the number of previous snapshots kept to create deltas for other
+// nodes. Versions spread within a second, at a rate of up to four per second.
+const maxPrevious = 8
 
-// NewHolder makes an empty holder that calls watch after each change.
-func NewHolder(watch func(*Snapshot)) *Holder { return &Holder{watch: watch} }
+// NewHolder returns an empty holder that calls onAdopt, if not nil, with each adopted snapshot.
+func NewHolder(onAdopt func(*Snapshot)) *Holder { return &Holder{onAdopt: onAdopt} }
 
-// Current is the snapshot in force, nil before the first.
+// Current returns the snapshot in force, nil before the first.
 func (h *Holder) Current() *Snapshot { return h.current.Load() }
 
-// Recent is the snapshot of a version if it is in force or was so lately, else nil.
+// Recent returns the snapshot of a version if it is in force or was recently, else nil.
 func (h *Holder) Recent(version Version) *Snapshot {
 	if current := h.Current(); current != nil && current.version == version {
 		return current
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range h.before {
+	for _, s := range h.previous {
 		if s.version == version {
 			return s
 		}
@@ -40,7 +39,7 @@
 	return nil
 }
 
-// Version is the version in force, 0 before the first.
+// Version returns the version in force, 0 before the first.
 func (h *Holder) Version() Version {
 	if current := h.Current(); current != nil {
 		return current.Version()
@@ -48,10 +47,10 @@
 	return 0
 }
 
-// Adopt puts s in force if it is newer than what is held, and reports whether it was.
+// Adopt puts s in force if it is newer than the current snapshot, and reports whether it did.
 //
-// Versions cross on their way: one read from the store may come after a newer
-// one that a peer sent. Whoever took the later arrival would go back.
+// Versions can arrive out of order, from the store and from peers; the check
+// prevents a return to an older one.
 func (h *Holder) Adopt(s *Snapshot) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,11 +58,11 @@
 		return false
 	}
 	if held := h.current.Swap(s); held != nil {
-		h.before = append(h.before, held)
-		h.before = h.before[max(len(h.before)-keptBefore, 0):]
+		h.previous = append(h.previous, held)
+		h.previous = h.previous[max(len(h.previous)-maxPrevious, 0):]
 	}
-	if h.watch != nil {
-		h.watch(s)
+	if h.onAdopt != nil {
+		h.onAdopt(s)
 	}
 	return true
 }
--- a/lib/bftraffic/spec.go
+++ b/lib/bftraffic/spec.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Version orders configurations; versions grow in uneven steps.
+// Version orders configurations; it increases, but not necessarily by one.
 type Version uint64
 
-// Kind says how the requests of a route may be treated.
+// Kind defines how the requests of a route may be treated.
 type Kind int
 
 // The kinds of routes.
@@ -14,11 +14,11 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Download requests are idempotent and have large answers.
+	// Download requests are idempotent and have large responses.
 	Download
 )
 
-// String is the kind in a word.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -34,7 +34,7 @@
 // Repeatable reports whether a request of the kind may run more than once.
 func (k Kind) Repeatable() bool { return k == Idempotent || k == Download }
 
-// Spec is one whole configuration as a message.
+// Spec is the encoded form of a complete configuration.
 type Spec struct {
 	Version  Version       `cbor:"1,keyasint"`
 	Routes   []RouteSpec   `cbor:"2,keyasint"`
@@ -42,39 +42,39 @@
 	Limits   Limits        `cbor:"4,keyasint"`
 }
 
-// RouteSpec sends the requests of a host whose path begins with a prefix to services.
+// RouteSpec routes the requests of a host with a path prefix to services.
 type RouteSpec struct {
 	Name string `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
 	// Prefix begins and ends with a slash.
 	Prefix string `cbor:"3,keyasint"`
 	Kind   Kind   `cbor:"4,keyasint"`
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum duration of a request, including retries.
 	Timeout time.Duration `cbor:"5,keyasint"`
-	// Objective is the time within which an answer has its full value.
+	// Objective is the response time within which an answer has its full value.
 	Objective time.Duration `cbor:"6,keyasint"`
-	// MaxAttempts is the largest number of targets that one request is sent to.
+	// MaxAttempts is the maximum number of targets to which one request is sent.
 	MaxAttempts int `cbor:"7,keyasint"`
-	// Rank orders routes at a full target; 0 goes first.
+	// Rank is the priority of the route at a saturated target; 0 is the highest.
 	Rank int `cbor:"8,keyasint"`
-	// Destinations share the route's requests by weight.
+	// Destinations are the services of the route, weighted by their share of requests.
 	Destinations []Destination `cbor:"9,keyasint"`
 }
 
-// Destination is one service of a route and its share of the requests.
+// Destination is a service of a route and its weight.
 type Destination struct {
 	Service string `cbor:"1,keyasint"`
 	Weight  int    `cbor:"2,keyasint"`
 }
 
-// ServiceSpec describes a service that routes may name.
+// ServiceSpec describes a service that routes can refer to.
 type ServiceSpec struct {
 	Name string `cbor:"1,keyasint"`
-	// MaxConns is how many connections one target accepts from all nodes.
+	// MaxConns is the maximum number of connections that one target accepts from all nodes.
 	MaxConns int `cbor:"2,keyasint"`
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bound the size of a caller's request and the time to send it.
 type Limits struct {
 	MaxHeaderBytes int           `cbor:"1,keyasint"`
 	MaxBodyBytes   int64         `cbor:"2,keyasint"`
--- a/lib/bftraffic/traffic_test.go
+++ b/lib/bftraffic/traffic_test.go
@@ -37,12 +37,12 @@
 		route("deep", "a.example", "/logo/sheets/"), route("other", "B.example", "/logo/")))
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/", "all"},
-		{"a.example", "/logo", "all"}, // no slash, so not under /logo/
+		{"a.example", "/logo", "all"}, // no trailing slash, so not under /logo/
 		{"a.example", "/logo/", "logo"},
 		{"A.Example:8080", "/logo/x", "logo"},
 		{"a.example", "/logo/sheets/1/2", "deep"},
 		{"a.example", "/logo/sheetsx/1", "logo"},
-		{"a.example", "/logo/%2e%2e/x", "logo"}, // taken as it came
+		{"a.example", "/logo/%2e%2e/x", "logo"}, // not decoded or cleaned
 		{"b.example", "/logo/x", "other"},
 		{"b.example", "/x/", ""},
 		{"c.example", "/logo/x", ""},
@@ -56,9 +56,9 @@
 	}
 }
 
-func TestWrongConfigurationIsRefusedWhole(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	is := is.New(t)
-	breakages := map[string]func(*Spec){
+	corruptions := map[string]func(*Spec){
 		"version":                func(s *Spec) { s.Version = 0 },
 		"route r host":           func(s *Spec) { s.Routes[0].Host = "" },
 		"route r prefix":         func(s *Spec) { s.Routes[0].Prefix = "/cut" },
@@ -71,19 +71,18 @@
 		"route same prefix":      func(s *Spec) { s.Routes = append(s.Routes, route("same", "A.example", "/r/")) },
 		"route r weight below 0": func(s *Spec) { s.Routes[0].Destinations[0].Weight = -1 },
 	}
-	for field, breakIt := range breakages {
+	for field, corrupt := range corruptions {
 		s := spec(3, route("r", "a.example", "/r/"))
-		breakIt(&s)
+		corrupt(&s)
 		_, err := NewSnapshot(s)
 		var wrong *SpecError
-		is.True(errors.As(err, &wrong)) // refused, with the field named
+		is.True(errors.As(err, &wrong)) // rejected, naming the field
 		is.True(wrong.Field == field || wrong.Field+" below 0" == field)
 	}
 }
 
-// A route sends a tenth of its requests to a new service. An operator who looks
-// after three hundred requests expects thirty there, on each node alone.
-func TestSharesAreExact(t *testing.T) {
+// Each node must split requests by weight almost exactly, even over a few hundred requests.
+func TestWeightedSharesAreExact(t *testing.T) {
 	is := is.New(t)
 	s := mustSnapshot(t, spec(1, route("r", "a.example", "/", Destination{"portal", 90}, Destination{"vault", 10})))
 	count := 0
@@ -96,10 +95,9 @@
 	is.True(count >= 28 && count <= 32)
 }
 
-// Twelve nodes deal a route's requests, each a few and each on its own. Their shares
-// must add up to the weights: nodes that all began at one place would give their
-// first requests to one service.
-func TestSharesAddUpOverNodes(t *testing.T) {
+// The shares of nodes that each route few requests must add up to the weights.
+// Nodes that start at the same position would all pick the same service first.
+func TestWeightedSharesAddUpAcrossNodes(t *testing.T) {
 	is := is.New(t)
 	const nodes, requests = 12, 25
 	for _, weight := range []int{10, 30, 50} {
@@ -112,15 +110,14 @@
 				}
 			}
 		}
-		// Each node is off by one request at most, so all of them by one in 25.
+		// Each node deviates by at most one request.
 		expected := nodes * requests * weight / 100
 		is.True(count >= expected-nodes && count <= expected+nodes)
 	}
 }
 
-// The store sends version 41 late, after a peer has sent 42. Callers must not be
-// routed by 41 again.
-func TestHolderNeverGoesBack(t *testing.T) {
+// A version that arrives after a newer one must not be put in force.
+func TestHolderNeverAdoptsOlderVersion(t *testing.T) {
 	is := is.New(t)
 	var seen []Version
 	h := NewHolder(func(s *Snapshot) { seen = append(seen, s.Version()) })
@@ -133,9 +130,9 @@
 	is.Equal(h.Recent(47).Version(), Version(47))
 	is.Equal(h.Recent(42).Version(), Version(42))
 	is.True(h.Recent(41) == nil)
-	for v := range Version(keptBefore) {
+	for v := range Version(maxPrevious) {
 		is.True(h.Adopt(mustSnapshot(t, spec(50+v, route("r", "a.example", "/")))))
 	}
-	is.True(h.Recent(42) == nil) // long ago
+	is.True(h.Recent(42) == nil) // no longer kept
 	is.True(h.Recent(47) != nil)
 }
