--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -81,9 +81,9 @@
 	traffic := bfpeer.NewTraffic(n.metrics)
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, traffic, n.group)
-	n.rumor = bfrumor.New(bfrumor.Parts{
+	n.rumor = bfrumor.New(bfrumor.Config{
 		Self: settings.Listen.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
-		Audience: n.rumorAudience,
+		Recipients: n.rumorAudience,
 	})
 	n.newGuard(minter, directory)
 	n.newTeller()
@@ -96,10 +96,10 @@
 }
 
 func (n *node) newGuard(minter *bfrecord.Minter, directory *bfdirectory.Directory) {
-	n.guard = bfguard.New(bfguard.Parts{
+	n.guard = bfguard.New(bfguard.Config{
 		Home: n.home, Service: n.settings.Service, ColdStart: n.coldStart,
 		View: n.view, Client: bfforward.New(bfforward.TargetOptions()), Minter: minter,
-		Timer: n.timer, Logger: n.logger, Metrics: n.metrics, Tell: n.tell,
+		Timer: n.timer, Logger: n.logger, Metrics: n.metrics, PublishState: n.tell,
 		Table: n.platform, Directory: directory, Resolver: bfguard.Resolver{Calls: n.calls}, Spawn: n.group.Go,
 		Quarantine: n.book, Crashed: n.targetCrashed,
 	})
@@ -125,7 +125,7 @@
 
 // targetCrashed tells of a target that ended, and of what it ran.
 func (n *node) targetCrashed(crash bfflight.Crash) {
-	bfflight.Report(n.logger, crash, n.book.View(), n.timer.Now())
+	bfflight.LogCrash(n.logger, crash, n.book.View(), n.timer.Now())
 }
 
 func (n *node) newTeller() {
@@ -154,7 +154,7 @@
 	maps.Copy(methods, n.control.Methods())
 	maps.Copy(methods, n.guard.Methods())
 	maps.Copy(methods, n.rumor.Methods())
-	maps.Copy(methods, bfbackend.Methods(n.guard.DrainTarget))
+	maps.Copy(methods, bfbackend.DrainMethods(n.guard.DrainTarget))
 	maps.Copy(methods, bfbackend.InForceMethods(n.control.View))
 	return nil
 }
@@ -168,7 +168,7 @@
 }
 
 func (n *node) newCaller(directory *bfdirectory.Directory, minter *bfrecord.Minter) {
-	n.entry = bfcaller.New(bfcaller.Parts{
+	n.entry = bfcaller.New(bfcaller.Config{
 		View: n.view, Directory: directory, Client: n.client, Resolver: bfguard.Resolver{Calls: n.calls},
 		Minter: minter, Timer: n.timer, Metrics: n.metrics, Spawn: n.group.Go,
 		Quarantine: n.book,
@@ -177,7 +177,7 @@
 }
 
 func (n *node) newOperator(directory *bfdirectory.Directory) {
-	backend := bfbackend.New(bfbackend.Parts{
+	backend := bfbackend.New(bfbackend.Config{
 		Control: n.control, Table: n.platform, Objects: n.platform, Directory: directory, Calls: n.calls,
 		Quarantine: n.book, Timer: n.timer, Logger: n.logger, SnapshotEvery: bfconfig.Version(n.settings.SnapshotEvery), Spawn: n.group.Go,
 	})
--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -127,8 +127,8 @@
 	n.pacer = bfpacer.New(n.timer, settings.LinkMbps)
 	account := n.account()
 	names := bfdialect.Headers()
-	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, IdleUnstated: targetIdle})
-	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, IdleUnstated: nodeIdle, Wrap: n.wrap})
+	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, DefaultIdleTimeout: targetIdle})
+	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, DefaultIdleTimeout: nodeIdle, Wrap: n.wrap})
 	n.host = bfhost.New(bfhost.Parts{
 		Service: common.Service, Names: names, Client: n.targets, Timer: n.timer, Account: account,
 		Changed: n.targetChanged, Quarantine: n.book, Crashed: n.targetCrashed,
@@ -136,7 +136,7 @@
 	n.entry = bfentry.New(bfentry.Parts{
 		Service: common.Service, Inbound: common.Inbound, Names: names,
 		Traffic: n.traffic, Fleet: n.fleet, Host: n.host, Client: n.nodes, Pacer: n.pacer,
-		Spawn: n.group.Go, Gone: n.forget, Account: account, Quarantine: n.book,
+		Spawn: n.group.Go, OnMemberLost: n.forget, Account: account, Quarantine: n.book,
 		Timer: n.timer, Logger: logger, Metrics: n.metrics,
 	})
 	n.store = bfdialect.NewStore(common.PlatformAddress)
@@ -151,8 +151,8 @@
 // the runs of its target.
 func (n *node) account() *bfbudget.Account {
 	return bfbudget.New(bfbudget.Options{
-		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Chance: rand.Float64,
-		Opened: func(service string, left func() float64) {
+		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Random: rand.Float64,
+		OnNewService: func(service string, left func() float64) {
 			n.metrics.Gauge("repeats_left_"+service, func() int64 { return int64(left()) })
 		},
 	})
@@ -168,11 +168,11 @@
 }
 
 func (n *node) followStore(store *bfdialect.Store) {
-	n.presence = bfpresence.New(bfpresence.Parts{
-		Table: membersTable, Key: n.common.Inbound, Rows: store, Together: n.writeTogether,
+	n.presence = bfpresence.New(bfpresence.Config{
+		Table: membersTable, Key: n.common.Inbound, Rows: store, WriteBatched: n.writeTogether,
 		Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
-	n.batcher = bfbatch.New(bfbatch.Parts{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
+	n.batcher = bfbatch.New(bfbatch.Config{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
 	n.state = &state{
 		logger: n.logger, traffic: n.traffic, fleet: n.fleet, presence: n.presence, self: n.common.Inbound,
 		follows: n.follows, current: n.current, changed: n.stateChanged, recall: n.recall,
@@ -180,15 +180,15 @@
 	}
 	if n.settings.FirstStart {
 		// The fleet's table is empty: nothing has to be read before the row is written.
-		n.presence.Seen(bfstore.Entry{Key: n.common.Inbound, Removed: true})
+		n.presence.Observe(bfstore.Entry{Key: n.common.Inbound, Removed: true})
 	}
-	n.config = bffollow.New(bffollow.Parts{
-		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, Gather: gatherVersions,
-		Due: func() bool { return n.news.ReadsVersions() }, Held: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+	n.config = bffollow.New(bffollow.Config{
+		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, BatchDelay: gatherVersions,
+		ShouldFollow: func() bool { return n.news.ReadsVersions() }, KnownRevision: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
-	n.members = bffollow.New(bffollow.Parts{
-		Table: membersTable, Rows: store, Apply: n.state.applyMembers, Gather: gatherMembers,
-		Due: func() bool { return n.news.Reads() }, Held: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+	n.members = bffollow.New(bffollow.Config{
+		Table: membersTable, Rows: store, Apply: n.state.applyMembers, BatchDelay: gatherMembers,
+		ShouldFollow: func() bool { return n.news.ReadsStore() }, KnownRevision: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 }
 
@@ -203,7 +203,7 @@
 
 // current reports whether what the node holds follows the store: by its own calls
 // or by the word of a node that does.
-func (n *node) current() bool { return n.news.HearsFresh() || n.follows() }
+func (n *node) current() bool { return n.news.ReceivesFresh() || n.follows() }
 
 // follows reports whether the node's own calls follow the store now.
 func (n *node) follows() bool { return n.config.Follows() && n.members.Follows() }
@@ -212,8 +212,8 @@
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, bfpeer.NewTraffic(n.metrics), n.group)
 	n.shareQuarantine()
-	n.news = bfnews.New(bfnews.Parts{
-		Self: n.common.Peer, Place: place(n.common, n.settings), First: n.settings.FirstStart, State: n.state,
+	n.news = bfnews.New(bfnews.Config{
+		Self: n.common.Peer, Place: place(n.common, n.settings), FirstStart: n.settings.FirstStart, State: n.state,
 		Fleet: n.fleet, Calls: n.calls, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go, Quarantine: n.rumor,
 	})
 	maps.Copy(methods, n.news.Methods())
@@ -224,13 +224,13 @@
 // writeTogether has the row written by the node that gathers writes: the fleet's first
 // source, or a seed where the fleet has yet to meet.
 func (n *node) writeTogether(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
-	peer := n.news.Writer()
+	peer := n.news.BatchWriter()
 	if peer == "" && n.settings.FirstStart {
 		peer = n.settings.seedPeer(n.common.Peer)
 	}
 	switch peer {
 	case "":
-		return 0, &bfbatch.NotMadeError{Reason: &bfstore.UnavailableError{Reason: "nobody is known who gathers writes"}}
+		return 0, &bfbatch.BatchError{Reason: &bfstore.UnavailableError{Reason: "nobody is known who gathers writes"}}
 	case n.common.Peer:
 		return n.batcher.Write(ctx, write)
 	}
@@ -240,14 +240,14 @@
 // targetChanged has the table of members follow what the target does.
 func (n *node) targetChanged(target *bfhost.Target) {
 	if target == nil {
-		n.presence.Want(nil)
+		n.presence.SetDesired(nil)
 		return
 	}
 	n.logger.Emit(bflog.TargetChanged,
-		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.Takes()),
+		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.AcceptsWork()),
 		slog.Int("slots", target.Slots()), slog.String("address", target.Address()), slog.Duration("warm_up_left", target.WarmUpLeft()))
-	if !target.Takes() || n.ready.leaving.Load() {
-		n.presence.Want(nil)
+	if !target.AcceptsWork() || n.ready.leaving.Load() {
+		n.presence.SetDesired(nil)
 		return
 	}
 	member := bffleet.Member{
@@ -263,7 +263,7 @@
 		n.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 		return
 	}
-	n.presence.Want(value)
+	n.presence.SetDesired(value)
 }
 
 // recall has the host believe what this node's own row tells of its target.
@@ -271,7 +271,7 @@
 	if !own.HasTarget() {
 		return
 	}
-	n.host.Recall(bfhost.Heartbeat{
+	n.host.RestoreTarget(bfhost.Heartbeat{
 		Incarnation: own.Incarnation, Started: own.Started(), Service: own.Service, Address: own.Address,
 		Slots: own.Slots, State: bfhost.Ready,
 	})
@@ -299,12 +299,12 @@
 		handler       http.Handler
 	}
 	ports := []port{
-		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.Heard, Left: n.host.Left, Refused: n.reportRefused}},
+		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.reportRefused}},
 		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
 	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
-		Name: "caller", Handler: n.entry, Beside: n.entry.Beside, Limits: n.limits,
+		Name: "caller", Handler: n.entry, MayRunConcurrently: n.entry.MayRunConcurrently, Limits: n.limits,
 		SendBuffer: n.settings.sendBuffer(), Logger: n.logger,
 	})
 	if err != nil {
@@ -370,7 +370,7 @@
 }
 
 func (n *node) sweep(now time.Time) {
-	n.targets.Sweep(now)
-	n.nodes.Sweep(now)
+	n.targets.CloseExpired(now)
+	n.nodes.CloseExpired(now)
 	n.calls.CloseIdle(now, callIdle)
 }
--- a/lib/bfcontrol/ask.go
+++ b/lib/bfcontrol/ask.go
@@ -9,9 +9,9 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Committed spreads the encoded delta of a version that this node committed.
+// PublishDelta spreads the encoded delta of a version that this node committed.
 // It fails if ctx or the loop has ended.
-func (c *Control) Committed(ctx context.Context, delta []byte) error {
+func (c *Control) PublishDelta(ctx context.Context, delta []byte) error {
 	return c.loop.Ask(ctx, func(now time.Time) { c.spreadActions(now, "", c.spreader.Committed(now, delta)) })
 }
 
@@ -35,9 +35,9 @@
 	}
 }
 
-// Heard returns the newest version that each member advertised and the time
+// KnownVersions returns the newest version that each member advertised and the time
 // since that advert, by the member's hash. It fails if ctx or the loop has ended.
-func (c *Control) Heard(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
+func (c *Control) KnownVersions(ctx context.Context) (map[uint64]bfconfig.Version, map[uint64]time.Duration, error) {
 	versions, ages := map[uint64]bfconfig.Version{}, map[uint64]time.Duration{}
 	err := c.loop.Ask(ctx, func(now time.Time) {
 		for hash, head := range c.memberHeads {
--- a/lib/bfcontrol/cluster_test.go
+++ b/lib/bfcontrol/cluster_test.go
@@ -195,7 +195,7 @@
 		{Key: bfcommit.HeadKey, Value: head.Encode()}, {Key: bfcommit.VersionKey(next.Version()), Value: encoded},
 	}}))
 	if from != "" {
-		c.is.NoErr(c.node(from).control.Committed(c.t.Context(), encoded))
+		c.is.NoErr(c.node(from).control.PublishDelta(c.t.Context(), encoded))
 	}
 }
 
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -65,8 +65,8 @@
 // Comparer holds data that all members should agree on; its digest is sent with membership probes.
 type Comparer interface {
 	Digest() uint64
-	// Saw records the digest received from the member with the given peer address.
-	Saw(address string, digest uint64)
+	// ObserveDigest records the digest received from the member with the given peer address.
+	ObserveDigest(address string, digest uint64)
 }
 
 // Control runs a node's part of the control plane.
@@ -260,12 +260,12 @@
 
 // advertReceived records the head of a member; senders that are not members are ignored to bound memory.
 func (c *Control) advertReceived(now time.Time, a bfmember.AdvertReceived) {
-	rank, member := c.members.Order().RankOf(a.From)
+	rank, member := c.members.Order().RankByHash(a.From)
 	if !member {
 		return
 	}
 	c.recordContact(now)
-	c.parts.Quarantine.Saw(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
+	c.parts.Quarantine.ObserveDigest(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
 	c.memberHeads[a.From] = memberHead{bfconfig.Version(a.Advert.Version), now}
 }
 
--- a/lib/bfcontrol/directory.go
+++ b/lib/bfcontrol/directory.go
@@ -75,7 +75,7 @@
 	}
 	if len(c.memberHeads) > c.publication.order.Len() {
 		maps.DeleteFunc(c.memberHeads, func(hash uint64, _ memberHead) bool {
-			_, member := c.publication.order.RankOf(hash)
+			_, member := c.publication.order.RankByHash(hash)
 			return !member
 		})
 	}
--- a/lib/bfcontrol/quarantine_test.go
+++ b/lib/bfcontrol/quarantine_test.go
@@ -25,7 +25,7 @@
 	d.own = own
 }
 
-func (d *fakeComparer) Saw(address string, digest uint64) {
+func (d *fakeComparer) ObserveDigest(address string, digest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seen == nil {
--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -64,12 +64,12 @@
 	}
 	left := c.Objective.Std() - w.agenda.Now().Sub(r.began)
 	demand := bffleet.Demand{
-		Service: c.Service, Bytes: 1500, Usual: e.usual[r.class], Running: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
-		Near: r.full && r.parent == nil && !bfwalk.GoesFar(e.far.Of(c.Service), w.random.Float64()),
+		Service: c.Service, Bytes: 1500, UsualTime: e.usual[r.class], RunTime: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
+		SameDomain: r.full && r.parent == nil && !bfwalk.TriesOtherDomain(e.far.Of(c.Service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), r.tried)
 	chosen := choice.Target()
-	walked := w.agenda.Now().Sub(r.attempt) > bfwalk.Longest(c.Objective.Std(), e.near.Of(c.Service))
+	walked := w.agenda.Now().Sub(r.attempt) > bfwalk.MaxSearch(c.Objective.Std(), e.near.Of(c.Service))
 	if chosen == nil || r.full && r.parent == nil && walked || !w.agenda.Now().Before(r.deadline) {
 		w.refuse(r)
 		return
@@ -77,16 +77,16 @@
 	r.tried = append(r.tried, chosen)
 	way := nearWay
 	w.report.Asks++
-	if e.fleet.IsFar(chosen) {
+	if e.fleet.IsInOtherDomain(chosen) {
 		way = farWay
 		w.report.FarAsks++
 	}
 	slot := bfslot.Request{Class: c.Name, Nested: r.parent != nil, Rank: c.Rank, Late: r.parent == nil && left < e.usual[r.class]}
 	switch {
 	case r.parent != nil:
-		slot.Patience = time.Duration(nestedPatience * float64(c.Objective))
-	case bfwalk.Waits(choice.Others(), e.near.Of(c.Service)):
-		slot.Patience = bfwalk.Patience(left, e.usual[r.class])
+		slot.MaxWait = time.Duration(nestedPatience * float64(c.Objective))
+	case bfwalk.QueuesAtTarget(choice.Others(), e.near.Of(c.Service)):
+		slot.MaxWait = bfwalk.MaxWait(left, e.usual[r.class])
 	}
 	chosen.Begin()
 	w.agenda.After(way, func() { w.enter(r, chosen, slot, way) })
@@ -108,7 +108,7 @@
 		w.hand(r, at, n, way)
 	default:
 		n.granted[ticket] = func() { w.hand(r, at, n, way) }
-		w.agenda.After(slot.Patience, func() {
+		w.agenda.After(slot.MaxWait, func() {
 			if n.queue.Leave(ticket) {
 				w.agenda.After(way, func() { w.turnedAway(r, at) })
 			}
@@ -120,7 +120,7 @@
 func (r *request) origin() bfbudget.Origin {
 	switch {
 	case r.sent > 0:
-		return bfbudget.Again{}
+		return bfbudget.Retry{}
 	case r.parent != nil && r.parent.IsRepeat():
 		return bfbudget.Inherited{}
 	}
@@ -190,7 +190,7 @@
 // call has a run make a call.
 func (w *world) call(u *run, class int) {
 	c := w.load.Classes[class]
-	u.Call(c.Service)
+	u.BeginCall(c.Service)
 	r := w.newRequest(class, u.node)
 	r.parent, r.retries = u, 0
 	r.deadline = minTime(r.deadline, u.request.deadline)
@@ -240,11 +240,11 @@
 func (w *world) hear(r *request, at *bffleet.Target, took bool) {
 	n := w.byName[at.Member().Inbound]
 	used, slots := n.queue.Load()
-	at.Told(used, slots, w.agenda.Now())
-	at.ToldTrack(0, n.speed, w.agenda.Now())
+	at.ReportLoad(used, slots, w.agenda.Now())
+	at.ReportHealth(0, n.speed, w.agenda.Now())
 	at.End()
 	odds := &r.entry.near
-	if r.entry.fleet.IsFar(at) {
+	if r.entry.fleet.IsInOtherDomain(at) {
 		odds = &r.entry.far
 	}
 	odds.Note(w.load.Classes[r.class].Service, took)
@@ -258,7 +258,7 @@
 
 func (w *world) unreached(r *request, at *bffleet.Target) {
 	at.End()
-	at.SetAside(w.agenda.Now())
+	at.Suspend(w.agenda.Now())
 	w.ask(r)
 }
 
@@ -272,7 +272,7 @@
 		return
 	}
 	r.shed = true
-	if r.parent.Shed(w.load.Classes[r.class].Service) {
+	if r.parent.ShedCall(w.load.Classes[r.class].Service) {
 		w.agenda.After(siblingPause, func() { w.again(r) })
 		return
 	}
@@ -350,7 +350,7 @@
 		return
 	}
 	refused := bfwalk.Refused{Objective: c.Objective.Std(), Used: r.attempt.Sub(r.began), Left: r.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(r.entry.near.Of(c.Service), w.random.Float64())
+	pause := refused.RetryAfter(r.entry.near.Of(c.Service), w.random.Float64())
 	if r.failed {
 		pause = unreachedAfter
 	}
--- a/lib/bfflight/report.go
+++ b/lib/bfflight/report.go
@@ -8,12 +8,12 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// loggedRuns bounds the requests that a line names.
+// loggedRuns bounds the requests listed in one log line.
 const loggedRuns = 16
 
-// Report logs a crash with what the target ran, and what came of it for the requests that
-// it speaks against.
-func Report(logger *bflog.Logger, crash Crash, view *bfquarantine.View, now time.Time) {
+// LogCrash logs a crash with the requests in flight, and each blamed request that is now
+// quarantined or suspected.
+func LogCrash(logger *bflog.Logger, crash Crash, view *bfquarantine.View, now time.Time) {
 	runs := make([]string, 0, loggedRuns)
 	for _, run := range crash.Runs[:min(len(crash.Runs), loggedRuns)] {
 		runs = append(runs, run.ID+" "+run.Key.Content.String()+" "+run.Ran.String())
@@ -25,7 +25,7 @@
 		switch verdict := view.Judge(key, now).(type) {
 		case bfquarantine.Held:
 			logger.Emit(bflog.RequestQuarantined, content, slog.Duration("for", verdict.Until().Sub(now)))
-		case bfquarantine.Apart:
+		case bfquarantine.Isolated:
 			logger.Emit(bflog.RequestSuspected, content)
 		case bfquarantine.Free:
 		}
