--- a/lib/bfbackend/versions.go
+++ b/lib/bfbackend/versions.go
@@ -71,7 +71,7 @@
 	history := bfquery.History{Complete: true}
 	err := b.visitBackwards(ctx, func(delta bfconfig.Delta) bool {
 		for _, op := range slices.Backward(delta.Change().Ops()) {
-			if op.Target() == ref {
+			if op.ObjectRef() == ref {
 				history.Items = append(history.Items, bfquery.HistoryItem{
 					Version: delta.Version(), At: delta.Change().At(),
 					Author: delta.Change().Author(), ChangeID: delta.Change().ID(), Op: op,
@@ -108,7 +108,7 @@
 			Author: delta.Change().Author(), ChangeID: delta.Change().ID(),
 		}
 		for _, op := range delta.Change().Ops() {
-			info.Objects = append(info.Objects, op.Target())
+			info.Objects = append(info.Objects, op.ObjectRef())
 		}
 		list = append(list, info)
 		return len(list) < limit
--- a/lib/bfcommit/cases_test.go
+++ b/lib/bfcommit/cases_test.go
@@ -270,12 +270,12 @@
 		later := map[bfconfig.Ref]bool{}
 		for _, delta := range deltas[which+1:] {
 			for _, op := range delta.Change().Ops() {
-				later[op.Target()] = true
+				later[op.ObjectRef()] = true
 			}
 		}
 		conflicting := false
 		for _, op := range deltas[which].Change().Ops() {
-			conflicting = conflicting || later[op.Target()]
+			conflicting = conflicting || later[op.ObjectRef()]
 		}
 		if conflicting != (err != nil) {
 			t.Fatalf("later changes touched the objects: %v, undo: %v", conflicting, err)
@@ -288,10 +288,10 @@
 			return // nothing to reverse, or another object refers to a removed one
 		}
 		for _, op := range deltas[which].Change().Ops() {
-			before, existed := states[which].Object(op.Target())
-			after, exists := states[len(states)-1].Object(op.Target())
+			before, existed := states[which].Object(op.ObjectRef())
+			after, exists := states[len(states)-1].Object(op.ObjectRef())
 			if existed != exists || existed && !bfconfig.Equal(before, after) {
-				t.Fatalf("%s not reversed", op.Target())
+				t.Fatalf("%s not reversed", op.ObjectRef())
 			}
 		}
 	})
--- a/lib/bfcommit/rebase.go
+++ b/lib/bfcommit/rebase.go
@@ -49,7 +49,7 @@
 
 func modifies(delta bfconfig.Delta, ref bfconfig.Ref) bool {
 	for _, op := range delta.Change().Ops() {
-		if op.Target() == ref {
+		if op.ObjectRef() == ref {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 	var ops []bfconfig.Op
 	seen := map[bfconfig.Ref]bool{}
 	for _, op := range undone.Change().Ops() {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		if seen[ref] {
 			continue
 		}
--- a/lib/bfcommit/staged.go
+++ b/lib/bfcommit/staged.go
@@ -86,7 +86,7 @@
 func touchedRefs(ops []bfconfig.Op) []bfconfig.Ref {
 	var refs []bfconfig.Ref
 	for _, op := range ops {
-		refs = append(refs, op.Target())
+		refs = append(refs, op.ObjectRef())
 		if put, isPut := op.(bfconfig.Put); isPut {
 			refs = append(refs, bfconfig.References(put.Object)...)
 		}
@@ -190,7 +190,7 @@
 	var list []Difference
 	indexes := map[bfconfig.Ref]int{}
 	for _, op := range s.ops {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		i, seen := indexes[ref]
 		if !seen {
 			i = len(list)
--- a/lib/bfconfig/change.go
+++ b/lib/bfconfig/change.go
@@ -6,8 +6,8 @@
 
 // Op is an operation on one object: Put or Remove.
 type Op interface {
-	// Target returns the reference of the object that the operation changes.
-	Target() Ref
+	// ObjectRef returns the reference of the object that the operation changes.
+	ObjectRef() Ref
 }
 
 // Put creates an object or replaces all of its fields.
@@ -16,11 +16,11 @@
 // Remove deletes an existing object.
 type Remove struct{ Ref Ref }
 
-// Target returns the reference of the object to put.
-func (p Put) Target() Ref { return p.Object.Ref() }
+// ObjectRef returns the reference of the object to put.
+func (p Put) ObjectRef() Ref { return p.Object.Ref() }
 
-// Target returns the reference of the object to remove.
-func (r Remove) Target() Ref { return r.Ref }
+// ObjectRef returns the reference of the object to remove.
+func (r Remove) ObjectRef() Ref { return r.Ref }
 
 // Change is a set of operations that an operator confirms and that is applied atomically.
 type Change struct {
--- a/lib/bfconfig/naive_test.go
+++ b/lib/bfconfig/naive_test.go
@@ -30,13 +30,13 @@
 			if put.Object.check() != nil {
 				fault(&FieldError{})
 			}
-			after.objects[op.Target()] = entry{object: put.Object, revision: after.version}
+			after.objects[op.ObjectRef()] = entry{object: put.Object, revision: after.version}
 			continue
 		}
-		if _, found := after.objects[op.Target()]; !found {
+		if _, found := after.objects[op.ObjectRef()]; !found {
 			fault(&MissingError{})
 		}
-		delete(after.objects, op.Target())
+		delete(after.objects, op.ObjectRef())
 	}
 	for _, a := range after.objects {
 		for _, required := range a.object.references() {
--- a/lib/bfconfig/state.go
+++ b/lib/bfconfig/state.go
@@ -244,7 +244,7 @@
 // validate checks the objects affected by ops, assuming that the state was valid before them.
 func (s *State) validate(ops []Op) error {
 	for _, op := range ops {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		e, found := s.objects[ref]
 		if !found {
 			if s.referrers[ref] > 0 {
@@ -277,7 +277,7 @@
 func (s *State) validateConflicts(ops []Op) error {
 	candidates := s.conflictCandidates(ops)
 	for _, op := range ops {
-		e, exists := s.objects[op.Target()]
+		e, exists := s.objects[op.ObjectRef()]
 		if !exists {
 			continue
 		}
@@ -308,7 +308,7 @@
 	found := conflictSet{routes: map[string][]RouteSpec{}}
 	events := false
 	for _, op := range ops {
-		switch object := s.objects[op.Target()].object.(type) {
+		switch object := s.objects[op.ObjectRef()].object.(type) {
 		case RouteSpec:
 			found.routes[object.Prefix] = nil
 		case EventSpec:
--- a/lib/bfquery/diff.go
+++ b/lib/bfquery/diff.go
@@ -36,12 +36,12 @@
 		return err
 	}
 	for _, op := range staged.Ops {
-		revision := state.Revision(op.Target())
+		revision := state.Revision(op.ObjectRef())
 		if revision <= staged.Base {
 			continue
 		}
 		if err := r.message("%s was changed in version %d, after this was staged on version %d: a confirm will conflict",
-			op.Target(), revision, staged.Base); err != nil {
+			op.ObjectRef(), revision, staged.Base); err != nil {
 			return err
 		}
 	}
@@ -53,7 +53,7 @@
 	current := map[bfconfig.Ref]bfconfig.Object{}
 	var rows []row
 	for _, op := range ops {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		before, seen := current[ref]
 		if !seen {
 			before, _ = state.Object(ref)
--- a/lib/bfquery/fake_test.go
+++ b/lib/bfquery/fake_test.go
@@ -129,9 +129,9 @@
 		return nil, &NotStagedError{Name: name}
 	}
 	for _, op := range staged.Ops {
-		if revision := f.State().Revision(op.Target()); revision > staged.Base {
+		if revision := f.State().Revision(op.ObjectRef()); revision > staged.Base {
 			by := f.log[revision-1]
-			return Conflict{Object: op.Target(), Version: revision, ChangeID: by.ChangeID, Author: by.Author}, nil
+			return Conflict{Object: op.ObjectRef(), Version: revision, ChangeID: by.ChangeID, Author: by.Author}, nil
 		}
 	}
 	if err := f.commit(bfconfig.NewChange(id, author, f.now, staged.Ops)); err != nil {
@@ -153,7 +153,7 @@
 	f.states, f.ops = append(f.states, next), append(f.ops, change.Ops())
 	info := VersionInfo{Version: delta.Version(), At: change.At(), Author: change.Author(), ChangeID: change.ID()}
 	for _, op := range change.Ops() {
-		info.Objects = append(info.Objects, op.Target())
+		info.Objects = append(info.Objects, op.ObjectRef())
 	}
 	f.log = append(f.log, info)
 	return nil
@@ -164,7 +164,7 @@
 	for i := len(f.log) - 1; i >= 0; i-- {
 		var last bfconfig.Op
 		for _, op := range f.ops[i] {
-			if op.Target() == ref {
+			if op.ObjectRef() == ref {
 				last = op
 			}
 		}
--- a/lib/bfquery/rows.go
+++ b/lib/bfquery/rows.go
@@ -154,7 +154,7 @@
 func stagedRow(s StagedChange) row {
 	objects := make(bfresult.ListCell, 0, len(s.Ops))
 	for _, op := range s.Ops {
-		objects = append(objects, op.Target().String())
+		objects = append(objects, op.ObjectRef().String())
 	}
 	return row{text(s.Name), text(s.Author), bfresult.TimeCell(s.At), number(s.Base), objects}
 }
--- a/lib/bfquery/undo.go
+++ b/lib/bfquery/undo.go
@@ -39,7 +39,7 @@
 	seen := map[bfconfig.Ref]bool{}
 	var inverse []bfconfig.Op
 	for _, op := range ops {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		if seen[ref] {
 			continue
 		}
