--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -114,7 +114,7 @@
 		s.refused.CompareAndSwap(refused, nil)
 	}
 	s.changed()
-	s.logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(snapshot.Version())), slog.Int("routes", snapshot.Routes()), how)
+	s.logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(snapshot.Version())), slog.Int("routes", snapshot.RouteCount()), how)
 }
 
 // applyMembers takes news of the members' table.
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -216,7 +216,7 @@
 // newCall reads the request and makes its call.
 func (h *Handler) newCall(r *http.Request, route *bftraffic.Route, parent *bfbudget.Run, now time.Time) (*call, error) {
 	c := &call{
-		handler: h, caller: r.Context(), route: route, service: route.Destination(), arrived: now,
+		handler: h, caller: r.Context(), route: route, service: route.PickService(), arrived: now,
 		deadline: now.Add(route.Timeout()), callerDeadline: now.Add(route.Timeout()), parent: parent,
 	}
 	if left, err := strconv.ParseInt(r.Header.Get(h.parts.Names.Deadline), 10, 64); err == nil && left > 0 {
--- a/lib/bfinspect/backend.go
+++ b/lib/bfinspect/backend.go
@@ -141,10 +141,10 @@
 		e.Reasons = append(e.Reasons, fmt.Sprintf("no route of host %s has a prefix that begins %s", host, path))
 		return e, nil
 	}
-	e.Route, e.Service, e.Policy = route.Name(), route.Services()[0].Service, route.Kind().String()
+	e.Route, e.Service, e.Policy = route.Name(), route.Destinations()[0].Service, route.Kind().String()
 	e.Reasons = append(e.Reasons, reasons(route)...)
 	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
-		if route.GoesTo(s.Member.Service) {
+		if route.HasService(s.Member.Service) {
 			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: target(s), Eligible: s.IsEligible(), Why: s.Reason()})
 		}
 	}
@@ -159,7 +159,7 @@
 	}
 	list := []string{fmt.Sprintf("it is %s and %s, to %d targets at most, within %v; objective %v, rank %d",
 		route.Kind(), repeat, route.MaxAttempts(), route.Timeout(), route.Objective(), route.Rank())}
-	if services := route.Services(); len(services) > 1 {
+	if services := route.Destinations(); len(services) > 1 {
 		for _, d := range services {
 			list = append(list, fmt.Sprintf("service %s gets requests by weight %d", d.Service, d.Weight))
 		}
--- a/lib/bfnews/news.go
+++ b/lib/bfnews/news.go
@@ -341,7 +341,7 @@
 		return nil
 	}
 	if base := e.state.Recent(held); base != nil {
-		reply.Delta, err = bfcodec.Marshal(bftraffic.DeltaOf(base, snapshot))
+		reply.Delta, err = bfcodec.Marshal(bftraffic.Diff(base, snapshot))
 		return err
 	}
 	reply.Spec, err = e.encode(snapshot)
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -120,7 +120,7 @@
 func (u update) withChanges(last, now sentState) update {
 	if last.snapshot != nil && now.snapshot != nil && now.snapshot.Version() != last.snapshot.Version() {
 		u.Version = now.snapshot.Version()
-		u.Delta = marshalOrNil(bftraffic.DeltaOf(last.snapshot, now.snapshot))
+		u.Delta = marshalOrNil(bftraffic.Diff(last.snapshot, now.snapshot))
 	}
 	if last.roster.Revision > 0 && now.roster.Revision != last.roster.Revision {
 		u.Revision = now.roster.Revision
--- a/lib/bftraffic/change_test.go
+++ b/lib/bftraffic/change_test.go
@@ -23,7 +23,7 @@
 // Nodes run on a fraction of a core, so this work delays all their requests.
 func BenchmarkApplyOneRoute(b *testing.B) {
 	from, to := snapshotsDifferingInOneRoute(b)
-	delta := DeltaOf(from, to)
+	delta := Diff(from, to)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := from.Apply(delta); err != nil {
@@ -37,7 +37,7 @@
 	from, to := snapshotsDifferingInOneRoute(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		DeltaOf(from, to)
+		Diff(from, to)
 	}
 }
 
--- a/lib/bftraffic/delta.go
+++ b/lib/bftraffic/delta.go
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("delta from version %d on version %d: %s", e.Base, e.Held, e.Reason)
 }
 
-// DeltaOf returns the delta from one snapshot to another.
-func DeltaOf(from, to *Snapshot) Delta {
+// Diff returns the delta from one snapshot to another.
+func Diff(from, to *Snapshot) Delta {
 	d := Delta{Base: from.version, Version: to.version, Services: to.services, Limits: to.limits, Digest: to.digest()}
 	remaining := from.routes
 	for _, route := range to.routes {
--- a/lib/bftraffic/delta_rapid_test.go
+++ b/lib/bftraffic/delta_rapid_test.go
@@ -33,7 +33,7 @@
 	for host := range 3 {
 		for prefix := range 4 {
 			if r := s.Match(fmt.Sprintf("h%d", host), fmt.Sprintf("/p%d/x", prefix)); r != nil {
-				text += fmt.Sprintln(host, prefix, r.Name(), r.Rank(), r.Urgent(), r.Services())
+				text += fmt.Sprintln(host, prefix, r.Name(), r.Rank(), r.Urgent(), r.Destinations())
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 			spec := anySpec(t, version)
 			fresh, err := NewSnapshot(spec)
 			is.NoErr(err)
-			byDelta, err := held.Apply(DeltaOf(held, fresh))
+			byDelta, err := held.Apply(Diff(held, fresh))
 			is.NoErr(err)
 			bySpec, err := held.Next(spec)
 			is.NoErr(err)
--- a/lib/bftraffic/delta_test.go
+++ b/lib/bftraffic/delta_test.go
@@ -12,7 +12,7 @@
 	from := mustSnapshot(t, spec(3, route("a", "h", "/a/"), route("b", "h", "/b/"), route("c", "h", "/c/")))
 	changed := route("b", "h", "/b/", Destination{"vault", 1})
 	to := mustSnapshot(t, spec(9, route("c", "h", "/c/"), changed, route("d", "H2", "/d/")))
-	delta := DeltaOf(from, to)
+	delta := Diff(from, to)
 	is.Equal(len(delta.Set), 2)
 	is.Equal(delta.Dropped, []RouteKey{{"h", "/a/"}})
 	made, err := from.Apply(delta)
@@ -29,7 +29,7 @@
 func TestMismatchedDeltaIsRejected(t *testing.T) {
 	is := is.New(t)
 	from, to := mustSnapshot(t, spec(3, route("a", "h", "/a/"))), mustSnapshot(t, spec(4, route("a", "h", "/a2/")))
-	delta := DeltaOf(from, to)
+	delta := Diff(from, to)
 	var wrong *DeltaError
 	_, err := mustSnapshot(t, spec(2, route("a", "h", "/a/"))).Apply(delta)
 	is.True(errors.As(err, &wrong))
@@ -49,11 +49,11 @@
 	third := mustSnapshot(t, spec(3, route("a", "h", "/a/")))
 	sixth := mustSnapshot(t, spec(6, route("a", "h", "/a/"), route("b", "h", "/b/")))
 	seventh := mustSnapshot(t, spec(7, route("a", "h", "/a/"), route("b", "h", "/b/"), route("c", "h", "/c/")))
-	made, err := sixth.Apply(DeltaOf(third, seventh))
+	made, err := sixth.Apply(Diff(third, seventh))
 	is.NoErr(err)
 	is.Equal(made.Spec(), seventh.Spec())
 	back := mustSnapshot(t, spec(7, route("a", "h", "/a/"), route("c", "h", "/c/")))
-	_, err = sixth.Apply(DeltaOf(third, back))
+	_, err = sixth.Apply(Diff(third, back))
 	var wrong *DeltaError
 	is.True(errors.As(err, &wrong))
 }
@@ -68,7 +68,7 @@
 	lower.Rank = 2
 	first := mustSnapshot(t, spec(3, higher))
 	is.True(!first.Match("h", "/approve/1").Urgent())
-	second, err := first.Apply(DeltaOf(first, mustSnapshot(t, spec(4, higher, lower))))
+	second, err := first.Apply(Diff(first, mustSnapshot(t, spec(4, higher, lower))))
 	is.NoErr(err)
 	is.True(second.Match("h", "/approve/1").Urgent())
 	is.True(!second.Match("h", "/look/1").Urgent())
--- a/lib/bftraffic/snapshot.go
+++ b/lib/bftraffic/snapshot.go
@@ -123,8 +123,8 @@
 // Version returns the version of the configuration.
 func (s *Snapshot) Version() Version { return s.version }
 
-// Routes returns the number of routes.
-func (s *Snapshot) Routes() int { return len(s.routes) }
+// RouteCount returns the number of routes.
+func (s *Snapshot) RouteCount() int { return len(s.routes) }
 
 // Spec returns the configuration in its encoded form; callers must not modify its services.
 func (s *Snapshot) Spec() Spec {
@@ -222,11 +222,11 @@
 // Urgent reports whether another route of one of its services has a lower rank.
 func (r *Route) Urgent() bool { return r.urgent }
 
-// Services returns the route's services and weights; callers must not modify them.
-func (r *Route) Services() []Destination { return r.spec.Destinations }
+// Destinations returns the route's services and weights; callers must not modify them.
+func (r *Route) Destinations() []Destination { return r.spec.Destinations }
 
-// GoesTo reports whether the route sends requests to the service.
-func (r *Route) GoesTo(service string) bool {
+// HasService reports whether the service is one of the route's destinations.
+func (r *Route) HasService(service string) bool {
 	return slices.ContainsFunc(r.spec.Destinations, func(d Destination) bool { return d.Service == service })
 }
 
@@ -234,8 +234,8 @@
 // (a low-discrepancy sequence), so shares are exact to about one request.
 const goldenStep = 2654435769
 
-// Destination picks the service for one request according to the weights.
-func (r *Route) Destination() string {
+// PickService returns the service for the next request, distributing requests by weight.
+func (r *Route) PickService() string {
 	if len(r.spec.Destinations) == 1 {
 		return r.spec.Destinations[0].Service
 	}
--- a/lib/bftraffic/traffic_test.go
+++ b/lib/bftraffic/traffic_test.go
@@ -88,7 +88,7 @@
 	count := 0
 	const requests = 300
 	for range requests {
-		if s.Match("a.example", "/x").Destination() == "vault" {
+		if s.Match("a.example", "/x").PickService() == "vault" {
 			count++
 		}
 	}
@@ -105,7 +105,7 @@
 		for range nodes {
 			s := mustSnapshot(t, spec(1, route("r", "a.example", "/", Destination{"portal", 100 - weight}, Destination{"vault", weight})))
 			for range requests {
-				if s.Match("a.example", "/x").Destination() == "vault" {
+				if s.Match("a.example", "/x").PickService() == "vault" {
 					count++
 				}
 			}
