--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -151,8 +151,8 @@
 // the runs of its target.
 func (n *node) account() *bfbudget.Account {
 	return bfbudget.New(bfbudget.Options{
-		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Chance: rand.Float64,
-		Opened: func(service string, left func() float64) {
+		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Random: rand.Float64,
+		OnNewService: func(service string, left func() float64) {
 			n.metrics.Gauge("repeats_left_"+service, func() int64 { return int64(left()) })
 		},
 	})
@@ -168,8 +168,8 @@
 }
 
 func (n *node) followStore(store *bfdialect.Store) {
-	n.presence = bfpresence.New(bfpresence.Parts{
-		Table: membersTable, Key: n.common.Inbound, Rows: store, Together: n.writeTogether,
+	n.presence = bfpresence.New(bfpresence.Config{
+		Table: membersTable, Key: n.common.Inbound, Rows: store, WriteBatched: n.writeTogether,
 		Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 	n.batcher = bfbatch.New(bfbatch.Config{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
@@ -180,15 +180,15 @@
 	}
 	if n.settings.FirstStart {
 		// The fleet's table is empty: nothing has to be read before the row is written.
-		n.presence.Seen(bfstore.Entry{Key: n.common.Inbound, Removed: true})
+		n.presence.Observe(bfstore.Entry{Key: n.common.Inbound, Removed: true})
 	}
-	n.config = bffollow.New(bffollow.Parts{
-		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, Gather: gatherVersions,
-		Due: func() bool { return n.news.ReadsVersions() }, Held: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+	n.config = bffollow.New(bffollow.Config{
+		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, BatchDelay: gatherVersions,
+		ShouldFollow: func() bool { return n.news.ReadsVersions() }, KnownRevision: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
-	n.members = bffollow.New(bffollow.Parts{
-		Table: membersTable, Rows: store, Apply: n.state.applyMembers, Gather: gatherMembers,
-		Due: func() bool { return n.news.Reads() }, Held: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
+	n.members = bffollow.New(bffollow.Config{
+		Table: membersTable, Rows: store, Apply: n.state.applyMembers, BatchDelay: gatherMembers,
+		ShouldFollow: func() bool { return n.news.ReadsStore() }, KnownRevision: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 }
 
@@ -203,7 +203,7 @@
 
 // current reports whether what the node holds follows the store: by its own calls
 // or by the word of a node that does.
-func (n *node) current() bool { return n.news.HearsFresh() || n.follows() }
+func (n *node) current() bool { return n.news.ReceivesFresh() || n.follows() }
 
 // follows reports whether the node's own calls follow the store now.
 func (n *node) follows() bool { return n.config.Follows() && n.members.Follows() }
@@ -212,8 +212,8 @@
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, bfpeer.NewTraffic(n.metrics), n.group)
 	n.shareQuarantine()
-	n.news = bfnews.New(bfnews.Parts{
-		Self: n.common.Peer, Place: place(n.common, n.settings), First: n.settings.FirstStart, State: n.state,
+	n.news = bfnews.New(bfnews.Config{
+		Self: n.common.Peer, Place: place(n.common, n.settings), FirstStart: n.settings.FirstStart, State: n.state,
 		Fleet: n.fleet, Calls: n.calls, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go, Quarantine: n.rumor,
 	})
 	maps.Copy(methods, n.news.Methods())
@@ -224,7 +224,7 @@
 // writeTogether has the row written by the node that gathers writes: the fleet's first
 // source, or a seed where the fleet has yet to meet.
 func (n *node) writeTogether(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
-	peer := n.news.Writer()
+	peer := n.news.BatchWriter()
 	if peer == "" && n.settings.FirstStart {
 		peer = n.settings.seedPeer(n.common.Peer)
 	}
@@ -240,14 +240,14 @@
 // targetChanged has the table of members follow what the target does.
 func (n *node) targetChanged(target *bfhost.Target) {
 	if target == nil {
-		n.presence.Want(nil)
+		n.presence.SetDesired(nil)
 		return
 	}
 	n.logger.Emit(bflog.TargetChanged,
 		slog.String("incarnation", target.Incarnation()), slog.Bool("takes_work", target.AcceptsWork()),
 		slog.Int("slots", target.Slots()), slog.String("address", target.Address()), slog.Duration("warm_up_left", target.WarmUpLeft()))
 	if !target.AcceptsWork() || n.ready.leaving.Load() {
-		n.presence.Want(nil)
+		n.presence.SetDesired(nil)
 		return
 	}
 	member := bffleet.Member{
@@ -263,7 +263,7 @@
 		n.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 		return
 	}
-	n.presence.Want(value)
+	n.presence.SetDesired(value)
 }
 
 // recall has the host believe what this node's own row tells of its target.
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -51,7 +51,7 @@
 	queue   *bfslot.Queue
 	granted map[*bfslot.Ticket]func()
 	// near and far are how often targets took what this node asked them for.
-	near, far bfwalk.Odds
+	near, far bfwalk.AcceptRates
 	// usual is the mean time of each class from its sending to its answer.
 	usual map[int]time.Duration
 	// running are those that the target works on, by their number.
@@ -59,7 +59,7 @@
 	// book is what the node knows of requests under which targets end, apart whether its
 	// target runs one that has to run apart; until then the target that one ended is away.
 	book    *bfquarantine.Book
-	answers bfquarantine.Answers
+	answers bfquarantine.RecentAnswers
 	apart   bool
 	away    time.Time
 }
@@ -102,7 +102,7 @@
 	}
 	for _, m := range members {
 		n := w.byName[m.Inbound]
-		n.fleet = bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
+		n.fleet = bffleet.NewWithRandom(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		n.fleet.Replace(members)
 	}
 	return w
@@ -116,7 +116,7 @@
 	}
 	n.account = bfbudget.New(bfbudget.Options{
 		Terms: w.load.Repeats.terms(), Nodes: func() int { return len(w.nodes) },
-		Now: func() time.Time { return w.agenda.Now() }, Chance: w.random.Float64,
+		Now: func() time.Time { return w.agenda.Now() }, Random: w.random.Float64,
 	})
 	w.nodes = append(w.nodes, n)
 	return n
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -59,7 +59,7 @@
 	sizes, latencies, runTimes routeMeans
 	// localOdds and remoteOdds are the acceptance odds of targets in this node's failure
 	// domain and in other domains.
-	localOdds, remoteOdds bfwalk.Odds
+	localOdds, remoteOdds bfwalk.AcceptRates
 	// attempts are unserved requests that callers may retry.
 	attempts attempts
 	metrics  metrics
@@ -157,7 +157,7 @@
 // would be cut off at its target when the process exits.
 func (c *call) outlasts(now time.Time) bool {
 	exitTime := c.handler.exitTime.Load()
-	return exitTime != nil && c.parent == nil && !bfwalk.FitsIn(exitTime.Sub(now), c.usualDuration())
+	return exitTime != nil && c.parent == nil && !bfwalk.LikelyInTime(exitTime.Sub(now), c.usualDuration())
 }
 
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, c *call) {
@@ -216,7 +216,7 @@
 // newCall reads the request and makes its call.
 func (h *Handler) newCall(r *http.Request, route *bftraffic.Route, parent *bfbudget.Run, now time.Time) (*call, error) {
 	c := &call{
-		handler: h, caller: r.Context(), route: route, service: route.Destination(), arrived: now,
+		handler: h, caller: r.Context(), route: route, service: route.PickService(), arrived: now,
 		deadline: now.Add(route.Timeout()), callerDeadline: now.Add(route.Timeout()), parent: parent,
 	}
 	if left, err := strconv.ParseInt(r.Header.Get(h.parts.Names.Deadline), 10, 64); err == nil && left > 0 {
--- a/lib/bfinspect/backend.go
+++ b/lib/bfinspect/backend.go
@@ -101,10 +101,10 @@
 // Members lists the members in the node's view.
 func (b *Backend) Members(context.Context) ([]bfquery.Member, error) {
 	var list []bfquery.Member
-	for _, s := range b.parts.Fleet.Standings(b.Now()) {
+	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
 		list = append(list, bfquery.Member{
 			Instance: s.Member.Name(), Service: s.Member.Service, Region: b.parts.Region, Domain: s.Member.Domain,
-			Address: s.Member.Inbound, State: s.Word(), Incarnation: s.Member.Revision,
+			Address: s.Member.Inbound, State: s.State(), Incarnation: s.Member.Revision,
 		})
 	}
 	return list, nil
@@ -113,15 +113,15 @@
 // Targets lists the targets in the node's view.
 func (b *Backend) Targets(context.Context) ([]bfquery.Target, error) {
 	var list []bfquery.Target
-	for _, s := range b.parts.Fleet.Standings(b.Now()) {
+	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
 		list = append(list, targetOf(s))
 	}
 	return list, nil
 }
 
-func targetOf(s bffleet.Standing) bfquery.Target {
+func targetOf(s bffleet.TargetStatus) bfquery.Target {
 	return bfquery.Target{
-		Instance: s.Member.Name(), Service: s.Member.Service, Domain: s.Member.Domain, State: s.Word(),
+		Instance: s.Member.Name(), Service: s.Member.Service, Domain: s.Member.Domain, State: s.State(),
 		Slots: s.Member.Slots, InUse: s.InFlight,
 	}
 }
@@ -143,11 +143,11 @@
 		e.Reasons = append(e.Reasons, fmt.Sprintf("no route of host %s has a prefix that begins %s", host, path))
 		return e, nil
 	}
-	e.Route, e.Service, e.Policy = route.Name(), route.Services()[0].Service, route.Kind().String()
+	e.Route, e.Service, e.Policy = route.Name(), route.Destinations()[0].Service, route.Kind().String()
 	e.Reasons = append(e.Reasons, routeReasons(route)...)
-	for _, s := range b.parts.Fleet.Standings(b.Now()) {
-		if route.GoesTo(s.Member.Service) {
-			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: targetOf(s), Eligible: s.Takes(), Why: s.Why()})
+	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
+		if route.HasService(s.Member.Service) {
+			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: targetOf(s), Eligible: s.IsEligible(), Why: s.Reason()})
 		}
 	}
 	return e, nil
@@ -161,7 +161,7 @@
 	}
 	list := []string{fmt.Sprintf("it is %s and %s, to %d targets at most, within %v; objective %v, rank %d",
 		route.Kind(), retryRule, route.MaxAttempts(), route.Timeout(), route.Objective(), route.Rank())}
-	if services := route.Services(); len(services) > 1 {
+	if services := route.Destinations(); len(services) > 1 {
 		for _, d := range services {
 			list = append(list, fmt.Sprintf("service %s gets requests by weight %d", d.Service, d.Weight))
 		}
--- a/lib/bfquery/rows.go
+++ b/lib/bfquery/rows.go
@@ -134,11 +134,11 @@
 	switch verdict := i.Worst.(type) {
 	case bfquarantine.Held:
 		state, remaining = "held", verdict.Until().Sub(now)
-	case bfquarantine.Apart:
+	case bfquarantine.Isolated:
 		state = "apart"
 	}
 	return row{
-		text(i.Content.String()), text(state), number(i.Ends), number(i.Callers),
+		text(i.Content.String()), text(state), number(i.Crashes), number(i.Callers),
 		bfresult.DurationCell(now.Sub(i.Last).Truncate(time.Millisecond)), bfresult.DurationCell(remaining.Truncate(time.Millisecond)),
 	}
 }
@@ -154,7 +154,7 @@
 func stagedRow(s StagedChange) row {
 	objects := make(bfresult.ListCell, 0, len(s.Ops))
 	for _, op := range s.Ops {
-		objects = append(objects, op.Target().String())
+		objects = append(objects, op.ObjectRef().String())
 	}
 	return row{text(s.Name), text(s.Author), bfresult.TimeCell(s.At), number(s.Base), objects}
 }
--- a/lib/bfquery/undo.go
+++ b/lib/bfquery/undo.go
@@ -38,7 +38,7 @@
 	seen := map[bfconfig.Ref]bool{}
 	var inverse []bfconfig.Op
 	for _, op := range ops {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		if seen[ref] {
 			continue
 		}
--- a/lib/bfspread/spreader.go
+++ b/lib/bfspread/spreader.go
@@ -123,9 +123,9 @@
 	case Busy:
 		s.onBusy(now, from, message)
 	case Census:
-		s.doCounterActions(s.counter.Asked(now, bfcount.Question(message)))
+		s.doCounterActions(s.counter.HandleQuery(now, bfcount.Query(message)))
 	case CensusAnswer:
-		s.doCounterActions(s.counter.Answered(bfcount.Answer(message)))
+		s.doCounterActions(s.counter.HandleResponse(bfcount.Response(message)))
 	}
 	return s.out
 }
@@ -137,7 +137,7 @@
 // send sends to a member by its hash; if the member isn't in the view, the message
 // goes to the source address of the message it answers.
 func (s *Spreader) send(to uint64, message Message) {
-	rank, found := s.order.RankOf(to)
+	rank, found := s.order.RankByHash(to)
 	if !found {
 		s.emit(Send{To: to, Message: message})
 		return
