--- a/lib/bfbackend/backend.go
+++ b/lib/bfbackend/backend.go
@@ -77,8 +77,8 @@
 	return b.clock.WaitUntil(ctx, b.Now().Add(d))
 }
 
-// Refuses returns why the node cannot run a command, nil if it can.
-func (b *Backend) Refuses(command bfsyntax.Command) error {
+// CheckCommand returns why the node cannot run a command, nil if it can.
+func (b *Backend) CheckCommand(command bfsyntax.Command) error {
 	if bfquery.ReadsState(command) && !b.started() {
 		return &bfquery.NotStartedError{}
 	}
--- a/lib/bfbackend/quarantine.go
+++ b/lib/bfbackend/quarantine.go
@@ -11,5 +11,5 @@
 // Release permits a quarantined request again; the release is replicated like other records of
 // the book.
 func (b *Backend) Release(content string) error {
-	return bfquery.ReleaseIn(b.config.Quarantine, content, b.Now())
+	return bfquery.ReleaseContent(b.config.Quarantine, content, b.Now())
 }
--- a/lib/bfinspect/backend.go
+++ b/lib/bfinspect/backend.go
@@ -67,8 +67,8 @@
 // InvalidCommand marks the error as permanent: a retry can't succeed.
 func (e *ManagedByPlatformError) InvalidCommand() {}
 
-// Refuses returns an error if the node can't execute the command, else nil.
-func (b *Backend) Refuses(command bfsyntax.Command) error {
+// CheckCommand returns an error if the node can't execute the command, else nil.
+func (b *Backend) CheckCommand(command bfsyntax.Command) error {
 	switch c := command.(type) {
 	case bfsyntax.Show:
 		switch c.Table {
--- a/lib/bfquery/backend.go
+++ b/lib/bfquery/backend.go
@@ -19,8 +19,8 @@
 	Now() time.Time
 	// Wait blocks for d, or returns the context's error if it ends earlier.
 	Wait(ctx context.Context, d time.Duration) error
-	// Refuses returns an error if the node can't execute the command, else nil.
-	Refuses(command bfsyntax.Command) error
+	// CheckCommand returns an error if the node can't execute the command, else nil.
+	CheckCommand(command bfsyntax.Command) error
 	// State returns the node's current configuration, which is empty before it has started.
 	State() *bfconfig.State
 
--- a/lib/bfquery/fake_test.go
+++ b/lib/bfquery/fake_test.go
@@ -64,7 +64,7 @@
 	return ctx.Err()
 }
 
-func (f *fakeNode) Refuses(command bfsyntax.Command) error {
+func (f *fakeNode) CheckCommand(command bfsyntax.Command) error {
 	if f.notStarted && ReadsState(command) {
 		return &NotStartedError{}
 	}
@@ -243,7 +243,9 @@
 
 func (f *fakeNode) Quarantine() []bfquarantine.Item { return f.quarantine.List(f.Now()) }
 
-func (f *fakeNode) Release(content string) error { return ReleaseIn(f.quarantine, content, f.Now()) }
+func (f *fakeNode) Release(content string) error {
+	return ReleaseContent(f.quarantine, content, f.Now())
+}
 
 func (f *fakeNode) Drain(_ context.Context, instance string) error {
 	if instance != "portal-core-1" {
--- a/lib/bfquery/run.go
+++ b/lib/bfquery/run.go
@@ -32,7 +32,7 @@
 // An error means that the command was not executed or that emit failed. A
 // confirm that was not accepted is reported as an Outcome, not as an error.
 func Run(ctx context.Context, call Call, backend Backend, emit func(bfresult.Result) error) error {
-	if err := backend.Refuses(call.Command); err != nil {
+	if err := backend.CheckCommand(call.Command); err != nil {
 		return err
 	}
 	r := &execution{Call: call, backend: backend, emit: emit}
