--- a/bfctl/internal/bfcommand/run.go
+++ b/bfctl/internal/bfcommand/run.go
@@ -149,7 +149,7 @@
 	case !isWatch:
 		return r.timeout
 	case watch.For == 0:
-		return r.timeout + bfsyntax.UsualWatch
+		return r.timeout + bfsyntax.DefaultWatchDuration
 	}
 	return r.timeout + watch.For
 }
--- a/lib/bfquery/bfsyntax/command.go
+++ b/lib/bfquery/bfsyntax/command.go
@@ -167,14 +167,14 @@
 // Release releases a request from quarantine.
 type Release struct{ Content string }
 
-// UsualWatch is the duration of a watch without a time limit of its own.
-const UsualWatch = 30 * time.Second
+// DefaultWatchDuration is the duration of a watch without a time limit of its own.
+const DefaultWatchDuration = 30 * time.Second
 
 // Watch polls until a version is in force on every node.
 type Watch struct {
 	// Version is the version to wait for; 0 means the latest.
 	Version bfconfig.Version
-	// For is the time limit; 0 means UsualWatch.
+	// For is the time limit; 0 means DefaultWatchDuration.
 	For time.Duration
 }
 
--- a/lib/bfquery/force.go
+++ b/lib/bfquery/force.go
@@ -50,7 +50,7 @@
 	}
 	duration := command.For
 	if duration == 0 {
-		duration = bfsyntax.UsualWatch
+		duration = bfsyntax.DefaultWatchDuration
 	}
 	start := r.backend.Now()
 	for {
