--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -279,9 +279,9 @@
 
 // inspector answers operators' commands.
 func (n *node) inspector() *bfinspect.Backend {
-	return bfinspect.New(bfinspect.Parts{
+	return bfinspect.New(bfinspect.Config{
 		Self: n.common.Inbound, Region: n.common.Region, Traffic: n.traffic, Fleet: n.fleet,
-		Ask: n.news.VersionAt, Refused: n.state.refused.Load, Quarantine: n.book, Timer: n.timer,
+		QueryVersion: n.news.VersionAt, Rejected: n.state.refused.Load, Quarantine: n.book, Timer: n.timer,
 	})
 }
 
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -37,7 +37,7 @@
 	readVersions func() uint64
 
 	// refused is the newest version that was refused whole, nil once a newer one is in force.
-	refused atomic.Pointer[bfinspect.Refusal]
+	refused atomic.Pointer[bfinspect.RejectedVersion]
 	// adopted and listed are when the version in force and the members were taken.
 	adopted, listed moment
 
@@ -58,7 +58,7 @@
 		}
 		spec, err := bfdialect.DecodeConfiguration(entry.Value)
 		if err != nil {
-			s.refused.Store(&bfinspect.Refusal{Reason: err.Error()})
+			s.refused.Store(&bfinspect.RejectedVersion{Reason: err.Error()})
 			s.logger.Emit(bflog.VersionRefused, bflog.Err(err), slog.Uint64("revision", entry.Revision))
 			continue
 		}
@@ -82,7 +82,7 @@
 	}
 	snapshot, err := held.Next(spec)
 	if err != nil {
-		s.refused.Store(&bfinspect.Refusal{Version: spec.Version, Reason: err.Error()})
+		s.refused.Store(&bfinspect.RejectedVersion{Version: spec.Version, Reason: err.Error()})
 		s.logger.Emit(bflog.VersionRefused, slog.Uint64("version", uint64(spec.Version)), bflog.Err(err))
 		return false
 	}
--- a/lib/bfinspect/backend.go
+++ b/lib/bfinspect/backend.go
@@ -14,15 +14,15 @@
 	"bilberryflow.org/lib/bftraffic"
 )
 
-// Refusal is a configuration version that the node rejected.
-type Refusal struct {
+// RejectedVersion is a configuration version that the node rejected.
+type RejectedVersion struct {
 	// Version is 0 if the version number could not be read.
 	Version bftraffic.Version
 	Reason  string
 }
 
 // explanation describes the rejected version to an operator.
-func (r *Refusal) explanation() string {
+func (r *RejectedVersion) explanation() string {
 	name := "the newest version"
 	if r.Version > 0 {
 		name = fmt.Sprintf("version %d", r.Version)
@@ -30,29 +30,29 @@
 	return name + " is not in force, it was refused whole: " + r.Reason
 }
 
-// Parts holds the dependencies of a Backend.
-type Parts struct {
+// Config holds the dependencies of a Backend.
+type Config struct {
 	// Self is the inbound address by which the node is listed as a member.
 	Self    string
 	Region  string
 	Traffic *bftraffic.Holder
 	Fleet   *bffleet.Fleet
-	// Ask queries the node at a peer address for the version in force on it.
-	Ask func(ctx context.Context, peer string) (bftraffic.Version, error)
-	// Refused returns the newest version if the node rejected it, else nil.
-	Refused func() *Refusal
+	// QueryVersion queries the node at a peer address for the version in force on it.
+	QueryVersion func(ctx context.Context, peer string) (bftraffic.Version, error)
+	// Rejected returns the newest version if the node rejected it, else nil.
+	Rejected func() *RejectedVersion
 	// Quarantine holds the requests during which targets crashed.
 	Quarantine *bfquarantine.Book
 	Timer      *bftimer.Service
 }
 
 // Backend is a read-only implementation of bfquery.Backend.
-type Backend struct{ parts Parts }
+type Backend struct{ config Config }
 
 var _ bfquery.Backend = (*Backend)(nil)
 
 // New returns the backend of a node.
-func New(parts Parts) *Backend { return &Backend{parts} }
+func New(config Config) *Backend { return &Backend{config} }
 
 // ManagedByPlatformError reports a command that this node does not support, since the
 // platform manages the configuration.
@@ -79,7 +79,7 @@
 	case bfsyntax.InForce, bfsyntax.Watch, bfsyntax.Help:
 		return nil
 	case bfsyntax.Explain:
-		if b.parts.Traffic.Current() == nil {
+		if b.config.Traffic.Current() == nil {
 			return &bfquery.NotStartedError{}
 		}
 		return nil
@@ -88,11 +88,11 @@
 }
 
 // Now returns the time of the node's clock.
-func (b *Backend) Now() time.Time { return b.parts.Timer.Now() }
+func (b *Backend) Now() time.Time { return b.config.Timer.Now() }
 
 // Wait blocks for d, or returns the context's error if it ends earlier.
 func (b *Backend) Wait(ctx context.Context, d time.Duration) error {
-	return b.parts.Timer.Wait(ctx, d)
+	return b.config.Timer.Wait(ctx, d)
 }
 
 // State returns an empty state, since the platform's configuration has other kinds of objects.
@@ -101,9 +101,9 @@
 // Members lists the members in the node's view.
 func (b *Backend) Members(context.Context) ([]bfquery.Member, error) {
 	var list []bfquery.Member
-	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
+	for _, s := range b.config.Fleet.Statuses(b.Now()) {
 		list = append(list, bfquery.Member{
-			Instance: s.Member.Name(), Service: s.Member.Service, Region: b.parts.Region, Domain: s.Member.Domain,
+			Instance: s.Member.Name(), Service: s.Member.Service, Region: b.config.Region, Domain: s.Member.Domain,
 			Address: s.Member.Inbound, State: s.State(), Incarnation: s.Member.Revision,
 		})
 	}
@@ -113,7 +113,7 @@
 // Targets lists the targets in the node's view.
 func (b *Backend) Targets(context.Context) ([]bfquery.Target, error) {
 	var list []bfquery.Target
-	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
+	for _, s := range b.config.Fleet.Statuses(b.Now()) {
 		list = append(list, targetOf(s))
 	}
 	return list, nil
@@ -129,14 +129,14 @@
 // Explain reports how a request would be routed. The request's path has the form
 // //HOST/PATH; otherwise the error is a *URLError.
 func (b *Backend) Explain(_ context.Context, request bfquery.ExplainRequest) (bfquery.Explanation, error) {
-	traffic := b.parts.Traffic.Current()
+	traffic := b.config.Traffic.Current()
 	e := bfquery.Explanation{Version: bfconfig.Version(traffic.Version())}
 	host, path, err := splitURL(request.Path)
 	if err != nil {
 		return e, err
 	}
-	if refused := b.parts.Refused(); refused != nil {
-		e.Reasons = append(e.Reasons, refused.explanation())
+	if rejected := b.config.Rejected(); rejected != nil {
+		e.Reasons = append(e.Reasons, rejected.explanation())
 	}
 	route := traffic.Match(host, path)
 	if route == nil {
@@ -145,7 +145,7 @@
 	}
 	e.Route, e.Service, e.Policy = route.Name(), route.Destinations()[0].Service, route.Kind().String()
 	e.Reasons = append(e.Reasons, routeReasons(route)...)
-	for _, s := range b.parts.Fleet.Statuses(b.Now()) {
+	for _, s := range b.config.Fleet.Statuses(b.Now()) {
 		if route.HasService(s.Member.Service) {
 			e.Candidates = append(e.Candidates, bfquery.Candidate{Target: targetOf(s), Eligible: s.IsEligible(), Why: s.Reason()})
 		}
--- a/lib/bfinspect/census.go
+++ b/lib/bfinspect/census.go
@@ -39,16 +39,16 @@
 		return bfcensus.Census{}, err
 	}
 	census := b.count(b.queryAll(ctx, members))
-	census.Partial = b.parts.Traffic.Current() == nil
+	census.Partial = b.config.Traffic.Current() == nil
 	return census, ctx.Err()
 }
 
 // Nodes queries every member for the version in force on it.
 func (b *Backend) Nodes(ctx context.Context) ([]bfquery.Node, error) {
 	var list []bfquery.Node
-	for _, r := range b.queryAll(ctx, b.parts.Fleet.Members()) {
+	for _, r := range b.queryAll(ctx, b.config.Fleet.Members()) {
 		list = append(list, bfquery.Node{
-			Instance: r.member.Name(), Region: b.parts.Region, Domain: r.member.Domain,
+			Instance: r.member.Name(), Region: b.config.Region, Domain: r.member.Domain,
 			Version: bfconfig.Version(r.version), Reachable: r.reachable,
 		})
 	}
@@ -70,18 +70,18 @@
 }
 
 func (b *Backend) query(ctx context.Context, member bffleet.Member) response {
-	if member.Inbound == b.parts.Self {
-		return response{member, b.parts.Traffic.Version(), true}
+	if member.Inbound == b.config.Self {
+		return response{member, b.config.Traffic.Version(), true}
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	version, err := b.parts.Ask(ctx, member.Peer)
+	version, err := b.config.QueryVersion(ctx, member.Peer)
 	return response{member, version, err == nil}
 }
 
 // membersIn lists the members of a scope.
 func (b *Backend) membersIn(scope bfsyntax.Scope) ([]bffleet.Member, error) {
-	all := b.parts.Fleet.Members()
+	all := b.config.Fleet.Members()
 	switch s := scope.(type) {
 	case bfsyntax.AtNode:
 		index := slices.IndexFunc(all, func(m bffleet.Member) bool { return m.Name() == s.Instance || m.Inbound == s.Instance })
@@ -92,7 +92,7 @@
 	case bfsyntax.InDomain:
 		all = slices.DeleteFunc(all, func(m bffleet.Member) bool { return m.Domain != s.Domain })
 	case bfsyntax.InRegion:
-		if s.Region != b.parts.Region {
+		if s.Region != b.config.Region {
 			all = nil
 		}
 	case bfsyntax.Everywhere:
@@ -109,7 +109,7 @@
 	for _, r := range responses {
 		domain := domains[r.member.Domain]
 		if domain == nil {
-			domain = &bfcensus.Domain{Region: b.parts.Region, Domain: r.member.Domain}
+			domain = &bfcensus.Domain{Region: b.config.Region, Domain: r.member.Domain}
 			domains[r.member.Domain] = domain
 		}
 		version := bfconfig.Version(r.version)
--- a/lib/bfinspect/inspect_test.go
+++ b/lib/bfinspect/inspect_test.go
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	traffic.Adopt(snapshot)
-	return New(Parts{
+	return New(Config{
 		Self: "10.0.0.1:1", Region: "wien", Traffic: traffic, Fleet: fleet, Timer: bftimer.New(1), Quarantine: bfquarantine.New("n"),
-		Refused: func() *Refusal { return &Refusal{Version: 9, Reason: "route x: service gone"} },
-		Ask: func(_ context.Context, peer string) (bftraffic.Version, error) {
+		Rejected: func() *RejectedVersion { return &RejectedVersion{Version: 9, Reason: "route x: service gone"} },
+		QueryVersion: func(_ context.Context, peer string) (bftraffic.Version, error) {
 			if peer == "away" {
 				return 0, errUnreachable
 			}
@@ -79,14 +79,14 @@
 func TestCommandOutputGolden(t *testing.T) {
 	var output strings.Builder
 	b := newBackend(t)
-	for _, command := range []string{
+	for _, text := range []string{
 		"in force everywhere", "in force in domain nord", "in force in domain west", "in force at node portal-2", "in force at node nobody",
 		"show members", "show targets where service = vault", "show nodes where reachable = no",
 		"explain GET //portal.example/sheets/logo", "explain GET //portal.example/other", "explain GET /sheets/logo",
 		"show routes", "show versions", "confirm autumn", "drain portal-1", "show quarantine",
 		"release 135e03bf6d19a791a015dc102f6fbdfb", "history of route sheets",
 	} {
-		output.WriteString("> " + command + "\n" + runCommands(t, b, command) + "\n")
+		output.WriteString("> " + text + "\n" + runCommands(t, b, text) + "\n")
 	}
 	bfgolden.Check(t, filepath.Join("testdata", "operator.txt"), output.String())
 }
@@ -95,7 +95,7 @@
 func TestNodeWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
 	b := newBackend(t)
-	b.parts.Traffic = bftraffic.NewHolder(nil)
+	b.config.Traffic = bftraffic.NewHolder(nil)
 	is.True(strings.Contains(runCommands(t, b, "explain GET //portal.example/sheets/logo"), "waits"))
 	is.True(runCommands(t, b, "in force") != "")
 }
--- a/lib/bfinspect/kept.go
+++ b/lib/bfinspect/kept.go
@@ -45,7 +45,7 @@
 func (b *Backend) Drain(context.Context, string) error { return &ManagedByPlatformError{} }
 
 // Quarantine lists the requests during which targets crashed.
-func (b *Backend) Quarantine() []bfquarantine.Item { return b.parts.Quarantine.List(b.Now()) }
+func (b *Backend) Quarantine() []bfquarantine.Item { return b.config.Quarantine.List(b.Now()) }
 
 // Release returns a ManagedByPlatformError: the endpoint is unauthenticated, and a
 // released request may crash targets.
