--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -300,7 +300,7 @@
 	}
 	ports := []port{
 		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.reportRefused}},
-		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
+		{"operator", n.common.Operator, bfoperator.NewUnauthenticated(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
 	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
--- a/lib/bfoperator/handler.go
+++ b/lib/bfoperator/handler.go
@@ -57,8 +57,8 @@
 	return h
 }
 
-// NewOpen returns a handler without authentication, for a backend that is read-only.
-func NewOpen(backend bfquery.Backend) *Handler {
+// NewUnauthenticated returns a handler without authentication, for a backend that is read-only.
+func NewUnauthenticated(backend bfquery.Backend) *Handler {
 	h := New(backend, nil)
 	h.allowAnonymous = true
 	return h
