--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -151,8 +151,8 @@
 // the runs of its target.
 func (n *node) account() *bfbudget.Account {
 	return bfbudget.New(bfbudget.Options{
-		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Chance: rand.Float64,
-		Opened: func(service string, left func() float64) {
+		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Random: rand.Float64,
+		OnNewService: func(service string, left func() float64) {
 			n.metrics.Gauge("repeats_left_"+service, func() int64 { return int64(left()) })
 		},
 	})
@@ -279,9 +279,9 @@
 
 // inspector answers operators' commands.
 func (n *node) inspector() *bfinspect.Backend {
-	return bfinspect.New(bfinspect.Parts{
+	return bfinspect.New(bfinspect.Config{
 		Self: n.common.Inbound, Region: n.common.Region, Traffic: n.traffic, Fleet: n.fleet,
-		Ask: n.news.VersionAt, Refused: n.state.refused.Load, Quarantine: n.book, Timer: n.timer,
+		QueryVersion: n.news.VersionAt, Rejected: n.state.refused.Load, Quarantine: n.book, Timer: n.timer,
 	})
 }
 
@@ -300,7 +300,7 @@
 	}
 	ports := []port{
 		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.reportRefused}},
-		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
+		{"operator", n.common.Operator, bfoperator.NewUnauthenticated(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
 	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
--- a/lib/bfemulator/quarantine.go
+++ b/lib/bfemulator/quarantine.go
@@ -16,7 +16,7 @@
 // refuseQuarantined refuses a request that its entry node has in quarantine; false means that it may proceed.
 func (w *world) refuseQuarantined(r *request) bool {
 	view := r.entry.book.View()
-	if !view.Holds() {
+	if !view.HasHeld() {
 		return false
 	}
 	if _, held := view.Refuse(r.key, w.agenda.Now()); !held {
@@ -31,14 +31,14 @@
 // a suspect, of which a target runs one at a time.
 func (w *world) admit(r *request, n *node) (isolated, admitted bool) {
 	view := n.book.View()
-	if !view.Watches() {
+	if !view.HasSuspects() {
 		return false, true
 	}
 	switch view.Judge(r.key, w.agenda.Now()).(type) {
 	case bfquarantine.Held:
 		w.report.classes[r.class].Quarantined++
 		return false, false
-	case bfquarantine.Apart:
+	case bfquarantine.Isolated:
 		if n.isolating {
 			return true, false
 		}
@@ -56,7 +56,7 @@
 	if served {
 		u.node.answers.Add(contentSum(u.request.key), w.agenda.Now())
 	}
-	if served && u.node.book.View().Watches() {
+	if served && u.node.book.View().HasSuspects() {
 		u.node.book.Answered(u.request.key, w.agenda.Now())
 		w.broadcast(u.node)
 	}
@@ -96,7 +96,7 @@
 
 // broadcast sends a node's quarantine updates to the other nodes.
 func (w *world) broadcast(from *node) {
-	updates := from.book.TakeNews(w.agenda.Now())
+	updates := from.book.TakeUpdates(w.agenda.Now())
 	if len(updates) == 0 {
 		return
 	}
--- a/lib/bfemulator/request.go
+++ b/lib/bfemulator/request.go
@@ -66,12 +66,12 @@
 	}
 	left := c.Objective.Std() - w.agenda.Now().Sub(r.firstAttempt)
 	demand := bffleet.Demand{
-		Service: c.Service, Bytes: 1500, Usual: entry.meanLatency[r.class], Running: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
-		Near: r.foundFull && r.parent == nil && !bfwalk.GoesFar(entry.crossDomain.Of(c.Service), w.random.Float64()),
+		Service: c.Service, Bytes: 1500, UsualTime: entry.meanLatency[r.class], RunTime: c.Running.Std(), Objective: c.Objective.Std(), Left: left,
+		SameDomain: r.foundFull && r.parent == nil && !bfwalk.TriesOtherDomain(entry.crossDomain.Of(c.Service), w.random.Float64()),
 	}
 	choice := entry.fleet.Pick(demand, w.agenda.Now(), r.tried)
 	target := choice.Target()
-	searchExpired := w.agenda.Now().Sub(r.attempt) > bfwalk.Longest(c.Objective.Std(), entry.sameDomain.Of(c.Service))
+	searchExpired := w.agenda.Now().Sub(r.attempt) > bfwalk.MaxSearch(c.Objective.Std(), entry.sameDomain.Of(c.Service))
 	if target == nil || r.foundFull && r.parent == nil && searchExpired || !w.agenda.Now().Before(r.deadline) {
 		w.refuse(r)
 		return
@@ -79,16 +79,16 @@
 	r.tried = append(r.tried, target)
 	delay := sameDomainDelay
 	w.report.Attempts++
-	if entry.fleet.IsFar(target) {
+	if entry.fleet.IsInOtherDomain(target) {
 		delay = crossDomainDelay
 		w.report.CrossDomainAttempts++
 	}
 	slot := bfslot.Request{Class: c.Name, Nested: r.parent != nil, Rank: c.Rank, Late: r.parent == nil && left < entry.meanLatency[r.class]}
 	switch {
 	case r.parent != nil:
-		slot.Patience = time.Duration(nestedPatienceRatio * float64(c.Objective))
-	case bfwalk.Waits(choice.Others(), entry.sameDomain.Of(c.Service)):
-		slot.Patience = bfwalk.Patience(left, entry.meanLatency[r.class])
+		slot.MaxWait = time.Duration(nestedPatienceRatio * float64(c.Objective))
+	case bfwalk.QueuesAtTarget(choice.Others(), entry.sameDomain.Of(c.Service)):
+		slot.MaxWait = bfwalk.MaxWait(left, entry.meanLatency[r.class])
 	}
 	target.Begin()
 	w.agenda.After(delay, func() { w.requestSlot(r, target, slot, delay) })
@@ -110,7 +110,7 @@
 		w.dispatch(r, target, n, delay)
 	default:
 		n.onGrant[ticket] = func() { w.dispatch(r, target, n, delay) }
-		w.agenda.After(slot.Patience, func() {
+		w.agenda.After(slot.MaxWait, func() {
 			if n.queue.Leave(ticket) {
 				w.agenda.After(delay, func() { w.onFull(r, target) })
 			}
@@ -122,7 +122,7 @@
 func (r *request) origin() bfbudget.Origin {
 	switch {
 	case r.sends > 0:
-		return bfbudget.Again{}
+		return bfbudget.Retry{}
 	case r.parent != nil && r.parent.IsRepeat():
 		return bfbudget.Inherited{}
 	}
@@ -192,7 +192,7 @@
 // startCall starts a nested call of a run.
 func (w *world) startCall(u *run, class int) {
 	c := w.load.Classes[class]
-	u.Call(c.Service)
+	u.BeginCall(c.Service)
 	r := w.newRequest(class, u.node)
 	r.parent, r.retries = u, 0
 	r.deadline = minTime(r.deadline, u.request.deadline)
@@ -242,11 +242,11 @@
 func (w *world) recordAnswer(r *request, target *bffleet.Target, accepted bool) {
 	n := w.byAddress[target.Member().Inbound]
 	used, slots := n.queue.Load()
-	target.Told(used, slots, w.agenda.Now())
-	target.ToldTrack(0, n.speed, w.agenda.Now())
+	target.ReportLoad(used, slots, w.agenda.Now())
+	target.ReportHealth(0, n.speed, w.agenda.Now())
 	target.End()
 	acceptance := &r.entry.sameDomain
-	if r.entry.fleet.IsFar(target) {
+	if r.entry.fleet.IsInOtherDomain(target) {
 		acceptance = &r.entry.crossDomain
 	}
 	acceptance.Note(w.load.Classes[r.class].Service, accepted)
@@ -262,7 +262,7 @@
 // onUnreachable handles a failed connection to a target.
 func (w *world) onUnreachable(r *request, target *bffleet.Target) {
 	target.End()
-	target.SetAside(w.agenda.Now())
+	target.Suspend(w.agenda.Now())
 	w.tryNextTarget(r)
 }
 
@@ -276,7 +276,7 @@
 		return
 	}
 	r.shed = true
-	if r.parent.Shed(w.load.Classes[r.class].Service) {
+	if r.parent.ShedCall(w.load.Classes[r.class].Service) {
 		w.agenda.After(siblingWait, func() { w.repeat(r) })
 		return
 	}
@@ -356,7 +356,7 @@
 		return
 	}
 	refused := bfwalk.Refused{Objective: c.Objective.Std(), Used: r.attempt.Sub(r.firstAttempt), Left: r.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(r.entry.sameDomain.Of(c.Service), w.random.Float64())
+	pause := refused.RetryAfter(r.entry.sameDomain.Of(c.Service), w.random.Float64())
 	if r.failed {
 		pause = connectFailureDelay
 	}
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -53,7 +53,7 @@
 	onGrant map[*bfslot.Ticket]func()
 	// sameDomain and crossDomain are the observed acceptance rates of targets in this node's
 	// failure domain and in others.
-	sameDomain, crossDomain bfwalk.Odds
+	sameDomain, crossDomain bfwalk.AcceptRates
 	// meanLatency is the moving average, by class, of the time from attempt to answer.
 	meanLatency map[int]time.Duration
 	// running holds the target's current runs by number.
@@ -61,7 +61,7 @@
 	// book tracks requests that were running when targets crashed, isolating is set while
 	// the target runs one of them, and downUntil is when a target that one crashed is up again.
 	book      *bfquarantine.Book
-	answers   bfquarantine.Answers
+	answers   bfquarantine.RecentAnswers
 	isolating bool
 	downUntil time.Time
 }
@@ -104,7 +104,7 @@
 	}
 	for _, m := range members {
 		n := w.byAddress[m.Inbound]
-		n.fleet = bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
+		n.fleet = bffleet.NewWithRandom(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		n.fleet.Replace(members)
 	}
 	return w
@@ -118,7 +118,7 @@
 	}
 	n.account = bfbudget.New(bfbudget.Options{
 		Terms: w.load.Repeats.terms(), Nodes: func() int { return len(w.nodes) },
-		Now: func() time.Time { return w.agenda.Now() }, Chance: w.random.Float64,
+		Now: func() time.Time { return w.agenda.Now() }, Random: w.random.Float64,
 	})
 	w.nodes = append(w.nodes, n)
 	return n
--- a/lib/bfflight/register.go
+++ b/lib/bfflight/register.go
@@ -13,150 +13,158 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// Target is one start of a target.
+// Target is one incarnation of a target.
 type Target interface {
-	// Name is one that no other start has.
+	// Name returns the unique name of the incarnation.
 	Name() string
+	// Address returns the address that the target listens at.
 	Address() string
-	// Fate is what was heard of it since.
-	Fate() Fate
+	// State returns the last known state of the incarnation.
+	State() State
 }
 
-// Fate is what was heard of a target.
-type Fate int
+// State is the last known state of a target's incarnation.
+type State int
 
-// The fates of a target.
+// The states of a target's incarnation.
 const (
-	// Present targets have said nothing of an end.
-	Present Fate = iota
-	// Left targets have said that they leave.
+	// Running means that the incarnation has not announced its end.
+	Running State = iota
+	// Left means that the incarnation has announced its end.
 	Left
-	// Succeeded targets have said nothing, and another start has taken their place.
-	Succeeded
+	// Replaced means that another incarnation has replaced it without such an
+	// announcement.
+	Replaced
 )
 
-// Options of a Register.
+// Options configures a Register.
 type Options struct {
+	// Book records the crashes of targets.
 	Book *bfquarantine.Book
-	Now  func() time.Time
-	// Dial opens a connection to a target's address, and may keep it for the next request.
+	// Now returns the current time.
+	Now func() time.Time
+	// Dial opens a connection to a target's address. It may keep the connection for reuse.
 	Dial func(ctx context.Context, address string) error
-	// Crashed is called after the end of a target that had not said that it leaves.
+	// Crashed is called after each crash of a target. It may be nil.
 	Crashed func(Crash)
 }
 
-// Register holds the requests that one node's targets work on.
-type Register struct {
+// Tracker tracks the requests in flight at the targets of one node. It is safe for
+// concurrent use.
+type Tracker struct {
 	options Options
 	// flights holds every *Flight that has not ended.
 	flights sync.Map
-	// answers are those of the targets beside the node, known by sums under seed.
-	answers bfquarantine.Answers
+	// answers remembers the recent answers of the node's targets, by hashes with seed.
+	answers bfquarantine.RecentAnswers
 	seed    maphash.Seed
-	// apart says that the target works on a request that has to run apart from others.
-	apart atomic.Bool
-	// probes has one of those who lost a request at a target find out for all whether it
-	// has ended; crashed is the name of the one that did so last.
-	probes  singleflight.Group
-	crashed atomic.Pointer[string]
+	// suspectInFlight is set while a request with an Isolated verdict is in flight.
+	suspectInFlight atomic.Bool
+	// checks merges concurrent checks for a crash of the same target. lastCrashed is the name
+	// of the last target that crashed.
+	checks      singleflight.Group
+	lastCrashed atomic.Pointer[string]
 }
 
-// New makes the register of a node.
-func New(options Options) *Register {
-	return &Register{options: options, seed: maphash.MakeSeed()}
+// New returns a register without requests.
+func New(options Options) *Tracker {
+	return &Tracker{options: options, seed: maphash.MakeSeed()}
 }
 
-// HeldError reports a request that the fleet holds; it has not run.
+// HeldError reports a request that did not run because it is quarantined.
 type HeldError struct {
-	// For is how much longer it is held.
+	// For is the remaining time of the quarantine.
 	For time.Duration
 }
 
-// Error says for how long.
+// Error returns the message with the remaining time.
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("targets ended under the request, it is held for %v", e.For)
+	return fmt.Sprintf("request quarantined for %v: targets crashed while running it", e.For)
 }
 
-// BusyError reports a request that has to run apart from another one that runs now.
+// BusyError reports a request that did not run because it is suspected of crashing targets
+// and may not run concurrently with the suspected request in flight.
 type BusyError struct{}
 
-// Error says what it waits for.
-func (*BusyError) Error() string { return "targets ended under the request and under one that runs" }
+// Error returns the message.
+func (*BusyError) Error() string {
+	return "another request suspected of crashing targets is in flight"
+}
 
-// Flight is one request that the target works on; End must be called.
+// Flight is one request in flight; End must be called.
 type Flight struct {
-	register *Register
+	register *Tracker
 	target   Target
 	id       string
-	asked    bfquarantine.Request
+	request  bfquarantine.Request
 	began    time.Time
 	apart    bool
 }
 
-// Check gives a HeldError for a request that the fleet holds.
-func (r *Register) Check(asked bfquarantine.Request) error {
-	_, err := r.judge(asked)
+// Check returns a HeldError if the request is quarantined.
+func (r *Tracker) Check(request bfquarantine.Request) error {
+	_, err := r.judge(request)
 	return err
 }
 
-func (r *Register) judge(asked bfquarantine.Request) (bfquarantine.Verdict, error) {
+func (r *Tracker) judge(request bfquarantine.Request) (bfquarantine.Verdict, error) {
 	view := r.options.Book.View()
-	if !view.Watches() {
+	if !view.HasSuspects() {
 		return bfquarantine.Free{}, nil
 	}
 	now := r.options.Now()
-	verdict := view.Judge(bfquarantine.KeyOf(asked), now)
+	verdict := view.Judge(bfquarantine.KeyOf(request), now)
 	if held, is := verdict.(bfquarantine.Held); is {
 		return verdict, &HeldError{For: held.Until().Sub(now)}
 	}
 	return verdict, nil
 }
 
-// Begin takes a request that is to be handed to a target; its errors are HeldError and
+// Begin adds a request that is about to be sent to a target. Its errors are HeldError and
 // BusyError.
-func (r *Register) Begin(target Target, id string, asked bfquarantine.Request) (*Flight, error) {
-	verdict, err := r.judge(asked)
+func (r *Tracker) Begin(target Target, id string, request bfquarantine.Request) (*Flight, error) {
+	verdict, err := r.judge(request)
 	if err != nil {
 		return nil, err
 	}
-	_, apart := verdict.(bfquarantine.Apart)
-	if apart && !r.apart.CompareAndSwap(false, true) {
+	_, apart := verdict.(bfquarantine.Isolated)
+	if apart && !r.suspectInFlight.CompareAndSwap(false, true) {
 		return nil, &BusyError{}
 	}
-	f := &Flight{register: r, target: target, id: id, asked: asked, began: r.options.Now(), apart: apart}
+	f := &Flight{register: r, target: target, id: id, request: request, began: r.options.Now(), apart: apart}
 	r.flights.Store(f, struct{}{})
 	return f, nil
 }
 
-// Began is when the request was taken.
+// Began returns the time of Begin.
 func (f *Flight) Began() time.Time { return f.began }
 
-// End says that the target works on the request no more.
+// End removes the request; further calls do nothing.
 func (f *Flight) End() {
 	if _, open := f.register.flights.LoadAndDelete(f); open && f.apart {
-		f.register.apart.Store(false)
+		f.register.suspectInFlight.Store(false)
 	}
 }
 
-// Answered takes the target's answer as a proof that the request does not end targets.
+// Answered records that the target answered, which shows that the request doesn't crash it.
 func (f *Flight) Answered() {
 	r, now := f.register, f.register.options.Now()
-	r.answers.Add(r.sum(f.asked), now)
-	if r.options.Book.View().Watches() {
-		r.options.Book.Answered(bfquarantine.KeyOf(f.asked), now)
+	r.answers.Add(r.requestHash(f.request), now)
+	if r.options.Book.View().HasSuspects() {
+		r.options.Book.Answered(bfquarantine.KeyOf(f.request), now)
 	}
 }
 
-// sum identifies a request within the node: it is made for each answer, and costs a
-// fraction of a bfquarantine.Key.
-func (r *Register) sum(asked bfquarantine.Request) uint64 {
+// requestHash returns a hash of the request that is valid within this process. It is computed for
+// each answer, and is much cheaper than a bfquarantine.Key.
+func (r *Tracker) requestHash(request bfquarantine.Request) uint64 {
 	var h maphash.Hash
 	h.SetSeed(r.seed)
-	for _, part := range []string{asked.Method, asked.Host, asked.Target, asked.Caller} {
-		// A hash never fails to take bytes.
+	for _, part := range []string{request.Method, request.Host, request.Target, request.Caller} {
+		// A hash never returns an error.
 		_, _ = h.WriteString(part)
 		_ = h.WriteByte(0)
 	}
-	_, _ = h.Write(asked.Body)
+	_, _ = h.Write(request.Body)
 	return h.Sum64()
 }
--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -63,8 +63,8 @@
 // entry is a node that callers connect to; there is one beside each target.
 type entry struct {
 	fleet       *bffleet.Fleet
-	sameDomain  bfwalk.Odds
-	crossDomain bfwalk.Odds
+	sameDomain  bfwalk.AcceptRates
+	crossDomain bfwalk.AcceptRates
 	// meanLatency is the moving average of the time from attempt to answer.
 	meanLatency time.Duration
 }
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, m := range members {
-		fleet := bffleet.NewWithChance(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
+		fleet := bffleet.NewWithRandom(bffleet.Place{Inbound: m.Inbound, Domain: m.Domain}, w.random.Float64)
 		fleet.Replace(members)
 		w.entries = append(w.entries, &entry{fleet: fleet})
 	}
@@ -119,8 +119,8 @@
 	e := w.entryOf(c)
 	left := w.load.Objective - w.agenda.Now().Sub(c.firstAttempt)
 	demand := bffleet.Demand{
-		Service: service, Bytes: 1500, Usual: e.meanLatency, Running: w.load.Running, Objective: w.load.Objective, Left: left,
-		Near: c.foundFull && w.ways.ByOdds && !bfwalk.GoesFar(e.crossDomain.Of(service), w.random.Float64()),
+		Service: service, Bytes: 1500, UsualTime: e.meanLatency, RunTime: w.load.Running, Objective: w.load.Objective, Left: left,
+		SameDomain: c.foundFull && w.ways.ByOdds && !bfwalk.TriesOtherDomain(e.crossDomain.Of(service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), c.tried)
 	selected := choice.Target()
@@ -131,13 +131,13 @@
 	c.tried = append(c.tried, selected)
 	delay := sameDomainDelay
 	w.report.Asks++
-	if e.fleet.IsFar(selected) {
+	if e.fleet.IsInOtherDomain(selected) {
 		delay = crossDomainDelay
 		w.report.FarAsks++
 	}
 	request := bfslot.Request{Late: left < e.meanLatency}
-	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.Waits(choice.Others(), e.sameDomain.Of(service))) {
-		request.Patience = bfwalk.Patience(left, e.meanLatency)
+	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.QueuesAtTarget(choice.Others(), e.sameDomain.Of(service))) {
+		request.MaxWait = bfwalk.MaxWait(left, e.meanLatency)
 	}
 	selected.Begin()
 	w.agenda.After(delay, func() { w.requestSlot(c, selected, request, delay) })
@@ -149,7 +149,7 @@
 	if w.ways.ByOdds {
 		odds = e.sameDomain.Of(service)
 	}
-	return w.agenda.Now().Sub(c.attempt) > bfwalk.Longest(w.load.Objective, odds)
+	return w.agenda.Now().Sub(c.attempt) > bfwalk.MaxSearch(w.load.Objective, odds)
 }
 
 // requestSlot requests a slot for a request that has arrived at its target's node.
@@ -164,7 +164,7 @@
 		w.run(c, selected, delay)
 	default:
 		t.onGrant[ticket] = func() { w.run(c, selected, delay) }
-		w.agenda.After(request.Patience, func() {
+		w.agenda.After(request.MaxWait, func() {
 			if t.queue.Leave(ticket) {
 				w.agenda.After(delay, func() { w.onFull(c, selected) })
 			}
@@ -189,11 +189,11 @@
 func (w *world) recordAnswer(e *entry, answering *bffleet.Target, accepted bool) {
 	t := w.targets[answering.Member().Inbound]
 	used, slots := t.queue.Load()
-	answering.Told(used, slots, w.agenda.Now())
-	answering.ToldTrack(0, t.speed, w.agenda.Now())
+	answering.ReportLoad(used, slots, w.agenda.Now())
+	answering.ReportHealth(0, t.speed, w.agenda.Now())
 	answering.End()
 	acceptance := &e.sameDomain
-	if e.fleet.IsFar(answering) {
+	if e.fleet.IsInOtherDomain(answering) {
 		acceptance = &e.crossDomain
 	}
 	acceptance.Note(service, accepted)
@@ -229,7 +229,7 @@
 		odds = e.sameDomain.Of(service)
 	}
 	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.firstAttempt), Left: c.deadline.Sub(w.agenda.Now())}
-	pause := refused.ComeBack(odds, w.random.Float64())
+	pause := refused.RetryAfter(odds, w.random.Float64())
 	if c.retries == 0 || w.agenda.Now().Add(pause).After(c.deadline) {
 		w.report.Refused++
 		return
