--- a/bftrial/internal/bfcommand/emulate.go
+++ b/bftrial/internal/bfcommand/emulate.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{bfemulator.Head}
+	rows := [][]string{bfemulator.CSVHeader}
 	for _, value := range values {
 		for seed := range a.runs {
 			load, err := a.loadWith(data, field, value, seed)
@@ -39,7 +39,7 @@
 				return err
 			}
 			fmt.Fprintf(progress, "playing %s%s, seed %d\n", a.load, with(field, value), load.Seed)
-			report := bfemulator.Play(load)
+			report := bfemulator.Simulate(load)
 			rows = append(rows, report.Rows(field, value)...)
 			if len(values)*a.runs == 1 {
 				report.WriteServices(progress)
--- a/bftrial/internal/bfcommand/replay.go
+++ b/bftrial/internal/bfcommand/replay.go
@@ -12,7 +12,7 @@
 // replayRow is one way of deciding with its name.
 type replayRow struct {
 	name string
-	ways bfreplay.Ways
+	ways bfreplay.Options
 }
 
 // replay holds the ways of deciding against each other on one load.
@@ -33,9 +33,9 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "way\tcallers\tin time\tlate\trefused\tp50\tp99\tasks\tto other domains")
 	for _, row := range []replayRow{
-		{"refuse at once", bfreplay.Ways{}},
-		{"wait", bfreplay.Ways{Wait: true}},
-		{"wait, walk by odds", bfreplay.Ways{Wait: true, ByOdds: true}},
+		{"refuse at once", bfreplay.Options{}},
+		{"wait", bfreplay.Options{Wait: true}},
+		{"wait, walk by odds", bfreplay.Options{Wait: true, AdaptiveSearch: true}},
 	} {
 		r := bfreplay.Run(load, row.ways)
 		share := func(n int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(r.Callers, 1))) }
@@ -43,7 +43,7 @@
 			return (time.Duration(r.Times.ValueAtQuantile(q)) * time.Microsecond).Round(time.Millisecond)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%v\t%v\t%d\t%d\n", row.name, r.Callers, share(r.InTime), share(r.Late), share(r.Refused),
-			quantile(50), quantile(99), r.Asks, r.FarAsks)
+			quantile(50), quantile(99), r.Attempts, r.CrossDomainAttempts)
 	}
 	return table.Flush()
 }
--- a/lib/bfemulator/emulator_test.go
+++ b/lib/bfemulator/emulator_test.go
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := load(t, name)
-			first, second := Play(l), Play(l)
+			first, second := Simulate(l), Simulate(l)
 			is.Equal(first.Rows("", ""), second.Rows("", ""))
 			for _, c := range l.Classes {
 				o := first.Outcomes(c.Name)
@@ -49,7 +49,7 @@
 	for seed := range uint64(3) {
 		l := load(t, "shedding")
 		l.Seed = seed
-		r := Play(l)
+		r := Simulate(l)
 		t.Log(r.Rows("", ""))
 		is.True(r.BudgetExcess("vault") <= 0 && r.BudgetExcess("portal") <= 0)
 		is.True(r.Repeats("vault") > 4*r.Repeats("portal"))
@@ -66,7 +66,7 @@
 	for seed := range uint64(3) {
 		l := load(t, "crash")
 		l.Seed = seed
-		r := Play(l)
+		r := Simulate(l)
 		t.Log(r.Rows("", ""))
 		is.True(r.BudgetExcess("vault") <= 0 && r.BudgetExcess("portal") <= 0)
 		is.True(r.Outcomes("look-up").InTimeShare() > 0.93)
@@ -80,7 +80,7 @@
 // requests for the slots of a scarce service.
 func TestNestedCallsTakePrecedenceUnderLastingOverload(t *testing.T) {
 	is := is.New(t)
-	r := Play(load(t, "scarce"))
+	r := Simulate(load(t, "scarce"))
 	t.Log(r.Rows("", ""))
 	is.True(r.Outcomes("revoke").InTimeShare() < r.Outcomes("search").InTimeShare())
 	is.True(r.BudgetExcess("consent") <= 0)
@@ -115,8 +115,8 @@
 	is := is.New(t)
 	l := load(t, "crash")
 	l.Length = l.Length / 10
-	for _, row := range Play(l).Rows("seed", "1") {
-		is.Equal(len(row), len(Head))
+	for _, row := range Simulate(l).Rows("seed", "1") {
+		is.Equal(len(row), len(CSVHeader))
 		is.True(!slices.Contains(row[5:], ""))
 	}
 }
--- a/lib/bfemulator/quarantine_test.go
+++ b/lib/bfemulator/quarantine_test.go
@@ -14,7 +14,7 @@
 	for seed := range uint64(5) {
 		l := load(t, "ends-targets")
 		l.Seed = seed
-		r := Play(l)
+		r := Simulate(l)
 		t.Log(r.Crashes(), r.Rows("", ""))
 		is.Equal(r.MaxLateCrashes(3, 3*time.Second), 0)
 		for _, class := range []string{"check", "nominate", "tariff", "reference"} {
@@ -31,7 +31,7 @@
 	for seed := range uint64(20) {
 		l := load(t, "crashes-of-their-own")
 		l.Seed = seed
-		r := Play(l)
+		r := Simulate(l)
 		for _, class := range []string{"check", "nominate", "tariff"} {
 			o := r.Outcomes(class)
 			is.True(o.Quarantined*1000 <= o.Callers)              // class
--- a/lib/bfemulator/report.go
+++ b/lib/bfemulator/report.go
@@ -146,8 +146,8 @@
 	return sum
 }
 
-// Head names the columns of Rows.
-var Head = []string{"field", "value", "seed", "class", "callers", "in_time", "late", "refused", "failed", "p50_ms", "p99_ms", "asks", "far_asks", "repeats", "excess"}
+// CSVHeader names the columns of Rows.
+var CSVHeader = []string{"field", "value", "seed", "class", "callers", "in_time", "late", "refused", "failed", "p50_ms", "p99_ms", "asks", "far_asks", "repeats", "excess"}
 
 // Rows returns a row for each class that had callers, with the columns of Head.
 func (r *Report) Rows(field, value string) (rows [][]string) {
--- a/lib/bfemulator/world.go
+++ b/lib/bfemulator/world.go
@@ -66,8 +66,8 @@
 	downUntil time.Time
 }
 
-// Play runs a load to its end and reports the outcomes.
-func Play(load Load) *Report {
+// Simulate runs a load to its end and reports the outcomes.
+func Simulate(load Load) *Report {
 	w := newWorld(load)
 	for class, c := range load.Classes {
 		if c.PerSecond > 0 {
--- a/lib/bfreplay/load.go
+++ b/lib/bfreplay/load.go
@@ -28,13 +28,13 @@
 	Retries int
 }
 
-// Ways selects how requests are handled. With the zero value, no request waits for a slot
+// Options selects how requests are handled. With the zero value, no request waits for a slot
 // and a search for a target ends after a fixed share of the objective.
-type Ways struct {
+type Options struct {
 	// Wait lets requests queue for a slot of the selected target.
 	Wait bool
-	// ByOdds derives search times and retry pauses from the observed acceptance rate of targets.
-	ByOdds bool
+	// AdaptiveSearch derives search times and retry pauses from the observed acceptance rate of targets.
+	AdaptiveSearch bool
 }
 
 // arrival is the arrival of one caller.
--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -19,8 +19,8 @@
 	// Callers is the number of callers: InTime were answered within their objective, Late
 	// after it, Refused not at all.
 	Callers, InTime, Late, Refused int
-	// Asks is the number of requests sent to a target, FarAsks of those to another failure domain.
-	Asks, FarAsks int
+	// Attempts is the number of requests sent to a target, CrossDomainAttempts of those to another failure domain.
+	Attempts, CrossDomainAttempts int
 	// Times holds the latencies from a caller's first attempt to its answer, in microseconds.
 	Times *hdrhistogram.Histogram
 }
@@ -36,8 +36,8 @@
 )
 
 // Run simulates a load to its end and reports the outcomes.
-func Run(load Load, ways Ways) Report {
-	w := newWorld(load, ways)
+func Run(load Load, options Options) Report {
+	w := newWorld(load, options)
 	for _, a := range load.arrivals() {
 		w.report.Callers++
 		w.agenda.After(a.at, func() {
@@ -51,7 +51,7 @@
 // world is the state of one simulation.
 type world struct {
 	load    Load
-	ways    Ways
+	options Options
 	agenda  *bfagenda.Agenda
 	entries []*entry
 	targets map[string]*target
@@ -89,8 +89,8 @@
 	foundFull bool
 }
 
-func newWorld(load Load, ways Ways) *world {
-	w := &world{load: load, ways: ways, agenda: bfagenda.New(time.Unix(0, 0)), targets: map[string]*target{}, random: rand.New(rand.NewPCG(load.Seed, ^load.Seed))}
+func newWorld(load Load, options Options) *world {
+	w := &world{load: load, options: options, agenda: bfagenda.New(time.Unix(0, 0)), targets: map[string]*target{}, random: rand.New(rand.NewPCG(load.Seed, ^load.Seed))}
 	w.report.Times = hdrhistogram.New(1, maxLatencyMicros, 2)
 	var members []bffleet.Member
 	for domain := range load.Domains {
@@ -120,7 +120,7 @@
 	left := w.load.Objective - w.agenda.Now().Sub(c.firstAttempt)
 	demand := bffleet.Demand{
 		Service: service, Bytes: 1500, UsualTime: e.meanLatency, RunTime: w.load.Running, Objective: w.load.Objective, Left: left,
-		SameDomain: c.foundFull && w.ways.ByOdds && !bfwalk.TriesOtherDomain(e.crossDomain.Of(service), w.random.Float64()),
+		SameDomain: c.foundFull && w.options.AdaptiveSearch && !bfwalk.TriesOtherDomain(e.crossDomain.Of(service), w.random.Float64()),
 	}
 	choice := e.fleet.Pick(demand, w.agenda.Now(), c.tried)
 	selected := choice.Target()
@@ -130,13 +130,13 @@
 	}
 	c.tried = append(c.tried, selected)
 	delay := sameDomainDelay
-	w.report.Asks++
+	w.report.Attempts++
 	if e.fleet.IsInOtherDomain(selected) {
 		delay = crossDomainDelay
-		w.report.FarAsks++
+		w.report.CrossDomainAttempts++
 	}
 	request := bfslot.Request{Late: left < e.meanLatency}
-	if w.ways.Wait && (!w.ways.ByOdds || bfwalk.QueuesAtTarget(choice.Others(), e.sameDomain.Of(service))) {
+	if w.options.Wait && (!w.options.AdaptiveSearch || bfwalk.QueuesAtTarget(choice.Others(), e.sameDomain.Of(service))) {
 		request.MaxWait = bfwalk.MaxWait(left, e.meanLatency)
 	}
 	selected.Begin()
@@ -146,7 +146,7 @@
 // searchExpired reports whether a request that found a full target may try no other.
 func (w *world) searchExpired(e *entry, c *caller) bool {
 	odds := 0.0
-	if w.ways.ByOdds {
+	if w.options.AdaptiveSearch {
 		odds = e.sameDomain.Of(service)
 	}
 	return w.agenda.Now().Sub(c.attempt) > bfwalk.MaxSearch(w.load.Objective, odds)
@@ -225,7 +225,7 @@
 // refuse schedules the caller's retry, or counts it as refused if it has no retries or time left.
 func (w *world) refuse(e *entry, c *caller) {
 	odds := 0.0
-	if w.ways.ByOdds {
+	if w.options.AdaptiveSearch {
 		odds = e.sameDomain.Of(service)
 	}
 	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.firstAttempt), Left: c.deadline.Sub(w.agenda.Now())}
--- a/lib/bfreplay/replay_test.go
+++ b/lib/bfreplay/replay_test.go
@@ -36,14 +36,14 @@
 	for seed := range uint64(seeds) {
 		load := small(seed)
 		load.Length *= 3
-		refusing, waiting := Run(load, Ways{}), Run(load, Ways{Wait: true})
+		refusing, waiting := Run(load, Options{}), Run(load, Options{Wait: true})
 		t.Logf("refusing %.3f in time, %.3f refused, %d far; waiting %.3f, %.3f, %d",
-			refusing.share(refusing.InTime), refusing.share(refusing.Refused), refusing.FarAsks,
-			waiting.share(waiting.InTime), waiting.share(waiting.Refused), waiting.FarAsks)
+			refusing.share(refusing.InTime), refusing.share(refusing.Refused), refusing.CrossDomainAttempts,
+			waiting.share(waiting.InTime), waiting.share(waiting.Refused), waiting.CrossDomainAttempts)
 		is.Equal(waiting.InTime+waiting.Late+waiting.Refused, waiting.Callers)
 		is.True(waiting.share(waiting.InTime) > refusing.share(refusing.InTime))
 		is.True(waiting.share(waiting.Refused) < refusing.share(refusing.Refused)-0.01)
-		is.True(waiting.FarAsks < refusing.FarAsks/3)
+		is.True(waiting.CrossDomainAttempts < refusing.CrossDomainAttempts/3)
 		gain += (waiting.share(waiting.InTime) - refusing.share(refusing.InTime)) / seeds
 	}
 	is.True(gain > 0.01)
@@ -54,9 +54,9 @@
 	is := is.New(t)
 	load := large(1)
 	load.Length = 2 * time.Second
-	first, second := Run(load, Ways{Wait: true, ByOdds: true}), Run(load, Ways{Wait: true, ByOdds: true})
-	is.Equal([]int{first.InTime, first.Late, first.Refused, first.Asks, first.FarAsks},
-		[]int{second.InTime, second.Late, second.Refused, second.Asks, second.FarAsks})
+	first, second := Run(load, Options{Wait: true, AdaptiveSearch: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
+	is.Equal([]int{first.InTime, first.Late, first.Refused, first.Attempts, first.CrossDomainAttempts},
+		[]int{second.InTime, second.Late, second.Refused, second.Attempts, second.CrossDomainAttempts})
 }
 
 // Guards against a queue that prolongs an overload: in a burst at twice the capacity, waiting
@@ -66,7 +66,7 @@
 	for seed := range uint64(seeds) {
 		load := small(seed)
 		load.Burst = 2
-		refusing, waiting := Run(load, Ways{}), Run(load, Ways{Wait: true})
+		refusing, waiting := Run(load, Options{}), Run(load, Options{Wait: true})
 		t.Logf("refusing %.3f in time, %.3f late; waiting %.3f, %.3f",
 			refusing.share(refusing.InTime), refusing.share(refusing.Late), waiting.share(waiting.InTime), waiting.share(waiting.Late))
 		is.True(waiting.share(waiting.InTime) > refusing.share(refusing.InTime)-0.01)
@@ -82,11 +82,11 @@
 	for seed := range uint64(seeds) {
 		load := large(seed)
 		load.PerSecond *= 1.34
-		fixed, byOdds := Run(load, Ways{Wait: true}), Run(load, Ways{Wait: true, ByOdds: true})
+		fixed, byOdds := Run(load, Options{Wait: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
 		t.Logf("fixed %.3f in time, %.3f late, %d far; by odds %.3f, %.3f, %d",
-			fixed.share(fixed.InTime), fixed.share(fixed.Late), fixed.FarAsks, byOdds.share(byOdds.InTime), byOdds.share(byOdds.Late), byOdds.FarAsks)
+			fixed.share(fixed.InTime), fixed.share(fixed.Late), fixed.CrossDomainAttempts, byOdds.share(byOdds.InTime), byOdds.share(byOdds.Late), byOdds.CrossDomainAttempts)
 		is.True(byOdds.share(byOdds.InTime) > fixed.share(fixed.InTime)+0.005)
-		is.True(byOdds.FarAsks < fixed.FarAsks/2)
+		is.True(byOdds.CrossDomainAttempts < fixed.CrossDomainAttempts/2)
 	}
 }
 
@@ -98,10 +98,10 @@
 	for seed := range uint64(seeds) {
 		load := large(seed)
 		load.PerSecond *= 1.5
-		fixed, byOdds := Run(load, Ways{Wait: true}), Run(load, Ways{Wait: true, ByOdds: true})
+		fixed, byOdds := Run(load, Options{Wait: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
 		t.Logf("fixed %.3f in time, %d asks, %d far; by odds %.3f, %d, %d",
-			fixed.share(fixed.InTime), fixed.Asks, fixed.FarAsks, byOdds.share(byOdds.InTime), byOdds.Asks, byOdds.FarAsks)
-		is.True(byOdds.FarAsks < fixed.FarAsks)
+			fixed.share(fixed.InTime), fixed.Attempts, fixed.CrossDomainAttempts, byOdds.share(byOdds.InTime), byOdds.Attempts, byOdds.CrossDomainAttempts)
+		is.True(byOdds.CrossDomainAttempts < fixed.CrossDomainAttempts)
 		is.True(byOdds.share(byOdds.InTime) > fixed.share(fixed.InTime)-0.01)
 	}
 }
