--- a/lib/bfreplay/replay.go
+++ b/lib/bfreplay/replay.go
@@ -145,11 +145,11 @@
 
 // searchExpired reports whether a request that found a full target may try no other.
 func (w *world) searchExpired(e *entry, c *caller) bool {
-	odds := 0.0
+	acceptance := 0.0
 	if w.options.AdaptiveSearch {
-		odds = e.sameDomain.Of(service)
+		acceptance = e.sameDomain.Of(service)
 	}
-	return w.agenda.Now().Sub(c.attempt) > bfwalk.MaxSearch(w.load.Objective, odds)
+	return w.agenda.Now().Sub(c.attempt) > bfwalk.MaxSearch(w.load.Objective, acceptance)
 }
 
 // requestSlot requests a slot for a request that has arrived at its target's node.
@@ -224,12 +224,12 @@
 
 // refuse schedules the caller's retry, or counts it as refused if it has no retries or time left.
 func (w *world) refuse(e *entry, c *caller) {
-	odds := 0.0
+	acceptance := 0.0
 	if w.options.AdaptiveSearch {
-		odds = e.sameDomain.Of(service)
+		acceptance = e.sameDomain.Of(service)
 	}
 	refused := bfwalk.Refused{Objective: w.load.Objective, Used: c.attempt.Sub(c.firstAttempt), Left: c.deadline.Sub(w.agenda.Now())}
-	pause := refused.RetryAfter(odds, w.random.Float64())
+	pause := refused.RetryAfter(acceptance, w.random.Float64())
 	if c.retries == 0 || w.agenda.Now().Add(pause).After(c.deadline) {
 		w.report.Refused++
 		return
--- a/lib/bfreplay/replay_test.go
+++ b/lib/bfreplay/replay_test.go
@@ -82,11 +82,11 @@
 	for seed := range uint64(seeds) {
 		load := large(seed)
 		load.PerSecond *= 1.34
-		fixed, byOdds := Run(load, Options{Wait: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
-		t.Logf("fixed %.3f in time, %.3f late, %d far; by odds %.3f, %.3f, %d",
-			fixed.share(fixed.InTime), fixed.share(fixed.Late), fixed.CrossDomainAttempts, byOdds.share(byOdds.InTime), byOdds.share(byOdds.Late), byOdds.CrossDomainAttempts)
-		is.True(byOdds.share(byOdds.InTime) > fixed.share(fixed.InTime)+0.005)
-		is.True(byOdds.CrossDomainAttempts < fixed.CrossDomainAttempts/2)
+		fixed, adaptive := Run(load, Options{Wait: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
+		t.Logf("fixed %.3f in time, %.3f late, %d far; adaptive %.3f, %.3f, %d",
+			fixed.share(fixed.InTime), fixed.share(fixed.Late), fixed.CrossDomainAttempts, adaptive.share(adaptive.InTime), adaptive.share(adaptive.Late), adaptive.CrossDomainAttempts)
+		is.True(adaptive.share(adaptive.InTime) > fixed.share(fixed.InTime)+0.005)
+		is.True(adaptive.CrossDomainAttempts < fixed.CrossDomainAttempts/2)
 	}
 }
 
@@ -98,10 +98,10 @@
 	for seed := range uint64(seeds) {
 		load := large(seed)
 		load.PerSecond *= 1.5
-		fixed, byOdds := Run(load, Options{Wait: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
-		t.Logf("fixed %.3f in time, %d asks, %d far; by odds %.3f, %d, %d",
-			fixed.share(fixed.InTime), fixed.Attempts, fixed.CrossDomainAttempts, byOdds.share(byOdds.InTime), byOdds.Attempts, byOdds.CrossDomainAttempts)
-		is.True(byOdds.CrossDomainAttempts < fixed.CrossDomainAttempts)
-		is.True(byOdds.share(byOdds.InTime) > fixed.share(fixed.InTime)-0.01)
+		fixed, adaptive := Run(load, Options{Wait: true}), Run(load, Options{Wait: true, AdaptiveSearch: true})
+		t.Logf("fixed %.3f in time, %d asks, %d far; adaptive %.3f, %d, %d",
+			fixed.share(fixed.InTime), fixed.Attempts, fixed.CrossDomainAttempts, adaptive.share(adaptive.InTime), adaptive.Attempts, adaptive.CrossDomainAttempts)
+		is.True(adaptive.CrossDomainAttempts < fixed.CrossDomainAttempts)
+		is.True(adaptive.share(adaptive.InTime) > fixed.share(fixed.InTime)-0.01)
 	}
 }
