--- a/lib/bfcontrol/hostile_test.go
+++ b/lib/bfcontrol/hostile_test.go
@@ -202,7 +202,7 @@
 	c.parts.Group.Go("timer", c.parts.Timer.Run)
 	c.parts.Group.Go("control", c.Run)
 	is := is.New(t)
-	is.NoErr(c.loop.Ask(t.Context(), func(time.Time) {}))
+	is.NoErr(c.loop.Call(t.Context(), func(time.Time) {}))
 	c.parts.Group.Cancel()
 	is.NoErr(c.parts.Group.Wait())
 }
@@ -226,7 +226,7 @@
 	c := newIdleControl(t, blockedNetwork{ctx: ctx})
 	c.parts.Group.Go("timer", c.parts.Timer.Run)
 	c.parts.Group.Go("control", c.Run)
-	is.NoErr(c.loop.Ask(ctx, func(time.Time) {
+	is.NoErr(c.loop.Call(ctx, func(time.Time) {
 		for range 2 * bfpeer.OutboxCapacity {
 			c.send("10.0.0.1:1", bfpeer.Membership, []byte{1}, nil)
 		}
--- a/lib/bfloop/loop.go
+++ b/lib/bfloop/loop.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Ask runs fn on the loop and waits until it has run. It fails with a StoppedError if the loop
+// Call runs fn on the loop and waits until it has run. It fails with a StoppedError if the loop
 // ended first, or with ctx's error, in which case fn may still run.
-func (l *Loop) Ask(ctx context.Context, fn func(now time.Time)) error {
+func (l *Loop) Call(ctx context.Context, fn func(now time.Time)) error {
 	done := make(chan struct{})
 	if !l.Post(ctx, func(now time.Time) { defer close(done); fn(now) }) {
 		return cmp.Or(ctx.Err(), error(&StoppedError{}))
