--- a/bfnode/internal/bfmesh/forget.go
+++ b/bfnode/internal/bfmesh/forget.go
@@ -38,6 +38,6 @@
 	case err != nil:
 		n.logger.Emit(bflog.AnnounceError, slog.String("member", member.Inbound), bflog.Err(err))
 	default:
-		n.logger.Emit(bflog.RowForgotten, slog.String("member", member.Inbound))
+		n.logger.Emit(bflog.RowRemoved, slog.String("member", member.Inbound))
 	}
 }
--- a/bftarget/internal/bfcommand/command.go
+++ b/bftarget/internal/bfcommand/command.go
@@ -176,7 +176,7 @@
 func (a *announcer) drain(ctx context.Context) {
 	const poll = 50 * time.Millisecond
 	close(a.stop)
-	a.logger.Emit(bflog.TargetLeaving)
+	a.logger.Emit(bflog.TargetDraining)
 	for {
 		answer, err := a.send(ctx, true)
 		// A node that is gone sends nothing more: then only the target's own
--- a/lib/bfbatch/batch.go
+++ b/lib/bfbatch/batch.go
@@ -154,7 +154,7 @@
 	}
 	revision, err := b.config.Rows.Write(ctx, b.config.Table, writes...)
 	if err != nil {
-		b.config.Logger.Emit(bflog.BatchNotMade, slog.Int("rows", len(batch)), bflog.Err(err))
+		b.config.Logger.Emit(bflog.BatchFailed, slog.Int("rows", len(batch)), bflog.Err(err))
 	}
 	var conflict *bfstore.ConflictError
 	if len(batch) > 1 && errors.As(err, &conflict) {
--- a/lib/bfcontrol/cases_test.go
+++ b/lib/bfcontrol/cases_test.go
@@ -225,14 +225,14 @@
 			func(id string) bool { return id != "n2" },
 		)
 		time.Sleep(10 * time.Minute)
-		c.is.Equal(c.events("n2", bflog.ConfigurationAged), 1)
+		c.is.Equal(c.events("n2", bflog.ConfigurationStale), 1)
 		c.is.Equal(c.inForce("n2"), uint64(1))
 		c.is.True(time.Since(time.UnixMicro(c.node("n2").control.source.lastContactMicros.Load())) > 9*time.Minute)
 		c.setLinks(nil, nil)
 		time.Sleep(5 * time.Minute)
-		c.is.Equal(c.events("n2", bflog.ConfigurationAged), 1)
+		c.is.Equal(c.events("n2", bflog.ConfigurationStale), 1)
 		c.is.Equal(c.events("n2", bflog.ConfigurationCurrent), 1)
-		c.is.Equal(c.events("n1", bflog.ConfigurationAged), 0)
+		c.is.Equal(c.events("n1", bflog.ConfigurationStale), 0)
 	})
 }
 
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -274,7 +274,7 @@
 func (c *Control) logOutage(outage bfgossip.Outage) {
 	event := bflog.DomainLost
 	if !outage.Lost {
-		event = bflog.DomainBack
+		event = bflog.DomainRecovered
 	}
 	c.parts.Logger.Emit(event, slog.String("region", outage.Region), slog.String("domain", outage.Domain))
 }
--- a/lib/bfcontrol/source.go
+++ b/lib/bfcontrol/source.go
@@ -59,7 +59,7 @@
 func (c *Control) checkAge(now time.Time) {
 	if age := now.Sub(c.source.lastContact); !c.source.stale && age >= staleAfter {
 		c.source.stale = true
-		c.parts.Logger.Emit(bflog.ConfigurationAged, slog.Duration("age", age))
+		c.parts.Logger.Emit(bflog.ConfigurationStale, slog.Duration("age", age))
 	}
 }
 
--- a/lib/bfcontrol/source_test.go
+++ b/lib/bfcontrol/source_test.go
@@ -92,6 +92,6 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), 2)
 	is.True(strings.Contains(lines[0], fmt.Sprintf(`"event":%d`, bflog.DomainLost.Number())))
-	is.True(strings.Contains(lines[1], fmt.Sprintf(`"event":%d`, bflog.DomainBack.Number())))
+	is.True(strings.Contains(lines[1], fmt.Sprintf(`"event":%d`, bflog.DomainRecovered.Number())))
 	is.True(strings.Contains(lines[0], "wien-sued"))
 }
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -257,7 +257,7 @@
 	if result.Err != nil {
 		attributes = append(attributes, bflog.Err(result.Err))
 	}
-	h.parts.Logger.Emit(bflog.TargetAside, attributes...)
+	h.parts.Logger.Emit(bflog.TargetExcluded, attributes...)
 }
 
 // reportLate logs an answer that missed its objective and where the time was spent.
--- a/lib/bfentry/look.go
+++ b/lib/bfentry/look.go
@@ -46,7 +46,7 @@
 		}
 		if h.parts.Client.Preconnect(ctx, target.Member().Inbound) == nil {
 			target.StopProbing()
-			h.parts.Logger.Emit(bflog.NodeFound, slog.String("node", target.Member().Inbound))
+			h.parts.Logger.Emit(bflog.NodeReachable, slog.String("node", target.Member().Inbound))
 			return
 		}
 		pause = min(2*pause, maxProbeInterval)
--- a/lib/bfguard/claims.go
+++ b/lib/bfguard/claims.go
@@ -177,7 +177,7 @@
 	c.spawn("settle claim", func(ctx context.Context) error {
 		defer c.settling.Add(-1)
 		if settled, ended := c.run(ctx, s).(bfclaim.Settled); ended && !settled.Written() {
-			c.logger.Emit(bflog.ClaimNotSettled, slog.Any("claim", s))
+			c.logger.Emit(bflog.ClaimNotRecorded, slog.Any("claim", s))
 		}
 		return nil
 	})
--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -209,7 +209,7 @@
 	service := slog.String("service", g.config.Service)
 	switch {
 	case after.State == bfroster.TargetLeaving:
-		g.config.Logger.Emit(bflog.TargetLeaving, service)
+		g.config.Logger.Emit(bflog.TargetDraining, service)
 	case after.State == bfroster.TargetSilent:
 		g.config.Logger.Emit(bflog.TargetSilent, service)
 	case before == nil || before.status.Incarnation != after.Incarnation:
--- a/lib/bflog/spool_test.go
+++ b/lib/bflog/spool_test.go
@@ -39,7 +39,7 @@
 	began := time.Now()
 	for range 10_000 {
 		l.Emit(OutcomeUnknown)
-		l.Emit(TargetLeaving)
+		l.Emit(TargetDraining)
 	}
 	is.True(time.Since(began) < time.Second)
 	l.Close()
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -78,7 +78,7 @@
 		return
 	}
 	e.reported = now
-	e.logger.Emit(bflog.StandingChanged, slog.String("standing", now.role.String()), slog.Bool("reads_store", reads),
+	e.logger.Emit(bflog.UpdateRoleChanged, slog.String("standing", now.role.String()), slog.Bool("reads_store", reads),
 		slog.Int("members", p.size), slog.Bool("hears_fresh", e.ReceivesFresh()))
 }
 
--- a/lib/bfpresence/presence.go
+++ b/lib/bfpresence/presence.go
@@ -174,7 +174,7 @@
 		if err == nil || errors.As(err, &conflict) {
 			return revision, err
 		}
-		p.config.Logger.Emit(bflog.RowAlone, bflog.Err(err))
+		p.config.Logger.Emit(bflog.RowWrittenIndividually, bflog.Err(err))
 	}
 	p.writes.Add(1)
 	return p.config.Rows.Write(ctx, p.config.Table, write)
