--- a/bftarget/internal/bfcommand/command.go
+++ b/bftarget/internal/bfcommand/command.go
@@ -38,14 +38,14 @@
 // Program is the stand-in target as a daemon.
 func Program() bfprogram.Program[Settings] {
 	return bfprogram.Program[Settings]{
-		Name:        "bftarget",
-		Ledger:      true,
-		Description: "Stand-in for a target instance: slots, cold start, shedding, and a ledger of what it ran.",
-		Defaults:    defaults,
-		Example:     example,
-		Check:       func(Settings) error { return nil },
-		Instance:    func(s Settings) string { return s.Instance },
-		Build:       build,
+		Name:           "bftarget",
+		SynchronousLog: true,
+		Description:    "Stand-in for a target instance: slots, cold start, shedding, and a ledger of what it ran.",
+		Defaults:       defaults,
+		Example:        example,
+		Check:          func(Settings) error { return nil },
+		Instance:       func(s Settings) string { return s.Instance },
+		Build:          build,
 	}
 }
 
--- a/lib/bfprogram/program.go
+++ b/lib/bfprogram/program.go
@@ -60,9 +60,9 @@
 	Check func(S) error
 	// Instance returns the instance name for log lines.
 	Instance func(S) string
-	// Ledger writes each log line synchronously, for test targets whose log must be complete
+	// SynchronousLog writes each log line synchronously, for test targets whose log must be complete
 	// when they are killed.
-	Ledger bool
+	SynchronousLog bool
 	// Build creates the app; it may open listeners but doesn't serve yet.
 	Build func(S, *bflog.Logger) (App, error)
 }
@@ -139,7 +139,7 @@
 }
 
 func (p Program[S]) serve(path string, settings S, received signals, out io.Writer) int {
-	bfserver.Quiet()
+	bfserver.DisableKratosLog()
 	logger := p.logger(settings, out)
 	defer logger.Close()
 	app, err := p.Build(settings, logger)
@@ -181,7 +181,7 @@
 var stopSignals = []os.Signal{syscall.SIGTERM, syscall.SIGINT}
 
 func (p Program[S]) logger(settings S, out io.Writer) *bflog.Logger {
-	if p.Ledger {
+	if p.SynchronousLog {
 		return bflog.New(out, p.Instance(settings), slog.LevelInfo)
 	}
 	return bflog.NewSpooled(out, p.Instance(settings), slog.LevelInfo)
--- a/lib/bfserver/server.go
+++ b/lib/bfserver/server.go
@@ -134,8 +134,8 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// Quiet disables kratos's log output; the programs log through bflog.
-func Quiet() { log.SetLogger(discard{}) }
+// DisableKratosLog disables kratos's log output; the programs log through bflog.
+func DisableKratosLog() { log.SetLogger(discard{}) }
 
 type discard struct{}
 
