--- a/bftarget/internal/bfcommand/command.go
+++ b/bftarget/internal/bfcommand/command.go
@@ -38,14 +38,14 @@
 // Program is the stand-in target as a daemon.
 func Program() bfprogram.Program[Settings] {
 	return bfprogram.Program[Settings]{
-		Name:        "bftarget",
-		Ledger:      true,
-		Description: "Stand-in for a target instance: slots, cold start, shedding, and a ledger of what it ran.",
-		Defaults:    defaults,
-		Example:     example,
-		Check:       func(Settings) error { return nil },
-		Instance:    func(s Settings) string { return s.Instance },
-		Build:       build,
+		Name:           "bftarget",
+		SynchronousLog: true,
+		Description:    "Stand-in for a target instance: slots, cold start, shedding, and a ledger of what it ran.",
+		Defaults:       defaults,
+		Example:        example,
+		Check:          func(Settings) error { return nil },
+		Instance:       func(s Settings) string { return s.Instance },
+		Build:          build,
 	}
 }
 
@@ -176,7 +176,7 @@
 func (a *announcer) drain(ctx context.Context) {
 	const poll = 50 * time.Millisecond
 	close(a.stop)
-	a.logger.Emit(bflog.TargetLeaving)
+	a.logger.Emit(bflog.TargetDraining)
 	for {
 		answer, err := a.send(ctx, true)
 		// A node that is gone sends nothing more: then only the target's own
