--- a/bftrial/internal/bfcommand/command.go
+++ b/bftrial/internal/bfcommand/command.go
@@ -26,7 +26,7 @@
 	exitUsage  = 2
 )
 
-// arguments is the command line.
+// arguments holds the parsed flags of all subcommands.
 type arguments struct {
 	binaries  string
 	directory string
@@ -65,44 +65,44 @@
 	parser.Version = bfprogram.Version
 	parser.String(&a.binaries, "b", "binaries", "Directory of the built programs.")
 	demo := flaggy.NewSubcommand("demo")
-	demo.Description = "Shows the whole path and ends."
+	demo.Description = "Runs configuration changes and requests through a small fleet and exits."
 	measure := flaggy.NewSubcommand("measure")
-	measure.Description = "Measures the control plane as the fleet grows, beside the baseline."
+	measure.Description = "Measures the control plane at several fleet sizes, next to a polling baseline."
 	measure.String(&a.directory, "o", "out", "Directory for control.csv and the plots.")
-	measure.String(&a.nodes, "n", "nodes", "Sizes of the fleet, comma between.")
-	measure.String(&a.profiles, "p", "profiles", "Profiles, comma between.")
-	measure.Duration(&a.idle, "i", "idle", "Time without a change.")
-	measure.Int(&a.changes, "c", "changes", "Changes to commit.")
-	measure.Int(&a.objects, "j", "objects", "Routes in the configuration.")
+	measure.String(&a.nodes, "n", "nodes", "Fleet sizes, comma-separated.")
+	measure.String(&a.profiles, "p", "profiles", "Profiles, comma-separated.")
+	measure.Duration(&a.idle, "i", "idle", "Length of the idle measurement.")
+	measure.Int(&a.changes, "c", "changes", "Number of changes to commit.")
+	measure.Int(&a.objects, "j", "objects", "Number of routes in the configuration.")
 	spike := flaggy.NewSubcommand("spike")
-	spike.Description = "Measures the request policy at an event's start, beside callers without any."
+	spike.Description = "Measures the request policy under a load spike, next to callers without any policy."
 	spike.String(&a.directory, "o", "out", "Directory for the CSV and the plot.")
 	spike.String(&a.shape, "s", "shape", "Shape of the fleet: vienna or hobart.")
-	spike.String(&a.fault, "f", "fault", "Fault of one target in the spike: none, lost, slow or lying.")
-	spike.Int(&a.seconds, "t", "seconds", "Length of the spike; the run lasts about eight times as long.")
-	spike.Duration(&a.service, "w", "service-time", "Mean time of a request at a target.")
+	spike.String(&a.fault, "f", "fault", "Fault of one target during the spike: none, lost, slow or lying.")
+	spike.Int(&a.seconds, "t", "seconds", "Length of the spike, in seconds; the run lasts about eight times as long.")
+	spike.Duration(&a.service, "w", "service-time", "Mean service time of a request at a target.")
 	soak := flaggy.NewSubcommand("soak")
-	soak.Description = "Injects faults into real processes in an order drawn from a seed, and checks what callers and targets see."
+	soak.Description = "Injects faults into real processes in a seeded random order and checks the results seen by callers and targets."
 	soak.Int(&a.seed, "e", "seed", "First seed.")
-	soak.Int(&a.runs, "r", "runs", "How many seeds, one after another.")
-	soak.Int(&a.seconds, "t", "seconds", "How long faults are injected.")
-	soak.Int(&a.fleet, "n", "nodes", "Nodes of the fleet.")
-	soak.String(&a.only, "o", "only", "Name of the scenario that is played in place of faults that are drawn.")
+	soak.Int(&a.runs, "r", "runs", "Number of consecutive seeds to run.")
+	soak.Int(&a.seconds, "t", "seconds", "Length of the fault injection, in seconds.")
+	soak.Int(&a.fleet, "n", "nodes", "Number of nodes.")
+	soak.String(&a.only, "o", "only", "Name of a single scenario to run instead of random faults.")
 	replay := flaggy.NewSubcommand("replay")
-	replay.Description = "Replays a load through the decisions in simulated time, each way of deciding on the same callers."
-	replay.Int(&a.seed, "e", "seed", "Seed of the callers.")
-	replay.Int(&a.domains, "d", "domains", "Failure domains.")
-	replay.Int(&a.targets, "n", "targets", "Targets in each domain.")
-	replay.Float64(&a.perSecond, "q", "per-second", "Requests in a second.")
-	replay.Float64(&a.burst, "x", "burst", "How many times as many come in the middle third, 0 for no burst.")
-	replay.Int(&a.seconds, "t", "seconds", "How long callers come.")
-	replay.Duration(&a.service, "w", "service-time", "Mean time of a request at a target.")
+	replay.Description = "Replays a load through the admission and routing code in simulated time, with the same arrivals for each variant."
+	replay.Int(&a.seed, "e", "seed", "Seed of the arrivals.")
+	replay.Int(&a.domains, "d", "domains", "Number of failure domains.")
+	replay.Int(&a.targets, "n", "targets", "Number of targets in each domain.")
+	replay.Float64(&a.perSecond, "q", "per-second", "Requests per second.")
+	replay.Float64(&a.burst, "x", "burst", "Factor of the request rate in the middle third, 0 for no burst.")
+	replay.Int(&a.seconds, "t", "seconds", "Length of the load, in seconds.")
+	replay.Duration(&a.service, "w", "service-time", "Mean service time of a request at a target.")
 	emulate := flaggy.NewSubcommand("emulate")
-	emulate.Description = "Plays a load file on a whole fleet in simulated time: nested calls, faults, the budget of repeats."
+	emulate.Description = "Simulates a load file on a whole fleet: nested calls, faults and the retry budget."
 	emulate.String(&a.load, "l", "load", "Load file; see bftrial/loads.")
-	emulate.String(&a.sweep, "s", "sweep", "Field and values to play it with, as services.0.slots=8,10,12.")
-	emulate.Int(&a.runs, "r", "runs", "How many seeds, one after another.")
-	emulate.String(&a.csv, "c", "csv", "File for the table, instead of the output.")
+	emulate.String(&a.sweep, "s", "sweep", "Field and values to vary, such as services.0.slots=8,10,12.")
+	emulate.Int(&a.runs, "r", "runs", "Number of consecutive seeds to run.")
+	emulate.String(&a.csv, "c", "csv", "CSV file for the table; standard output if empty.")
 	parser.AttachSubcommand(emulate, 1)
 	parser.AttachSubcommand(demo, 1)
 	parser.AttachSubcommand(replay, 1)
@@ -131,7 +131,7 @@
 			Spike: time.Duration(a.seconds) * time.Second, ServiceTime: a.service,
 		}, out)
 	default:
-		fmt.Fprintln(errOut, "bftrial: a subcommand is needed; see --help")
+		fmt.Fprintln(errOut, "bftrial: missing subcommand; see --help")
 		return exitUsage
 	}
 	if err != nil {
@@ -141,7 +141,7 @@
 	return exitDone
 }
 
-// soak plays seeds until one breaks a promise.
+// soak runs consecutive seeds until one reports a violation.
 func (a arguments) soak(out io.Writer) error {
 	for seed := a.seed; seed < a.seed+a.runs; seed++ {
 		var log bytes.Buffer
@@ -153,18 +153,18 @@
 			fmt.Fprint(out, log.String())
 			return errors.Join(err, &soakError{seed, violations})
 		}
-		fmt.Fprintf(out, "seed %d: every promise held; %s", seed, lastLine(log.String()))
+		fmt.Fprintf(out, "seed %d: no violations; %s", seed, lastLine(log.String()))
 	}
 	return nil
 }
 
-// soakError reports the promises that a seed broke.
+// soakError reports the violations found with a seed.
 type soakError struct {
 	seed       int
 	violations []string
 }
 
-// Error names the seed and what broke.
+// Error lists the seed and its violations.
 func (e *soakError) Error() string {
 	return fmt.Sprintf("seed %d: %s", e.seed, strings.Join(e.violations, "\n"))
 }
@@ -174,7 +174,7 @@
 	return lines[len(lines)-1] + "\n"
 }
 
-// measure measures each size under each profile, one fleet after another.
+// measure measures each fleet size with each profile, one fleet after another.
 func (a arguments) measure(out io.Writer) error {
 	if err := os.MkdirAll(a.directory, 0o755); err != nil {
 		return err
@@ -183,7 +183,7 @@
 	for _, text := range strings.Split(a.nodes, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 {
-			return fmt.Errorf("nodes %q: a number above 0 is needed", text)
+			return fmt.Errorf("invalid number of nodes %q: must be a positive integer", text)
 		}
 		for _, profile := range strings.Split(a.profiles, ",") {
 			row, err := bfmeasure.Run(bfmeasure.Options{
@@ -194,7 +194,7 @@
 				return fmt.Errorf("%d nodes, profile %s: %w", n, profile, err)
 			}
 			rows = append(rows, row)
-			// What is measured is kept, whatever happens to the next fleet.
+			// Written after each fleet, so that a later failure loses no results.
 			if err := bfmeasure.Report(a.directory, rows); err != nil {
 				return err
 			}
--- a/bftrial/internal/bfcommand/doc.go
+++ b/bftrial/internal/bfcommand/doc.go
@@ -1,2 +1,2 @@
-// Package bfcommand is the program bftrial: its command line.
+// Package bfcommand implements the command line of the program bftrial.
 package bfcommand
--- a/bftrial/internal/bfcommand/emulate.go
+++ b/bftrial/internal/bfcommand/emulate.go
@@ -13,32 +13,32 @@
 	"bilberryflow.org/lib/bfemulator"
 )
 
-// sweepError reports a sweep that can't be made of a load.
+// sweepError reports a sweep that is malformed or doesn't fit the load file.
 type sweepError struct{ Sweep, Reason string }
 
-// Error names the sweep and the reason.
+// Error returns the sweep, the reason and the expected form.
 func (e *sweepError) Error() string {
-	return fmt.Sprintf("sweep %q: %s; it has the form services.0.slots=8,10,12", e.Sweep, e.Reason)
+	return fmt.Sprintf("sweep %q: %s; the expected form is services.0.slots=8,10,12", e.Sweep, e.Reason)
 }
 
-// emulate plays a load file, once for each value of the swept field and each seed.
+// emulate simulates a load file once for each value of the swept field and each seed.
 func (a arguments) emulate(out, progress io.Writer) error {
 	data, err := os.ReadFile(a.load)
 	if err != nil {
 		return err
 	}
-	field, values, err := sweepOf(a.sweep)
+	field, values, err := parseSweep(a.sweep)
 	if err != nil {
 		return err
 	}
 	rows := [][]string{bfemulator.CSVHeader}
 	for _, value := range values {
-		for seed := range a.runs {
-			load, err := a.loadWith(data, field, value, seed)
+		for seedOffset := range a.runs {
+			load, err := a.readLoad(data, field, value, seedOffset)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(progress, "playing %s%s, seed %d\n", a.load, with(field, value), load.Seed)
+			fmt.Fprintf(progress, "simulating %s%s, seed %d\n", a.load, sweepLabel(field, value), load.Seed)
 			report := bfemulator.Simulate(load)
 			rows = append(rows, report.Rows(field, value)...)
 			if len(values)*a.runs == 1 {
@@ -52,27 +52,27 @@
 	return writeTable(out, rows)
 }
 
-func with(field, value string) string {
+func sweepLabel(field, value string) string {
 	if field == "" {
 		return ""
 	}
 	return " with " + field + "=" + value
 }
 
-// sweepOf takes a sweep apart; none is one value of no field.
-func sweepOf(sweep string) (field string, values []string, err error) {
+// parseSweep splits a sweep into its field and values. An empty sweep gives an empty field with one empty value.
+func parseSweep(sweep string) (field string, values []string, err error) {
 	if sweep == "" {
 		return "", []string{""}, nil
 	}
 	field, list, found := strings.Cut(sweep, "=")
 	if !found || field == "" || list == "" {
-		return "", nil, &sweepError{sweep, "a field and its values are needed"}
+		return "", nil, &sweepError{sweep, "missing field or values"}
 	}
 	return field, strings.Split(list, ","), nil
 }
 
-// loadWith reads the load with one field set, and its seed counted on.
-func (a arguments) loadWith(data []byte, field, value string, seed int) (bfemulator.Load, error) {
+// readLoad decodes the load with one field replaced and the seed advanced by an offset.
+func (a arguments) readLoad(data []byte, field, value string, seedOffset int) (bfemulator.Load, error) {
 	if field != "" {
 		changed, err := setField(data, field, value)
 		if err != nil {
@@ -81,55 +81,57 @@
 		data = changed
 	}
 	load, err := bfemulator.Read(data)
-	load.Seed += uint64(seed)
+	load.Seed += uint64(seedOffset)
 	return load, err
 }
 
-// noFieldError reports a step of a path that leads nowhere.
-type noFieldError struct{ Step string }
+// noFieldError reports a path element that doesn't exist in the load file.
+type noFieldError struct{ Element string }
 
-// Error names the step.
-func (e *noFieldError) Error() string { return fmt.Sprintf("the load has no %q there", e.Step) }
+// Error names the path element.
+func (e *noFieldError) Error() string {
+	return fmt.Sprintf("path element %q does not exist in the load", e.Element)
+}
 
-// setField sets a field of a JSON document, by its path with dots between. A value that is
-// no JSON of its own is a text.
+// setField sets the field of a JSON document at a dot-separated path. A value that isn't
+// valid JSON is set as a string.
 func setField(data []byte, path, value string) ([]byte, error) {
 	var document any
 	if err := json.Unmarshal(data, &document); err != nil {
 		return nil, err
 	}
-	var to any
-	if json.Unmarshal([]byte(value), &to) != nil {
-		to = value
+	var decoded any
+	if json.Unmarshal([]byte(value), &decoded) != nil {
+		decoded = value
 	}
-	if err := set(document, strings.Split(path, "."), to); err != nil {
+	if err := setElement(document, strings.Split(path, "."), decoded); err != nil {
 		return nil, err
 	}
 	return json.Marshal(document)
 }
 
-func set(in any, steps []string, to any) error {
-	step, last := steps[0], len(steps) == 1
-	switch in := in.(type) {
+func setElement(node any, path []string, value any) error {
+	element, last := path[0], len(path) == 1
+	switch node := node.(type) {
 	case map[string]any:
-		// A field that the file leaves out may be set; the schema says if there is none.
+		// Fields omitted from the file may be set; the schema rejects unknown fields later.
 		if last {
-			in[step] = to
+			node[element] = value
 			return nil
 		}
-		return set(in[step], steps[1:], to)
+		return setElement(node[element], path[1:], value)
 	case []any:
-		at, err := strconv.Atoi(step)
-		if err != nil || at < 0 || at >= len(in) {
-			return &noFieldError{step}
+		index, err := strconv.Atoi(element)
+		if err != nil || index < 0 || index >= len(node) {
+			return &noFieldError{element}
 		}
 		if last {
-			in[at] = to
+			node[index] = value
 			return nil
 		}
-		return set(in[at], steps[1:], to)
+		return setElement(node[index], path[1:], value)
 	}
-	return &noFieldError{step}
+	return &noFieldError{element}
 }
 
 func writeTable(out io.Writer, rows [][]string) error {
@@ -146,8 +148,8 @@
 		return err
 	}
 	err = csv.NewWriter(file).WriteAll(rows)
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/bftrial/internal/bfcommand/emulate_test.go
+++ b/bftrial/internal/bfcommand/emulate_test.go
@@ -13,14 +13,14 @@
 
 const loads = "../../loads"
 
-// A sweep plays the load for each value and each seed, and its rows say of which they are.
+// A sweep simulates the load for each value and each seed, and labels its rows with both.
 func TestSweepOfALoad(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "table.csv")
 	var out, progress bytes.Buffer
 	code := Main([]string{"emulate", "--load", filepath.Join(loads, "crash.json"), "--sweep", "faults.1.share=0.1,0.4", "--runs", "2", "--csv", path}, &out, &progress)
 	is.Equal(code, exitDone) // progress
-	is.Equal(strings.Count(progress.String(), "playing"), 4)
+	is.Equal(strings.Count(progress.String(), "simulating"), 4)
 	data, err := os.ReadFile(path)
 	is.NoErr(err)
 	rows, err := csv.NewReader(bytes.NewReader(data)).ReadAll()
@@ -30,15 +30,15 @@
 	is.Equal(rows[8][:4], []string{"faults.1.share", "0.4", "2", "approval"})
 }
 
-// What is wrong with a sweep or a load is told in one line, and nothing is played.
+// An invalid sweep or load file is reported as an error, and nothing is simulated.
 func TestWrongSweeps(t *testing.T) {
 	is := is.New(t)
 	for sweep, reason := range map[string]string{
-		"services.0.slots":       "a field and its values are needed",
-		"services.9.slots=1":     `no "9" there`,
+		"services.0.slots":       "missing field or values",
+		"services.9.slots=1":     `path element "9" does not exist`,
 		"services.0.slots=ten":   "/services/0/slots",
 		"services.0.slot=10":     "additional properties 'slot'",
-		"length.x=1":             `no "x" there`,
+		"length.x=1":             `path element "x" does not exist`,
 		"classes.0.service=none": `"none" is none of the services`,
 	} {
 		var out, errOut bytes.Buffer
