--- a/bftrial/internal/bfsoak/client.go
+++ b/bftrial/internal/bfsoak/client.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// outcome is what a caller saw of one request.
+// outcome is the result of one request as seen by its caller.
 type outcome struct {
 	id         string
-	repeatable bool
+	idempotent bool
 	node       *nodeSlot
 	began      time.Time
 	ended      time.Time
-	// status is 0 where the connection ended without a whole answer.
+	// status is 0 if the connection ended before a complete response.
 	status int
 	err    error
-	// wrong says that a success was not the request's own whole answer.
-	wrong string
+	// mismatch describes a successful response whose content doesn't match the request; empty otherwise.
+	mismatch string
 }
 
-// record holds all outcomes.
-type record struct {
+// outcomeLog collects the outcomes of all requests.
+type outcomeLog struct {
 	mu  sync.Mutex
 	all []outcome
 }
 
-func (r *record) add(o outcome) {
+func (r *outcomeLog) add(o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, o)
@@ -47,43 +47,43 @@
 
 var requests atomic.Int64
 
-// caller sends requests to nodes that are ready until ctx ends, over connections that it keeps.
-func (w *world) caller(ctx context.Context) error {
+// runCaller sends requests to ready nodes over keep-alive connections until ctx is done.
+func (h *harness) runCaller(ctx context.Context) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	node := w.nodes[rand.IntN(len(w.nodes))]
+	node := h.nodes[rand.IntN(len(h.nodes))]
 	for ctx.Err() == nil {
 		if rand.IntN(20) == 0 || !node.ready.Load() {
-			node = w.nodes[rand.IntN(len(w.nodes))]
+			node = h.nodes[rand.IntN(len(h.nodes))]
 		}
-		repeatable := rand.IntN(3) > 0
-		w.record.add(w.ask(ctx, client, node, repeatable, "vault"))
+		idempotent := rand.IntN(3) > 0
+		h.outcomes.add(h.sendRequest(ctx, client, node, idempotent, "vault"))
 		time.Sleep(time.Duration(rand.IntN(30)) * time.Millisecond)
 	}
 	return nil
 }
 
-// ask sends one request.
-func (w *world) ask(ctx context.Context, client *http.Client, node *nodeSlot, repeatable bool, route string) outcome {
+// sendRequest sends one request with a new ID on a named route.
+func (h *harness) sendRequest(ctx context.Context, client *http.Client, node *nodeSlot, idempotent bool, route string) outcome {
 	id := newID()
 	method, path := http.MethodGet, "/look-"+route+"/"+id
-	if !repeatable {
+	if !idempotent {
 		method, path = http.MethodPost, "/approve-"+route+"/"+id
 	}
-	return w.askFor(ctx, client, node, id, method, path)
+	return h.sendRequestTo(ctx, client, node, id, method, path)
 }
 
 func newID() string { return fmt.Sprintf("r%d", requests.Add(1)) }
 
-// askFor sends one request for a path.
-func (w *world) askFor(ctx context.Context, client *http.Client, node *nodeSlot, id, method, path string) outcome {
-	o := outcome{id: id, repeatable: method == http.MethodGet, node: node, began: time.Now()}
+// sendRequestTo sends one request with the given ID, method and path.
+func (h *harness) sendRequestTo(ctx context.Context, client *http.Client, node *nodeSlot, id, method, path string) outcome {
+	o := outcome{id: id, idempotent: method == http.MethodGet, node: node, began: time.Now()}
 	request, err := http.NewRequest(method, "http://"+node.process.Settings().Listen.Caller+path, strings.NewReader(""))
 	if err != nil {
 		o.err = err
 		return o
 	}
-	// A caller's wait is bounded, and is not cut by the end of the trial.
+	// The end of the run must not cancel a request in flight: that would count as a failed request.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callerDeadline+3*time.Second)
 	defer cancel()
 	request = request.WithContext(ctx)
@@ -103,8 +103,8 @@
 		return o
 	}
 	o.status = response.StatusCode
-	if o.status == http.StatusOK && (string(body) != answerOf(o.id) || response.Header.Get(signature) != "of "+o.id) {
-		o.wrong = fmt.Sprintf("%d bytes signed %q", len(body), response.Header.Get(signature))
+	if o.status == http.StatusOK && (string(body) != responseBody(o.id) || response.Header.Get(signatureHeader) != "of "+o.id) {
+		o.mismatch = fmt.Sprintf("%d bytes signed %q", len(body), response.Header.Get(signatureHeader))
 	}
 	return o
 }
--- a/bftrial/internal/bfsoak/crashing.go
+++ b/bftrial/internal/bfsoak/crashing.go
@@ -10,112 +10,113 @@
 )
 
 const (
-	// crashingRequest is the fault of a request under which each target ends that
-	// begins to run it.
+	// crashingRequest is the fault of a request that crashes every target that runs it.
 	crashingRequest = "request that crashes targets"
-	// fleetKilled is the loss of all nodes between two times that such a request comes.
+	// fleetKilled is the fault of all nodes being killed between attempts of such a request.
 	fleetKilled = "fleet killed between requests that crash targets"
-	// crashingMark stands in the path of such a request, before its content.
-	crashingMark = "crash-"
-	// crashAfter is how long a target works on it before it ends.
+	// crashingPrefix precedes the content ID in the path of such a request.
+	crashingPrefix = "crash-"
+	// crashAfter is how long a target runs it before crashing.
 	crashAfter = 50 * time.Millisecond
-	// targetRestart is how long it takes until a target is back at the least.
-	targetRestart = 700 * time.Millisecond
+	// minRestartDelay is the minimum time between a target's crash and its restart.
+	minRestartDelay = 700 * time.Millisecond
 
-	// crashesBefore is how many targets may end under a request before it counts as one
-	// that crashes them; stableBound is how long after the last of these all nodes that
-	// nothing harms have to know it, and crashingBound how often it may be run by them then.
-	crashesBefore = 3
-	stableBound   = 3 * time.Second
-	crashingBound = 3
+	// A request is quarantined after it has crashed quarantineThreshold targets. All nodes
+	// without faults must enforce the quarantine within quarantineDelay after the last of
+	// these crashes; maxLateRuns is how many later runs are tolerated.
+	quarantineThreshold = 3
+	quarantineDelay     = 3 * time.Second
+	maxLateRuns         = 3
 )
 
-// crashingRun is one run of a request under which targets end.
+// crashingRun is one run of a request that crashes targets.
 type crashingRun struct {
 	began, ended time.Time
 	node         *nodeSlot
 }
 
-// crashingContent is the content that a path names, "" where targets survive it.
+// crashingContent returns the content ID of a path that crashes targets, or "" for other paths.
 func crashingContent(path string) string {
-	_, content, _ := strings.Cut(path, "/"+crashingMark)
+	_, content, _ := strings.Cut(path, "/"+crashingPrefix)
 	return content
 }
 
-// sendCrashing has a request come again and again at any node, as new attempts.
+// sendCrashingRequests sends one crashing request repeatedly to random nodes, each time with a new request ID.
 //
-// One at a time: each costs a fleet of a few targets three of them.
-func (w *world) sendCrashing(_ *nodeSlot, length time.Duration) {
-	if !w.crashing.TryLock() {
+// Only one such request is sent at a time, since each may crash three targets of a small fleet.
+func (h *harness) sendCrashingRequests(_ *nodeSlot, length time.Duration) {
+	if !h.crashing.TryLock() {
 		return
 	}
-	defer w.crashing.Unlock()
-	w.sendPath(newCrashingPath(), crashingTimes*length)
+	defer h.crashing.Unlock()
+	h.sendPathRepeatedly(newCrashingPath(), crashingLengthFactor*length)
 }
 
-func newCrashingPath() string { return fmt.Sprintf("/look-vault/%s%d", crashingMark, requests.Add(1)) }
+func newCrashingPath() string {
+	return fmt.Sprintf("/look-vault/%s%d", crashingPrefix, requests.Add(1))
+}
 
-func (w *world) sendPath(path string, length time.Duration) {
+func (h *harness) sendPathRepeatedly(path string, length time.Duration) {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for began := time.Now(); time.Since(began) < length; {
-		node := w.nodes[rand.IntN(len(w.nodes))]
-		w.record.add(w.askFor(context.Background(), client, node, newID(), http.MethodGet, path))
+		node := h.nodes[rand.IntN(len(h.nodes))]
+		h.outcomes.add(h.sendRequestTo(context.Background(), client, node, newID(), http.MethodGet, path))
 		time.Sleep(time.Duration(50+rand.IntN(150)) * time.Millisecond)
 	}
 }
 
-// crashingTimes is how much longer than other faults such a request comes: what becomes
-// of it shows after the third end of a target and stableBound.
-const crashingTimes = 4
+// crashingLengthFactor is the factor by which this fault lasts longer than others: the quarantine
+// takes effect only after the third crash and quarantineDelay.
+const crashingLengthFactor = 4
 
-// killFleet kills all nodes at one moment, and starts them anew.
-func (w *world) killFleet(_ *nodeSlot, length time.Duration) {
-	for _, n := range w.nodes {
+// killFleet kills all nodes at once and restarts them.
+func (h *harness) killFleet(_ *nodeSlot, length time.Duration) {
+	for _, n := range h.nodes {
 		n.mu.Lock()
 	}
 	began := time.Now()
-	for _, n := range w.nodes {
-		w.report("kill of a node", n.process.Process().Kill())
+	for _, n := range h.nodes {
+		h.checkError("kill of a node", n.process.Process().Kill())
 	}
 	time.Sleep(length / 4)
-	for _, n := range w.nodes {
-		w.report("restart", w.fleet.RestartMeshNode(n.process))
+	for _, n := range h.nodes {
+		h.checkError("restart", h.fleet.RestartMeshNode(n.process))
 	}
-	for _, n := range w.nodes {
-		n.mark(harm{began, time.Now(), false})
+	for _, n := range h.nodes {
+		n.addFaultPeriod(faultPeriod{began, time.Now(), false})
 		n.mu.Unlock()
 	}
 }
 
-// killFleetWhileCrashing has the fleet start anew again and again, and a request under which
-// targets end come once the nodes had time to learn what the fleet held before.
-func (w *world) killFleetWhileCrashing(_ *nodeSlot, length time.Duration) {
+// killFleetBetweenCrashes kills and restarts the fleet repeatedly, and sends a crashing request
+// each time after the nodes have had time to recover the quarantine.
+func (h *harness) killFleetBetweenCrashes(_ *nodeSlot, length time.Duration) {
 	path := newCrashingPath()
-	w.sendPath(path, length)
+	h.sendPathRepeatedly(path, length)
 	for range fleetKills {
-		w.killFleet(nil, time.Second)
-		time.Sleep(stableBound + learnMargin)
-		w.sendPath(path, length)
+		h.killFleet(nil, time.Second)
+		time.Sleep(quarantineDelay + recoveryMargin)
+		h.sendPathRepeatedly(path, length)
 	}
 }
 
 const (
-	// fleetKills is how often the fleet is killed: forgotten each time, the request would
-	// end crashesBefore targets each time.
+	// fleetKills is how often the fleet is killed. If the quarantine were lost, the request
+	// would crash quarantineThreshold targets after each kill.
 	fleetKills = 2
-	// learnMargin is beyond stableBound, which counts from the start of the processes.
-	learnMargin = 500 * time.Millisecond
+	// recoveryMargin is added to quarantineDelay, which counts from the start of the processes.
+	recoveryMargin = 500 * time.Millisecond
 )
 
-// crash ends the incarnation while it runs a request.
+// crash terminates the incarnation while it runs a request.
 func (t *incarnation) crash(content string) {
 	began := time.Now()
 	time.Sleep(crashAfter)
-	t.ledger.mu.Lock()
-	t.ledger.crashing[content] = append(t.ledger.crashing[content], crashingRun{began: began, ended: time.Now(), node: t.node})
-	t.ledger.mu.Unlock()
-	t.ending.Do(func() {
+	t.runLog.mu.Lock()
+	t.runLog.crashing[content] = append(t.runLog.crashing[content], crashingRun{began: began, ended: time.Now(), node: t.node})
+	t.runLog.mu.Unlock()
+	t.endOnce.Do(func() {
 		t.state.Store(0)
 		t.proxy.close()
 		t.server.Close()
@@ -124,18 +125,18 @@
 	panic(http.ErrAbortHandler)
 }
 
-// startTarget starts a target beside a node; one that a request ends is started anew.
-func (w *world) startTarget(n *nodeSlot) (*incarnation, error) {
-	return startTarget(w.group, w.ledger, n, func(t *incarnation) {
-		w.group.Go("restart a target", func(context.Context) error {
-			time.Sleep(targetRestart + time.Duration(rand.Int64N(int64(targetRestart))))
+// startTarget starts a node's target, and restarts it after a crash.
+func (h *harness) startTarget(n *nodeSlot) (*incarnation, error) {
+	return startTarget(h.group, h.runLog, n, func(t *incarnation) {
+		h.group.Go("restart a target", func(context.Context) error {
+			time.Sleep(minRestartDelay + time.Duration(rand.Int64N(int64(minRestartDelay))))
 			n.targetMu.Lock()
 			defer n.targetMu.Unlock()
 			if n.target != t {
 				return nil
 			}
-			next, err := w.startTarget(n)
-			w.report("restart of a target", err)
+			next, err := h.startTarget(n)
+			h.checkError("restart of a target", err)
 			if err == nil {
 				n.target = next
 			}
@@ -144,24 +145,24 @@
 	})
 }
 
-// checkCrashing holds how often requests that crash targets were run against the bound.
-func (w *world) checkCrashing() {
-	w.ledger.mu.Lock()
-	defer w.ledger.mu.Unlock()
-	for content, runs := range w.ledger.crashing {
-		if len(runs) < crashesBefore {
+// checkQuarantine checks that crashing requests stop running once they should be quarantined.
+func (h *harness) checkQuarantine() {
+	h.runLog.mu.Lock()
+	defer h.runLog.mu.Unlock()
+	for content, runs := range h.runLog.crashing {
+		if len(runs) < quarantineThreshold {
 			continue
 		}
-		known := runs[crashesBefore-1].ended.Add(stableBound)
+		quarantinedAt := runs[quarantineThreshold-1].ended.Add(quarantineDelay)
 		late := 0
 		for _, run := range runs {
-			if run.began.After(known) && !run.node.wasHarmed(run.began.Add(-stableBound), run.began) {
+			if run.began.After(quarantinedAt) && !run.node.hadAnyFault(run.began.Add(-quarantineDelay), run.began) {
 				late++
 			}
 		}
-		fmt.Fprintf(w.out, "%s%s: %d runs, %d of them late\n", crashingMark, content, len(runs), late)
-		if late > crashingBound {
-			w.violate("%s%s ended %d targets, %d of them later than %v after the third", crashingMark, content, len(runs), late, stableBound)
+		fmt.Fprintf(h.out, "%s%s: %d runs, %d of them late\n", crashingPrefix, content, len(runs), late)
+		if late > maxLateRuns {
+			h.addViolation("%s%s crashed %d targets, %d of them later than %v after the third crash", crashingPrefix, content, len(runs), late, quarantineDelay)
 		}
 	}
 }
--- a/bftrial/internal/bfsoak/faults.go
+++ b/bftrial/internal/bfsoak/faults.go
@@ -11,21 +11,21 @@
 	"bilberryflow.org/bftrial/internal/bffleet"
 )
 
-// stopLimit is longer than the grace of the nodes' settings.
+// stopLimit exceeds the nodes' configured grace period.
 const stopLimit = 8 * time.Second
 
-// fault is one kind of harm; run returns when it is over.
+// fault is one kind of injected fault; run returns when the fault is over.
 type fault struct {
 	name string
-	run  func(w *world, n *nodeSlot, length time.Duration)
+	run  func(h *harness, n *nodeSlot, length time.Duration)
 }
 
 var faults = []fault{
-	{"stop", (*world).stopNode},
-	{"stop", (*world).stopNode},
-	{"kill", (*world).killNode},
-	{"pause", (*world).pauseNode},
-	{"hang up", (*world).hangUp},
+	{"stop", (*harness).stopNode},
+	{"stop", (*harness).stopNode},
+	{"kill", (*harness).killNode},
+	{"pause", (*harness).pauseNode},
+	{"hang up", (*harness).sendHangUp},
 	{"store silent for a node", storeFault(silent)},
 	{"store one way for a node", storeFault(oneWay)},
 	{"store refuses a node", storeFault(refuse)},
@@ -34,189 +34,189 @@
 	{"store slow", platformFault("slow")},
 	{"store loses answers", platformFault("lose-answers")},
 	{"store writes late", platformFault("late-writes")},
-	{"store drops history", (*world).dropHistory},
+	{"store drops history", (*harness).dropHistory},
 	{"target silent", targetFault(silent)},
-	{"target reset", (*world).resetTarget},
-	{"target slow", (*world).slowTarget},
-	{"target loses answers", (*world).loseAnswers},
-	{"target answers twice", (*world).doubleAnswers},
-	{"target replaced", (*world).replaceTarget},
-	{"target replaced", (*world).replaceTarget},
-	{"change", (*world).changeConfiguration},
-	{"change", (*world).changeConfiguration},
+	{"target reset", (*harness).resetTarget},
+	{"target slow", (*harness).slowTarget},
+	{"target loses answers", (*harness).loseResponses},
+	{"target answers twice", (*harness).duplicateResponses},
+	{"target replaced", (*harness).replaceTarget},
+	{"target replaced", (*harness).replaceTarget},
+	{"change", (*harness).changeVersion},
+	{"change", (*harness).changeVersion},
 }
 
-// crashing is drawn beside faults where a run has requests that crash targets.
-var crashing = fault{crashingRequest, (*world).sendCrashing}
+// crashing is added to faults if Options.Crashing is set.
+var crashing = fault{crashingRequest, (*harness).sendCrashingRequests}
 
-// scenarios are faults that are injected alone, by their names.
+// scenarios are faults that can be selected by name with Options.Only.
 var scenarios = []fault{
 	crashing,
-	{fleetKilled, (*world).killFleetWhileCrashing},
+	{fleetKilled, (*harness).killFleetBetweenCrashes},
 }
 
-// play injects faults while callers call; faults come in series and overlap.
-func (w *world) play() {
-	ctx, stop := context.WithCancel(w.group.Context())
-	callers := make(chan struct{}, w.options.Callers)
-	for range w.options.Callers {
-		w.group.Go("caller", func(context.Context) error {
+// runFaults injects overlapping faults while callers send requests.
+func (h *harness) runFaults() {
+	ctx, stop := context.WithCancel(h.group.Context())
+	callers := make(chan struct{}, h.options.Callers)
+	for range h.options.Callers {
+		h.group.Go("caller", func(context.Context) error {
 			defer func() { callers <- struct{}{} }()
-			return w.caller(ctx)
+			return h.runCaller(ctx)
 		})
 	}
-	w.group.Go("watch versions", func(context.Context) error { return w.watchVersions(ctx) })
-	w.inject()
-	// Callers go on into the calm, which must be served.
-	if err := w.awaitServing(20 * time.Second); err != nil {
-		w.violate("not served after the last fault: %v", err)
+	h.group.Go("watch versions", func(context.Context) error { return h.watchVersions(ctx) })
+	h.injectFaults()
+	// Callers continue after the last fault, when every node must serve again.
+	if err := h.awaitServing(20 * time.Second); err != nil {
+		h.addViolation("fleet did not recover after the last fault: %v", err)
 	}
 	stop()
-	for range w.options.Callers {
+	for range h.options.Callers {
 		<-callers
 	}
 }
 
-func (w *world) inject() {
-	if w.options.Only != "" {
-		w.injectOnly()
+func (h *harness) injectFaults() {
+	if h.options.Only != "" {
+		h.injectScenario()
 		return
 	}
-	drawn := faults
-	if w.options.Crashing {
-		drawn = append(slices.Clone(faults), crashing)
+	candidates := faults
+	if h.options.Crashing {
+		candidates = append(slices.Clone(faults), crashing)
 	}
 	began := time.Now()
-	over := make(chan struct{})
+	done := make(chan struct{})
 	started := 0
-	for time.Since(began) < w.options.Faults {
-		f := drawn[w.rand.IntN(len(drawn))]
-		n := w.nodes[w.rand.IntN(len(w.nodes))]
-		length := time.Duration(200+w.rand.IntN(2500)) * time.Millisecond
-		fmt.Fprintf(w.out, "%6.2f %s %s %v\n", time.Since(began).Seconds(), f.name, n.process.Settings().Instance, length)
+	for time.Since(began) < h.options.Faults {
+		f := candidates[h.rand.IntN(len(candidates))]
+		n := h.nodes[h.rand.IntN(len(h.nodes))]
+		length := time.Duration(200+h.rand.IntN(2500)) * time.Millisecond
+		fmt.Fprintf(h.out, "%6.2f %s %s %v\n", time.Since(began).Seconds(), f.name, n.process.Settings().Instance, length)
 		started++
-		w.group.Go("fault", func(context.Context) error {
-			f.run(w, n, length)
-			over <- struct{}{}
+		h.group.Go("fault", func(context.Context) error {
+			f.run(h, n, length)
+			done <- struct{}{}
 			return nil
 		})
-		time.Sleep(time.Duration(100+w.rand.IntN(700)) * time.Millisecond)
+		time.Sleep(time.Duration(100+h.rand.IntN(700)) * time.Millisecond)
 	}
 	for range started {
-		<-over
+		<-done
 	}
 }
 
-func (w *world) injectOnly() {
+func (h *harness) injectScenario() {
 	for _, f := range scenarios {
-		if f.name == w.options.Only {
-			f.run(w, w.nodes[w.rand.IntN(len(w.nodes))], w.options.Faults)
+		if f.name == h.options.Only {
+			f.run(h, h.nodes[h.rand.IntN(len(h.nodes))], h.options.Faults)
 			return
 		}
 	}
-	w.violate("no scenario is called %q", w.options.Only)
+	h.addViolation("unknown scenario %q", h.options.Only)
 }
 
-func (w *world) report(what string, err error) {
+func (h *harness) checkError(action string, err error) {
 	if err != nil {
-		w.violate("%s: %v", what, err)
+		h.addViolation("%s: %v", action, err)
 	}
 }
 
-// awaitStart waits until the node's process serves. What is sent to it before its
-// first line of code runs no program can hear, and on a busy machine that line runs
-// hundreds of milliseconds after the start; signals between that line and serving
-// are the matter of TestSignalWhileSettingsAreRead in lib/bfprogram.
-func (w *world) awaitStart(n *nodeSlot) {
-	w.report("start of a node", w.fleet.Await(n.process.Process(), "http://"+n.process.Ready()))
+// awaitStart waits until the node's process serves. A signal sent before the program
+// installs its handlers terminates it, and on a busy machine that can take hundreds of
+// milliseconds. TestSignalWhileSettingsAreRead in lib/bfprogram covers signals
+// between the program's start and serving.
+func (h *harness) awaitStart(n *nodeSlot) {
+	h.checkError("start of a node", h.fleet.Await(n.process.Process(), "http://"+n.process.Ready()))
 }
 
-func (w *world) stopNode(n *nodeSlot, _ time.Duration) {
+func (h *harness) stopNode(n *nodeSlot, _ time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w.awaitStart(n)
-	n.harmed(true, func() {
+	h.awaitStart(n)
+	n.withFault(true, func() {
 		code, err := n.process.Process().Stop(stopLimit)
-		w.report("stop of a node", err)
+		h.checkError("stop of a node", err)
 		if code != 0 {
-			w.violate("a node stopped with code %d", code)
+			h.addViolation("a node stopped with exit code %d", code)
 		}
-		w.report("restart", w.fleet.RestartMeshNode(n.process))
+		h.checkError("restart", h.fleet.RestartMeshNode(n.process))
 	})
 }
 
-func (w *world) killNode(n *nodeSlot, length time.Duration) {
+func (h *harness) killNode(n *nodeSlot, length time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.harmed(false, func() {
-		w.report("kill of a node", n.process.Process().Kill())
+	n.withFault(false, func() {
+		h.checkError("kill of a node", n.process.Process().Kill())
 		time.Sleep(length / 4)
-		w.report("restart", w.fleet.RestartMeshNode(n.process))
+		h.checkError("restart", h.fleet.RestartMeshNode(n.process))
 	})
 }
 
-func (w *world) pauseNode(n *nodeSlot, length time.Duration) {
+func (h *harness) pauseNode(n *nodeSlot, length time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.harmed(false, func() {
-		w.report("pause", n.process.Process().Signal(syscall.SIGSTOP))
+	n.withFault(false, func() {
+		h.checkError("pause", n.process.Process().Signal(syscall.SIGSTOP))
 		time.Sleep(length)
-		w.report("wake", n.process.Process().Signal(syscall.SIGCONT))
+		h.checkError("resume", n.process.Process().Signal(syscall.SIGCONT))
 	})
 }
 
-func (w *world) hangUp(n *nodeSlot, _ time.Duration) {
+func (h *harness) sendHangUp(n *nodeSlot, _ time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w.awaitStart(n)
-	n.harmed(true, func() { w.report("hang up", n.process.Process().Signal(syscall.SIGHUP)) })
+	h.awaitStart(n)
+	n.withFault(true, func() { h.checkError("hang up", n.process.Process().Signal(syscall.SIGHUP)) })
 }
 
-// disturb notes that the store was not itself.
-func (w *world) disturb(fault func()) {
+// withStoreFault runs a fault of the store and records when it ended.
+func (h *harness) withStoreFault(fault func()) {
 	fault()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.disturbed = time.Now()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.storeFaultEnd = time.Now()
 }
 
-func storeFault(mode proxyMode) func(*world, *nodeSlot, time.Duration) {
-	return func(w *world, n *nodeSlot, length time.Duration) {
-		w.disturb(func() {
+func storeFault(mode proxyMode) func(*harness, *nodeSlot, time.Duration) {
+	return func(h *harness, n *nodeSlot, length time.Duration) {
+		h.withStoreFault(func() {
 			n.store.set(mode, 0)
 			if mode == refuse {
 				n.store.reset()
 			}
 			time.Sleep(length)
 			n.store.set(pass, 0)
-			// What a silent proxy took is gone; the connections are of no use.
+			// A silent proxy discards data, so its connections can't be resumed.
 			n.store.reset()
 		})
 	}
 }
 
-func platformFault(mode string) func(*world, *nodeSlot, time.Duration) {
-	return func(w *world, _ *nodeSlot, length time.Duration) {
-		w.disturb(func() {
-			w.report("fault of the platform", w.fleet.SwitchFault(bffleet.Fault{Mode: mode, For: length.String(), Delay: "300ms", Percent: 70}))
+func platformFault(mode string) func(*harness, *nodeSlot, time.Duration) {
+	return func(h *harness, _ *nodeSlot, length time.Duration) {
+		h.withStoreFault(func() {
+			h.checkError("platform fault", h.fleet.SwitchFault(bffleet.Fault{Mode: mode, For: length.String(), Delay: "300ms", Percent: 70}))
 			time.Sleep(length)
 		})
 	}
 }
 
-func (w *world) dropHistory(*nodeSlot, time.Duration) {
-	w.disturb(func() { w.report("drop of the history", w.fleet.DropHistory()) })
+func (h *harness) dropHistory(*nodeSlot, time.Duration) {
+	h.withStoreFault(func() { h.checkError("drop history", h.fleet.DropHistory()) })
 }
 
-func (n *nodeSlot) withTarget(fault func(t *incarnation)) {
+func (n *nodeSlot) withTargetFault(fault func(t *incarnation)) {
 	n.targetMu.Lock()
 	defer n.targetMu.Unlock()
-	n.harmed(false, func() { fault(n.target) })
+	n.withFault(false, func() { fault(n.target) })
 }
 
-func targetFault(mode proxyMode) func(*world, *nodeSlot, time.Duration) {
-	return func(_ *world, n *nodeSlot, length time.Duration) {
-		n.withTarget(func(t *incarnation) {
+func targetFault(mode proxyMode) func(*harness, *nodeSlot, time.Duration) {
+	return func(_ *harness, n *nodeSlot, length time.Duration) {
+		n.withTargetFault(func(t *incarnation) {
 			t.proxy.set(mode, 0)
 			time.Sleep(length)
 			t.proxy.set(pass, 0)
@@ -225,59 +225,59 @@
 	}
 }
 
-func (w *world) resetTarget(n *nodeSlot, _ time.Duration) {
-	n.withTarget(func(t *incarnation) { t.proxy.reset() })
+func (h *harness) resetTarget(n *nodeSlot, _ time.Duration) {
+	n.withTargetFault(func(t *incarnation) { t.proxy.reset() })
 }
 
-func (w *world) slowTarget(n *nodeSlot, length time.Duration) {
-	n.withTarget(func(t *incarnation) {
+func (h *harness) slowTarget(n *nodeSlot, length time.Duration) {
+	n.withTargetFault(func(t *incarnation) {
 		t.proxy.set(pass, 150*time.Millisecond)
 		time.Sleep(length)
 		t.proxy.set(pass, 0)
 	})
 }
 
-func (w *world) loseAnswers(n *nodeSlot, length time.Duration) {
-	n.withTarget(func(t *incarnation) {
-		t.loseShare.Store(40)
+func (h *harness) loseResponses(n *nodeSlot, length time.Duration) {
+	n.withTargetFault(func(t *incarnation) {
+		t.lostPercent.Store(40)
 		time.Sleep(length)
-		t.loseShare.Store(0)
+		t.lostPercent.Store(0)
 	})
 }
 
-func (w *world) doubleAnswers(n *nodeSlot, length time.Duration) {
-	n.withTarget(func(t *incarnation) {
-		t.doubleShare.Store(40)
+func (h *harness) duplicateResponses(n *nodeSlot, length time.Duration) {
+	n.withTargetFault(func(t *incarnation) {
+		t.duplicatedPercent.Store(40)
 		time.Sleep(length)
-		t.doubleShare.Store(0)
+		t.duplicatedPercent.Store(0)
 	})
 }
 
-// replaceTarget drains a target and starts the next incarnation beside the same node.
-func (w *world) replaceTarget(n *nodeSlot, length time.Duration) {
+// replaceTarget drains a target and starts a new incarnation at the same node.
+func (h *harness) replaceTarget(n *nodeSlot, length time.Duration) {
 	n.targetMu.Lock()
 	defer n.targetMu.Unlock()
-	n.harmed(true, func() {
-		n.target.stop(w.group.Context(), length > time.Second)
-		next, err := w.startTarget(n)
-		w.report("start of a target", err)
+	n.withFault(true, func() {
+		n.target.stop(h.group.Context(), length > time.Second)
+		next, err := h.startTarget(n)
+		h.checkError("start of a target", err)
 		if err == nil {
 			n.target = next
 		}
 	})
 }
 
-func (w *world) changeConfiguration(*nodeSlot, time.Duration) {
-	w.report("change", w.change())
+func (h *harness) changeVersion(*nodeSlot, time.Duration) {
+	h.checkError("change", h.writeNextVersion())
 }
 
-// watchVersions asks each node which of the versions' routes it has.
-func (w *world) watchVersions(ctx context.Context) error {
+// watchVersions repeatedly checks on each node that the newest version's route is served.
+func (h *harness) watchVersions(ctx context.Context) error {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		for _, n := range w.nodes {
-			w.watchNode(ctx, client, n)
+		for _, n := range h.nodes {
+			h.checkNodeVersion(ctx, client, n)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- /dev/null
+++ b/bftrial/internal/bfsoak/harness.go
@@ -0,0 +1,266 @@
+package bfsoak
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"bilberryflow.org/bftrial/internal/bffleet"
+	"bilberryflow.org/lib/bfgroup"
+	"bilberryflow.org/lib/bftraffic"
+	"bilberryflow.org/platform/bfdialect"
+)
+
+// Options configures a soak.
+type Options struct {
+	// Binaries is the directory of the built programs.
+	Binaries string
+	Seed     uint64
+	Nodes    int
+	Callers  int
+	// Faults is how long faults are injected; the run ends a few seconds later.
+	Faults time.Duration
+	// Crashing adds requests that crash targets to the faults.
+	Crashing bool
+	// Only names a single scenario to run instead of random faults.
+	Only string
+}
+
+// nodeSlot is one node with its store proxy and target; restarts replace its process.
+type nodeSlot struct {
+	// mu serializes faults of the process.
+	mu      sync.Mutex
+	process *bffleet.MeshNode
+	store   *proxy
+	ready   atomic.Bool
+
+	targetMu sync.Mutex
+	target   *incarnation
+
+	periodsMu sync.Mutex
+	periods   []faultPeriod
+}
+
+// faultPeriod is a period with a fault of the node or its target.
+type faultPeriod struct {
+	from, to time.Time
+	// planned marks maintenance, which must not fail a request that has run.
+	planned bool
+}
+
+func (n *nodeSlot) withFault(planned bool, fault func()) {
+	began := time.Now()
+	fault()
+	n.addFaultPeriod(faultPeriod{began, time.Now(), planned})
+}
+
+func (n *nodeSlot) addFaultPeriod(p faultPeriod) {
+	n.periodsMu.Lock()
+	defer n.periodsMu.Unlock()
+	n.periods = append(n.periods, p)
+}
+
+// hadAnyFault reports whether the node had any fault between two times.
+func (n *nodeSlot) hadAnyFault(from, to time.Time) bool {
+	n.periodsMu.Lock()
+	defer n.periodsMu.Unlock()
+	for _, p := range n.periods {
+		if from.Before(p.to) && to.After(p.from) {
+			return true
+		}
+	}
+	return false
+}
+
+// settleTime is how long the effects of a fault may last after it ends.
+const settleTime = 4 * time.Second
+
+// hadFault reports whether the node had a planned or unplanned fault between two times,
+// or less than settleTime before.
+func (n *nodeSlot) hadFault(from, to time.Time, planned bool) bool {
+	n.periodsMu.Lock()
+	defer n.periodsMu.Unlock()
+	for _, p := range n.periods {
+		if p.planned == planned && from.Before(p.to.Add(settleTime)) && to.After(p.from) {
+			return true
+		}
+	}
+	return false
+}
+
+// harness is the state of one soak.
+type harness struct {
+	options  Options
+	rand     *rand.Rand
+	out      io.Writer
+	fleet    *bffleet.Fleet
+	group    *bfgroup.Group
+	nodes    []*nodeSlot
+	runLog   *runLog
+	outcomes outcomeLog
+	// crashing is held while a crashing request is being sent.
+	crashing sync.Mutex
+
+	mu      sync.Mutex
+	version bftraffic.Version
+	// committed is when each version was written.
+	committed map[bftraffic.Version]time.Time
+	// storeFaultEnd is when the last fault of the store ended.
+	storeFaultEnd time.Time
+	// seen is the newest version that each process has served.
+	seen       map[*bffleet.Process]bftraffic.Version
+	violations []string
+}
+
+func (h *harness) addViolation(format string, values ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.violations = append(h.violations, fmt.Sprintf(format, values...))
+}
+
+// Run runs a soak with one seed and returns the violations found. The error is of
+// setting up the fleet.
+func Run(options Options, out io.Writer) (violations []string, err error) {
+	fleet, err := bffleet.New(options.Binaries)
+	if err != nil {
+		return nil, err
+	}
+	h := &harness{
+		options: options, rand: rand.New(rand.NewPCG(options.Seed, options.Seed)), out: out, fleet: fleet,
+		group: bfgroup.New(context.Background()), runLog: newRunLog(),
+		committed: map[bftraffic.Version]time.Time{}, seen: map[*bffleet.Process]bftraffic.Version{},
+	}
+	defer func() {
+		if err != nil || len(h.violations) > 0 {
+			fleet.Logs(out)
+		}
+		_ = fleet.Close()
+	}()
+	if err := h.start(); err != nil {
+		return nil, err
+	}
+	h.runFaults()
+	h.check()
+	h.group.Cancel()
+	return h.violations, nil
+}
+
+func (h *harness) start() error {
+	if err := h.fleet.StartPlatform(bffleet.PlatformSettings{}); err != nil {
+		return err
+	}
+	for i := range h.options.Nodes {
+		if err := h.startNode(i); err != nil {
+			return err
+		}
+	}
+	if err := h.writeNextVersion(); err != nil {
+		return err
+	}
+	h.group.Go("readiness", h.pollReadiness)
+	return h.awaitServing(30 * time.Second)
+}
+
+func (h *harness) startNode(i int) error {
+	store, err := newProxy(h.group, h.fleet.StoreAddress())
+	if err != nil {
+		return err
+	}
+	process, err := h.fleet.StartMeshNode(bffleet.MeshSettings{
+		Instance: fmt.Sprintf("n%d", i), FailureDomain: fmt.Sprintf("zone-%d", i%3), Service: "vault",
+	}, store.address())
+	if err != nil {
+		return err
+	}
+	n := &nodeSlot{process: process, store: store}
+	if n.target, err = h.startTarget(n); err != nil {
+		return err
+	}
+	h.nodes = append(h.nodes, n)
+	return nil
+}
+
+// writeNextVersion writes the next version. Each version adds a route that identifies it.
+func (h *harness) writeNextVersion() error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	next := h.version + 1
+	spec := bftraffic.Spec{Version: next, Services: []bftraffic.ServiceSpec{{Name: "vault", MaxConns: 100}}}
+	add := func(prefix string, kind bftraffic.Kind) {
+		spec.Routes = append(spec.Routes, bftraffic.RouteSpec{
+			Name: prefix, Host: host, Prefix: prefix, Kind: kind, Timeout: routeTimeout, Objective: 300 * time.Millisecond,
+			MaxAttempts: 2, Destinations: []bftraffic.Destination{{Service: "vault", Weight: 1}},
+		})
+	}
+	add("/look-vault/", bftraffic.Idempotent)
+	add("/approve-vault/", bftraffic.NonIdempotent)
+	for v := bftraffic.Version(1); v <= next; v++ {
+		add(fmt.Sprintf("/look-v%d/", v), bftraffic.Idempotent)
+	}
+	data, err := bfdialect.EncodeConfiguration(spec)
+	if err == nil {
+		err = h.fleet.Operate(data)
+	}
+	if err != nil {
+		return err
+	}
+	h.version = next
+	h.committed[next] = time.Now()
+	return nil
+}
+
+// pollReadiness polls the readiness of each node, as the platform does.
+func (h *harness) pollReadiness(ctx context.Context) error {
+	client := &http.Client{Timeout: 500 * time.Millisecond}
+	for ctx.Err() == nil {
+		for _, n := range h.nodes {
+			response, err := client.Get("http://" + n.process.Ready() + bfdialect.ReadyPath)
+			if err == nil {
+				response.Body.Close()
+			}
+			n.ready.Store(err == nil && response.StatusCode == http.StatusOK)
+		}
+		time.Sleep(300 * time.Millisecond)
+	}
+	return nil
+}
+
+// awaitServing waits until every node serves the newest version.
+func (h *harness) awaitServing(limit time.Duration) error {
+	client := &http.Client{}
+	defer client.CloseIdleConnections()
+	deadline := time.Now().Add(limit)
+	for _, n := range h.nodes {
+		for {
+			h.mu.Lock()
+			route := fmt.Sprintf("v%d", h.version)
+			h.mu.Unlock()
+			o := h.sendRequest(context.Background(), client, n, true, route)
+			if o.status == http.StatusOK {
+				break
+			}
+			if time.Now().After(deadline) {
+				return &notServingError{n.process.Process().Name(), route, o}
+			}
+			time.Sleep(50 * time.Millisecond)
+		}
+	}
+	return nil
+}
+
+// notServingError reports a node that doesn't serve a route.
+type notServingError struct {
+	node    string
+	route   string
+	outcome outcome
+}
+
+// Error names the node, the route and the outcome of the last request.
+func (e *notServingError) Error() string {
+	return fmt.Sprintf("node %s does not serve %s: status %d, %v", e.node, e.route, e.outcome.status, e.outcome.err)
+}
--- a/bftrial/internal/bfsoak/proxy.go
+++ b/bftrial/internal/bfsoak/proxy.go
@@ -12,24 +12,24 @@
 	"bilberryflow.org/lib/bfgroup"
 )
 
-// proxyMode is what a proxy does to connections.
+// proxyMode selects how a proxy treats connections and data.
 type proxyMode int32
 
 const (
-	// pass hands bytes on.
+	// pass forwards data in both directions.
 	pass proxyMode = iota
-	// silent takes bytes and connections and hands nothing on.
+	// silent accepts connections and discards data in both directions.
 	silent
-	// oneWay hands on what goes there and nothing that comes back.
+	// oneWay forwards requests and discards responses.
 	oneWay
 	// refuse resets new connections.
 	refuse
 )
 
-// proxy stands before one address on loopback.
+// proxy is a TCP proxy for one loopback address that injects network faults.
 type proxy struct {
 	listener net.Listener
-	to       string
+	upstream string
 	group    *bfgroup.Group
 	mode     atomic.Int32
 	delay    atomic.Int64
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, to: to, group: group, conns: map[*net.TCPConn]bool{}}
+	p := &proxy{listener: listener, upstream: to, group: group, conns: map[*net.TCPConn]bool{}}
 	group.Go("proxy", func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() { listener.Close() })
 		defer stop()
@@ -60,7 +60,7 @@
 	p.mode.Store(int32(mode))
 }
 
-// reset ends every open connection with a reset.
+// reset closes every open connection with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,8 +70,8 @@
 	}
 }
 
-// close ends the proxy as the end of the process behind it would: what is open is reset,
-// and new connections are refused.
+// close stops the proxy like a crash of the process behind it: open connections are reset
+// and new ones are refused.
 func (p *proxy) close() {
 	p.listener.Close()
 	p.reset()
@@ -89,49 +89,49 @@
 			c.Close()
 			continue
 		}
-		p.group.Go("proxied", func(ctx context.Context) error {
-			p.join(ctx, c)
+		p.group.Go("proxy connection", func(ctx context.Context) error {
+			p.forward(ctx, c)
 			return nil
 		})
 	}
 }
 
-func (p *proxy) join(ctx context.Context, from *net.TCPConn) {
+func (p *proxy) forward(ctx context.Context, from *net.TCPConn) {
 	defer from.Close()
-	opened, err := net.Dial("tcp", p.to)
+	opened, err := net.Dial("tcp", p.upstream)
 	if err != nil {
 		_ = from.SetLinger(0)
 		return
 	}
 	to := opened.(*net.TCPConn)
 	defer to.Close()
-	p.keep(from, to)
-	defer p.drop(from, to)
+	p.track(from, to)
+	defer p.untrack(from, to)
 	stop := context.AfterFunc(ctx, func() { from.Close(); to.Close() })
 	defer stop()
-	back := make(chan struct{})
-	p.group.Go("back", func(context.Context) error {
-		p.copy(from, to, true)
-		close(back)
+	responsesDone := make(chan struct{})
+	p.group.Go("proxy responses", func(context.Context) error {
+		p.copyData(from, to, true)
+		close(responsesDone)
 		return nil
 	})
-	p.copy(to, from, false)
-	<-back
+	p.copyData(to, from, false)
+	<-responsesDone
 }
 
-// copy hands bytes on until either side ends; what a silent proxy took is gone.
-func (p *proxy) copy(to, from *net.TCPConn, back bool) {
-	piece := make([]byte, 16<<10)
+// copyData forwards data until either side closes; data received in silent mode is discarded.
+func (p *proxy) copyData(to, from *net.TCPConn, response bool) {
+	buffer := make([]byte, 16<<10)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(buffer)
 		mode := proxyMode(p.mode.Load())
-		if n > 0 && (mode == silent || mode == oneWay && back) {
+		if n > 0 && (mode == silent || mode == oneWay && response) {
 			continue
 		}
 		time.Sleep(time.Duration(p.delay.Load()))
 		if n > 0 {
-			if _, failed := to.Write(piece[:n]); failed != nil {
-				err = failed
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (p *proxy) keep(conns ...*net.TCPConn) {
+func (p *proxy) track(conns ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (p *proxy) drop(conns ...*net.TCPConn) {
+func (p *proxy) untrack(conns ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
--- a/bftrial/internal/bfsoak/soak_test.go
+++ b/bftrial/internal/bfsoak/soak_test.go
@@ -10,23 +10,22 @@
 	"time"
 )
 
-// Seeds that once broke a promise stay here, each with its cause.
+// Regression seeds, each with the failure that it reproduced.
 var seeds = []struct {
 	seed     uint64
 	crashing bool
 }{
-	{seed: 1}, // none; a short run for CI
+	{seed: 1}, // no known failure; a short run for CI
 	{seed: 1, crashing: true},
-	// A signal came while the node read its settings, before anything listened for
-	// it, and ended the process.
+	// A signal during the reading of settings, before a handler was installed,
+	// terminated the process.
 	{seed: 106},
 	{seed: 129},
-	// A node that was started again took its target, which had left, from a list of
-	// another node that was older than that.
+	// A restarted node took a departed target back from another node's stale target list.
 	{seed: 106, crashing: true},
-	// The store held two nodes' calls without a word; they knew only each other and
-	// lacked a version for 11 s, since a node that took itself for current did not
-	// ask back.
+	// The store left two nodes' calls unanswered. These nodes had only each other as
+	// peers and missed a version for 11 s, since a node that assumed it was current
+	// did not query its peer.
 	{seed: 503},
 }
 
@@ -39,17 +38,17 @@
 	}
 }
 
-// Guards against a request that ends one target after the other, as each attempt passes for a new one.
-func TestRequestThatCrashesTargetsIsHeldBack(t *testing.T) {
+// Guards against a request that crashes target after target, as each attempt has a new request ID.
+func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	soak(t, Options{Binaries: build(t), Seed: 1, Nodes: 6, Callers: 12, Faults: 3 * time.Second, Only: crashingRequest})
 }
 
-// Guards against a fleet whose nodes were all started anew having forgotten such a request.
-func TestHeldRequestOutlivesTheNodes(t *testing.T) {
+// Guards against losing the quarantine of a request when all nodes restart.
+func TestQuarantineSurvivesRestartOfAllNodes(t *testing.T) {
 	soak(t, Options{Binaries: build(t), Seed: 1, Nodes: 6, Callers: 12, Faults: 3 * time.Second, Only: fleetKilled})
 }
 
-// build builds the programs that a soak runs.
+// build compiles the programs that a soak runs and returns their directory.
 func build(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
--- a/bftrial/internal/bfsoak/target.go
+++ b/bftrial/internal/bfsoak/target.go
@@ -19,74 +19,74 @@
 
 var headers = bfdialect.Headers()
 
-// signature is the header by which a target's own answer is known.
-const signature = bfdialect.SignatureHeader
+// signatureHeader is the header that identifies a response written by a target.
+const signatureHeader = bfdialect.SignatureHeader
 
-// ledger is what the targets saw.
-type ledger struct {
+// runLog records the runs of all targets.
+type runLog struct {
 	mu sync.Mutex
 	// runs counts the runs of each request.
 	runs map[string]int
-	// last is when each incarnation last began to run a request.
-	last map[string]time.Time
-	// leaving is when the leaving of an incarnation was acknowledged.
-	leaving map[string]time.Time
-	// crashing holds the runs of each content under which targets end.
+	// lastRun is when each incarnation last started running a request.
+	lastRun map[string]time.Time
+	// departed is when the departure of an incarnation was acknowledged.
+	departed map[string]time.Time
+	// crashing holds the runs of crashing requests by content ID.
 	crashing map[string][]crashingRun
 }
 
-func newLedger() *ledger {
-	return &ledger{runs: map[string]int{}, last: map[string]time.Time{}, leaving: map[string]time.Time{}, crashing: map[string][]crashingRun{}}
+func newRunLog() *runLog {
+	return &runLog{runs: map[string]int{}, lastRun: map[string]time.Time{}, departed: map[string]time.Time{}, crashing: map[string][]crashingRun{}}
 }
 
-func (l *ledger) ran(id, incarnation string) {
+func (l *runLog) recordRun(id, incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
-	l.last[incarnation] = time.Now()
+	l.lastRun[incarnation] = time.Now()
 }
 
-func (l *ledger) count(id string) int {
+func (l *runLog) runCount(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-func (l *ledger) left(incarnation string) {
+func (l *runLog) recordDeparture(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaving[incarnation] = time.Now()
+	l.departed[incarnation] = time.Now()
 }
 
-// service is what all targets of a run serve.
+// service is the name of the service of all targets.
 const service = "vault"
 
-// targetSlots is how many requests a target works on at once.
+// targetSlots is the maximum number of concurrent requests of a target.
 const targetSlots = 8
 
-// incarnation is one start of a target.
+// incarnation is one life of a target, from its start to its stop or crash.
 type incarnation struct {
-	id      string
-	ledger  *ledger
-	server  *http.Server
-	proxy   *proxy
-	reports bfdialect.TargetReports
-	service string
-	node    *nodeSlot
-	working atomic.Int32
-	state   atomic.Int32
-	seq     atomic.Int64
-	// crashed is called once when a request has ended the incarnation.
+	id       string
+	runLog   *runLog
+	server   *http.Server
+	proxy    *proxy
+	reports  bfdialect.TargetReports
+	service  string
+	node     *nodeSlot
+	inFlight atomic.Int32
+	state    atomic.Int32
+	sequence atomic.Int64
+	// crashed is called once after a request has crashed the incarnation.
 	crashed func()
-	ending  sync.Once
-	// loseShare of the answers, in percent, are lost after the run; doubled are sent twice.
-	loseShare, doubleShare atomic.Int32
+	endOnce sync.Once
+	// lostPercent is the percentage of responses dropped after the run, duplicatedPercent that of responses sent twice.
+	lostPercent, duplicatedPercent atomic.Int32
 }
 
-var starts atomic.Int64
+var incarnations atomic.Int64
 
-// startTarget starts an incarnation beside a node.
-func startTarget(group *bfgroup.Group, l *ledger, node *nodeSlot, crashed func(*incarnation)) (*incarnation, error) {
+// startTarget starts a new incarnation at a node.
+func startTarget(group *bfgroup.Group, log *runLog, node *nodeSlot, crashed func(*incarnation)) (*incarnation, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	t := &incarnation{
-		id: fmt.Sprintf("i-%d", starts.Add(1)), ledger: l, proxy: p, service: service, node: node,
+		id: fmt.Sprintf("i-%d", incarnations.Add(1)), runLog: log, proxy: p, service: service, node: node,
 		reports: bfdialect.TargetReports{Control: node.process.Settings().Listen.Target, Client: &http.Client{Timeout: time.Second}},
 	}
 	t.crashed = func() { crashed(t) }
@@ -106,29 +106,29 @@
 		_ = t.server.Serve(listener)
 		return nil
 	})
-	group.Go("heartbeats", t.beat)
+	group.Go("heartbeats", t.sendHeartbeats)
 	return t, nil
 }
 
-const heartbeat = 300 * time.Millisecond
+const heartbeatInterval = 300 * time.Millisecond
 
-func (t *incarnation) beat(ctx context.Context) error {
+func (t *incarnation) sendHeartbeats(ctx context.Context) error {
 	for ctx.Err() == nil && t.state.Load() != 0 {
 		state := bfhost.State(t.state.Load())
 		err := t.reports.Beat(ctx, bfhost.Heartbeat{
-			Incarnation: t.id, Sequence: t.seq.Add(1), Service: t.service, Address: t.proxy.address(),
+			Incarnation: t.id, Sequence: t.sequence.Add(1), Service: t.service, Address: t.proxy.address(),
 			Slots: targetSlots, State: state,
 		})
 		if err == nil && state == bfhost.Draining {
-			t.ledger.left(t.id)
+			t.runLog.recordDeparture(t.id)
 			return nil
 		}
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 	}
 	return nil
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP runs one request, with the faults that are set on the target.
 func (t *incarnation) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headers.RequestID)
 	w.Header().Set(headers.RequestID, id)
@@ -137,45 +137,45 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	defer t.working.Add(-1)
-	if t.working.Add(1) > targetSlots {
+	defer t.inFlight.Add(-1)
+	if t.inFlight.Add(1) > targetSlots {
 		w.Header().Set(headers.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	t.ledger.ran(id, t.id)
+	t.runLog.recordRun(id, t.id)
 	if content := crashingContent(r.URL.Path); content != "" {
 		t.crash(content)
 	}
 	time.Sleep(time.Duration(rand.IntN(60)) * time.Millisecond)
-	body := answerOf(id)
+	body := responseBody(id)
 	draw := rand.Int32N(100)
 	switch {
-	case draw < t.loseShare.Load():
+	case draw < t.lostPercent.Load():
 		panic(http.ErrAbortHandler)
-	case draw < t.loseShare.Load()+t.doubleShare.Load():
-		t.double(w, id, body)
+	case draw < t.lostPercent.Load()+t.duplicatedPercent.Load():
+		t.respondTwice(w, id, body)
 	default:
-		w.Header().Set(signature, "of "+id)
+		w.Header().Set(signatureHeader, "of "+id)
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-// double sends the answer twice.
-func (t *incarnation) double(w http.ResponseWriter, id, body string) {
+// respondTwice writes the response twice on the connection.
+func (t *incarnation) respondTwice(w http.ResponseWriter, id, body string) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		panic(err)
 	}
 	defer c.Close()
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: of %s\r\nContent-Length: %d\r\n\r\n%s",
-		headers.RequestID, id, signature, id, len(body), body)
-	_, _ = io.WriteString(c, one+one)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: of %s\r\nContent-Length: %d\r\n\r\n%s",
+		headers.RequestID, id, signatureHeader, id, len(body), body)
+	_, _ = io.WriteString(c, response+response)
 	time.Sleep(20 * time.Millisecond)
 }
 
-// answerOf is the one right answer to a request; some are long.
-func answerOf(id string) string {
+// responseBody returns the expected response body of a request; some bodies are long.
+func responseBody(id string) string {
 	repeat := 1
 	if strings.HasSuffix(id, "7") {
 		repeat = 5000
@@ -183,14 +183,15 @@
 	return strings.Repeat("answer to "+id+"\n", repeat)
 }
 
-// stop ends the incarnation: announced, served on for a while, and gone.
+// stop shuts the incarnation down. It first announces draining by heartbeat if announced
+// is set, or departs otherwise, and serves for 2.5 s more.
 func (t *incarnation) stop(ctx context.Context, announced bool) {
 	if announced {
 		t.state.Store(int32(bfhost.Draining))
 	} else {
 		t.state.Store(0)
 		if t.reports.Leave(ctx, bfhost.Departure{Incarnation: t.id}) == nil {
-			t.ledger.left(t.id)
+			t.runLog.recordDeparture(t.id)
 		}
 	}
 	time.Sleep(2500 * time.Millisecond)
