--- a/bftrial/internal/bfdemo/demo.go
+++ b/bftrial/internal/bfdemo/demo.go
@@ -48,7 +48,7 @@
 	d := &Demo{fleet: fleet, out: out}
 	defer func() {
 		if err != nil {
-			fleet.Logs(out)
+			fleet.WriteLogs(out)
 		}
 		if closeErr := fleet.Close(); err == nil {
 			err = closeErr
@@ -79,7 +79,7 @@
 	if err := d.fleet.StartPlatform(bffleet.PlatformSettings{}); err != nil {
 		return err
 	}
-	d.say("the platform's stand-in runs at %s", d.fleet.Platform())
+	d.say("the platform's stand-in runs at %s", d.fleet.PlatformURL())
 	for _, i := range instances {
 		node, err := d.fleet.StartNode(bffleet.NodeSettings{
 			Instance: i.name, Region: "vienna", FailureDomain: i.domain, Service: i.service,
@@ -119,7 +119,7 @@
 }
 
 func (d *Demo) command(node *bffleet.Node, command string) error {
-	said, err := d.fleet.Command(node, command)
+	said, err := d.fleet.RunCommand(node, command)
 	if err != nil {
 		return err
 	}
--- a/bftrial/internal/bffleet/calls.go
+++ b/bftrial/internal/bffleet/calls.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// StatusError reports an answer with another status than expected.
+// StatusError reports a response with an unexpected HTTP status.
 type StatusError struct {
 	URL    string
 	Status int
 	Body   string
 }
 
-// Error gives the status and the body.
+// Error returns the URL, the status and the body.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("%s answered %d: %s", e.URL, e.Status, e.Body)
+	return fmt.Sprintf("%s: unexpected status %d: %s", e.URL, e.Status, e.Body)
 }
 
 func (f *Fleet) send(method, url string, body any, want int) error {
@@ -44,8 +44,8 @@
 	return err
 }
 
-// Behave changes how a target acts; fields not named stay as they are.
-func (f *Fleet) Behave(target *Target, behaviour map[string]any) error {
+// SetBehaviour changes a target's simulated behaviour; omitted fields keep their values.
+func (f *Fleet) SetBehaviour(target *Target, behaviour map[string]any) error {
 	return f.send(http.MethodPut, "http://"+target.address+"/behaviour", behaviour, http.StatusNoContent)
 }
 
@@ -59,7 +59,7 @@
 	Shed      int    `json:"shed"`
 }
 
-// Ledger reads a target's ledger.
+// Ledger reads a target's ledger of requests. It returns an error if the ledger has dropped entries.
 func (f *Fleet) Ledger(target *Target) ([]Run, error) {
 	var page struct {
 		Runs []Run `json:"runs"`
@@ -69,21 +69,21 @@
 		return nil, err
 	}
 	if page.Lost > 0 {
-		return nil, fmt.Errorf("ledger of %s lost %d requests", target.name, page.Lost)
+		return nil, fmt.Errorf("ledger of target %s is incomplete: %d requests dropped", target.name, page.Lost)
 	}
 	return page.Runs, nil
 }
 
-func (f *Fleet) get(url string, into any) error {
+func (f *Fleet) get(url string, result any) error {
 	response, err := f.client.Get(url)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(result)
 }
 
-// Metrics reads a node's metrics.
+// Metrics reads a node's metrics from its operator port.
 func (f *Fleet) Metrics(node *Node) (map[string]any, error) {
 	var page struct {
 		Node map[string]any `json:"node"`
@@ -97,42 +97,42 @@
 	var page struct {
 		Platform map[string]any `json:"platform"`
 	}
-	err := f.get(f.Platform()+"/debug/vars", &page)
+	err := f.get(f.PlatformURL()+"/debug/vars", &page)
 	return page.Platform, err
 }
 
-// Number is a metric as a number, 0 where there is none.
-func Number(metrics map[string]any, name string) float64 {
+// MetricValue returns a metric's value, or 0 if it is missing or not a number.
+func MetricValue(metrics map[string]any, name string) float64 {
 	n, _ := metrics[name].(float64)
 	return n
 }
 
-// Control is what bfctl said to a command, and its exit code.
-type Control struct {
+// CommandResult is the combined output and the exit code of a bfctl command.
+type CommandResult struct {
 	Output string
 	Code   int
 }
 
-// Command runs bfctl with a command against a node.
-func (f *Fleet) Command(node *Node, command string, flags ...string) (Control, error) {
+// RunCommand runs a bfctl command against a node. A non-zero exit code is not an error.
+func (f *Fleet) RunCommand(node *Node, command string, flags ...string) (CommandResult, error) {
 	arguments := append([]string{"--node", node.settings.Listen.Operator, "--timeout", "20s"}, flags...)
 	cmd := exec.Command(filepath.Join(f.binaries, "bfctl"), append(arguments, command)...)
-	cmd.Env = append(cmd.Environ(), "BFCTL_TOKEN="+Secret)
+	cmd.Env = append(cmd.Environ(), "BFCTL_TOKEN="+OperatorToken)
 	output, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
-		return Control{}, err
+		return CommandResult{}, err
 	}
-	return Control{Output: string(output), Code: cmd.ProcessState.ExitCode()}, nil
+	return CommandResult{Output: string(output), Code: cmd.ProcessState.ExitCode()}, nil
 }
 
-// AwaitVersion waits until every node has version in force.
+// AwaitVersion waits until the version in force on every node is at least version.
 func (f *Fleet) AwaitVersion(version int, limit time.Duration) error {
 	return f.awaitMetric("config_version_in_force", float64(version), limit)
 }
 
-// AwaitMembers waits until every node knows every other.
+// AwaitMembers waits until every node has all nodes in its member list.
 func (f *Fleet) AwaitMembers(limit time.Duration) error {
-	return f.awaitMetric("members", float64(len(f.order)), limit)
+	return f.awaitMetric("members", float64(len(f.nodeOrder)), limit)
 }
 
 func (f *Fleet) awaitMetric(name string, want float64, limit time.Duration) error {
@@ -140,7 +140,7 @@
 	for _, node := range f.Nodes() {
 		for {
 			metrics, err := f.Metrics(node)
-			if err == nil && Number(metrics, name) >= want {
+			if err == nil && MetricValue(metrics, name) >= want {
 				break
 			}
 			if time.Now().After(deadline) {
--- a/bftrial/internal/bffleet/doc.go
+++ b/bftrial/internal/bffleet/doc.go
@@ -1,4 +1,4 @@
-// Package bffleet starts real processes of the system on loopback for the
-// demo, the measurements and the tests from end to end, and ends each by its
-// own process ID.
+// Package bffleet starts and stops the system's programs as processes on
+// loopback, for the demo, the measurements and the end-to-end tests. It signals
+// only processes that it started, by process ID.
 package bffleet
--- a/bftrial/internal/bffleet/fleet.go
+++ b/bftrial/internal/bffleet/fleet.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Fleet is the platform, nodes and targets as real processes on loopback.
+// Fleet is a platform with nodes and targets, each a process on loopback.
 type Fleet struct {
 	binaries    string
 	directory   string
@@ -28,23 +28,23 @@
 	platformAddress string
 	nodes           map[string]*Node
 	targets         map[string]*Target
-	order           []string
+	nodeOrder       []string
 
-	mu      sync.Mutex
-	adopted []*Process
+	mu            sync.Mutex
+	meshProcesses []*Process
 }
 
-// adopt has Close end a process too.
-func (f *Fleet) adopt(p *Process) {
+// addProcess adds a process to those that Close terminates.
+func (f *Fleet) addProcess(p *Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.adopted = append(f.adopted, p)
+	f.meshProcesses = append(f.meshProcesses, p)
 }
 
-// waiter waits for processes to end, each in a goroutine.
+// waiter waits for processes to exit, each in its own goroutine.
 type waiter struct{ sync.WaitGroup }
 
-// Go runs fn and waits for it at the end; what fn returns is in its process's hands.
+// Go runs fn in a goroutine that Wait waits for. The error is ignored, as fn reports it to its Process.
 func (w *waiter) Go(_ string, fn func() error) {
 	w.WaitGroup.Go(func() { _ = fn() })
 }
@@ -56,7 +56,7 @@
 	file     string
 }
 
-// Settings are what the node was started with.
+// Settings returns the settings that the node was started with.
 func (n *Node) Settings() NodeSettings { return n.settings }
 
 // Target is one bftarget.
@@ -66,13 +66,14 @@
 	file    string
 }
 
-// Address is where the target takes requests, its ledger and its behaviour.
+// Address returns the address that serves the target's requests, ledger and behaviour.
 func (t *Target) Address() string { return t.address }
 
-// Secret is the operators' token of every node.
-const Secret = "trial-operator-secret"
+// OperatorToken is the operator token that every node accepts.
+const OperatorToken = "trial-operator-secret"
 
-// New makes an empty fleet of the programs in binaries; its files go to a temporary directory.
+// New creates an empty fleet that runs the programs in the directory binaries. Settings
+// and logs are in a temporary directory, which Close removes.
 func New(binaries string) (*Fleet, error) {
 	directory, err := os.MkdirTemp("", "bilberryflow-")
 	if err != nil {
@@ -85,20 +86,22 @@
 	}, nil
 }
 
-// Environment adds variables for processes started from now on.
-func (f *Fleet) Environment(variables ...string) { f.environment = append(f.environment, variables...) }
+// AddEnvironment adds environment variables for processes started later.
+func (f *Fleet) AddEnvironment(variables ...string) {
+	f.environment = append(f.environment, variables...)
+}
 
-// Platform is the stand-in platform's base URL.
-func (f *Fleet) Platform() string { return "http://" + f.platformAddress }
+// PlatformURL returns the stand-in platform's base URL.
+func (f *Fleet) PlatformURL() string { return "http://" + f.platformAddress }
 
-// PlatformSettings are those of bfplatform.
+// PlatformSettings is the settings file of bfplatform.
 type PlatformSettings struct {
 	Listen          string `json:"listen"`
 	ReadsPerSecond  int    `json:"readsPerSecond,omitempty"`
 	WritesPerSecond int    `json:"writesPerSecond,omitempty"`
 }
 
-// StartPlatform starts the stand-in platform.
+// StartPlatform starts the stand-in platform and waits until it serves; Listen is filled in.
 func (f *Fleet) StartPlatform(settings PlatformSettings) error {
 	f.platformAddress = f.ports.next()
 	settings.Listen = f.platformAddress
@@ -109,10 +112,10 @@
 	if f.platform, err = f.startProcess("bfplatform", "platform", file); err != nil {
 		return err
 	}
-	return f.Await(f.platform, f.Platform()+"/debug/vars")
+	return f.AwaitResponse(f.platform, f.PlatformURL()+"/debug/vars")
 }
 
-// NodeSettings are those of bfnode that trials set.
+// NodeSettings is the settings file of bfnode, reduced to the fields that trials use.
 type NodeSettings struct {
 	Instance      string            `json:"instance"`
 	Region        string            `json:"region"`
@@ -128,7 +131,7 @@
 	StopTimeout   string            `json:"stopTimeout,omitempty"`
 }
 
-// NodePorts are a node's addresses.
+// NodePorts holds a node's listen addresses.
 type NodePorts struct {
 	Caller   string `json:"caller"`
 	Inbound  string `json:"inbound"`
@@ -137,25 +140,25 @@
 	Peer     string `json:"peer"`
 }
 
-// StartNode starts a node; ports, platform and operators are filled in.
+// StartNode starts a node without waiting for it; ports, platform and operators are filled in.
 func (f *Fleet) StartNode(settings NodeSettings) (*Node, error) {
 	settings.Listen = NodePorts{
 		Caller: f.ports.next(), Inbound: f.ports.next(), Operator: f.ports.next(),
 		Target: f.ports.next(), Peer: f.ports.next(),
 	}
-	settings.Platform = map[string]string{"address": f.Platform()}
-	settings.Operators = []map[string]any{{"name": "trial", "secret": Secret}}
+	settings.Platform = map[string]string{"address": f.PlatformURL()}
+	settings.Operators = []map[string]any{{"name": "trial", "secret": OperatorToken}}
 	file, err := f.writeSettings(settings.Instance, settings)
 	if err != nil {
 		return nil, err
 	}
 	node := &Node{settings: settings, file: file}
 	f.nodes[settings.Instance] = node
-	f.order = append(f.order, settings.Instance)
+	f.nodeOrder = append(f.nodeOrder, settings.Instance)
 	return node, f.RestartNode(node)
 }
 
-// RestartNode starts a node's process, with the settings it had before.
+// RestartNode starts a node's process again with its previous settings.
 func (f *Fleet) RestartNode(node *Node) error {
 	process, err := f.startProcess("bfnode", node.settings.Instance, node.file)
 	if err != nil {
@@ -165,30 +168,30 @@
 	return nil
 }
 
-// AwaitNodes waits until every node answers on its operators' port.
+// AwaitNodes waits until every node responds on its operator port.
 func (f *Fleet) AwaitNodes() error {
-	for _, name := range f.order {
+	for _, name := range f.nodeOrder {
 		node := f.nodes[name]
-		if err := f.Await(node.Process, "http://"+node.settings.Listen.Operator+"/debug/vars"); err != nil {
+		if err := f.AwaitResponse(node.Process, "http://"+node.settings.Listen.Operator+"/debug/vars"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Node finds a node.
+// Node returns the node of an instance, or nil.
 func (f *Fleet) Node(instance string) *Node { return f.nodes[instance] }
 
-// Nodes lists the nodes in the order in which they were started.
+// Nodes returns the nodes in start order.
 func (f *Fleet) Nodes() []*Node {
-	list := make([]*Node, 0, len(f.order))
-	for _, name := range f.order {
+	list := make([]*Node, 0, len(f.nodeOrder))
+	for _, name := range f.nodeOrder {
 		list = append(list, f.nodes[name])
 	}
 	return list
 }
 
-// TargetSettings are those of bftarget.
+// TargetSettings is the settings file of bftarget.
 type TargetSettings struct {
 	Instance    string  `json:"instance"`
 	Service     string  `json:"service"`
@@ -202,7 +205,7 @@
 	StopTimeout string  `json:"stopTimeout,omitempty"`
 }
 
-// StartTarget starts the target beside a node.
+// StartTarget starts a node's target and waits until it serves; instance, service and addresses are filled in.
 func (f *Fleet) StartTarget(node *Node, settings TargetSettings) (*Target, error) {
 	settings.Instance, settings.Service = node.settings.Instance, node.settings.Service
 	settings.Listen, settings.Node = f.ports.next(), node.settings.Listen.Target
@@ -216,21 +219,22 @@
 	return target, f.RestartTarget(target, name)
 }
 
-// RestartTarget starts a target's process, with the settings it had before.
+// RestartTarget starts a target's process again with its previous settings, under a name for its log.
 func (f *Fleet) RestartTarget(target *Target, name string) error {
 	process, err := f.startProcess("bftarget", name, target.file)
 	if err != nil {
 		return err
 	}
 	target.Process = process
-	return f.Await(process, "http://"+target.address+"/ledger")
+	return f.AwaitResponse(process, "http://"+target.address+"/ledger")
 }
 
-// Target finds the target beside an instance's node.
+// Target returns the target of an instance, or nil.
 func (f *Fleet) Target(instance string) *Target { return f.targets[instance] }
 
-// Await polls a page until it answers.
-func (f *Fleet) Await(process *Process, url string) error {
+// AwaitResponse polls a URL until the process responds, for at most 20 s. It returns a ProcessError
+// if the process exits or the time is over.
+func (f *Fleet) AwaitResponse(process *Process, url string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for {
@@ -242,9 +246,9 @@
 		select {
 		case err := <-process.done:
 			process.done <- err
-			return &StartError{process.name, fmt.Errorf("ended: %w; log: %s", err, process.Log())}
+			return &ProcessError{process.name, fmt.Errorf("exited: %w; log: %s", err, process.Log())}
 		case <-ctx.Done():
-			return &StartError{process.name, ctx.Err()}
+			return &ProcessError{process.name, ctx.Err()}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -259,27 +263,27 @@
 	return file, os.WriteFile(file, data, 0o600)
 }
 
-// Fault is an order to the stand-in platform.
+// Fault is a request to the stand-in platform to inject a fault.
 type Fault struct {
 	Mode    string `json:"mode"`
 	For     string `json:"for"`
 	Delay   string `json:"delay,omitempty"`
 	Percent int    `json:"percent,omitempty"`
-	// Key holds the fault to writes of rows whose key starts with it.
+	// Key limits the fault to writes of rows whose key has this prefix.
 	Key string `json:"key,omitempty"`
 }
 
-// SwitchFault turns a fault of the platform on.
-func (f *Fleet) SwitchFault(fault Fault) error {
-	return f.send(http.MethodPost, f.Platform()+"/faults", fault, http.StatusNoContent)
+// EnableFault enables a fault of the platform.
+func (f *Fleet) EnableFault(fault Fault) error {
+	return f.send(http.MethodPost, f.PlatformURL()+"/faults", fault, http.StatusNoContent)
 }
 
-// ClearFaults turns every fault of the platform off.
+// ClearFaults disables all faults of the platform.
 func (f *Fleet) ClearFaults() error {
-	return f.send(http.MethodDelete, f.Platform()+"/faults", nil, http.StatusNoContent)
+	return f.send(http.MethodDelete, f.PlatformURL()+"/faults", nil, http.StatusNoContent)
 }
 
-// Close ends every process that still runs and removes the fleet's files.
+// Close kills all running processes and removes the fleet's files.
 func (f *Fleet) Close() error {
 	var errs []error
 	for _, p := range f.processes() {
@@ -301,7 +305,7 @@
 		list = append(list, f.platform)
 	}
 	f.mu.Lock()
-	list = append(list, f.adopted...)
+	list = append(list, f.meshProcesses...)
 	f.mu.Unlock()
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i] == nil {
@@ -311,43 +315,42 @@
 	return list
 }
 
-// Logs writes every process's log to w.
-func (f *Fleet) Logs(w io.Writer) {
+// WriteLogs writes the logs of all processes to w.
+func (f *Fleet) WriteLogs(w io.Writer) {
 	for _, p := range f.processes() {
-		p.drainLog(w)
+		p.writeLog(w)
 	}
 }
 
-// Ports are taken from below the range from which the system gives ports to
-// outgoing connections: one of those could take a port between its choice here
-// and the start of the process that is to listen on it.
+// Ports are below the system's ephemeral range. Otherwise an outgoing connection
+// could take a port after it was chosen and before its process listens on it.
 const (
 	firstPort = 10_000
 	portCount = 20_000
 )
 
-// ports hands out free loopback addresses, none twice.
+// ports allocates free loopback addresses, each at most once.
 type ports struct {
-	mu     sync.Mutex
-	offset int
-	given  int
+	mu        sync.Mutex
+	offset    int
+	allocated int
 }
 
 func (p *ports) next() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.given == 0 {
-		// Fleets of several test processes start at different places.
+	if p.allocated == 0 {
+		// Concurrent test processes start at different offsets.
 		p.offset = os.Getpid() * 131 % portCount
 	}
-	for ; p.given < portCount; p.given++ {
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(p.offset+p.given)%portCount)
+	for ; p.allocated < portCount; p.allocated++ {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(p.offset+p.allocated)%portCount)
 		if isFree(address) {
-			p.given++
+			p.allocated++
 			return address
 		}
 	}
-	// A machine without a free loopback port can run no trial.
+	// No trial can run without free ports.
 	panic("no free loopback port")
 }
 
--- a/bftrial/internal/bffleet/mesh.go
+++ b/bftrial/internal/bffleet/mesh.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// MeshSettings are those of a node whose configuration the platform keeps.
+// MeshSettings is the settings file of a bfnode whose configuration is stored on the platform.
 type MeshSettings struct {
 	Instance      string            `json:"instance"`
 	Region        string            `json:"region"`
@@ -19,23 +19,23 @@
 	Mesh          map[string]any    `json:"mesh"`
 }
 
-// MeshNode is one bfnode whose configuration the platform keeps.
+// MeshNode is one bfnode whose configuration is stored on the platform.
 type MeshNode struct {
 	settings MeshSettings
 	file     string
 	process  atomic.Pointer[Process]
 }
 
-// Process is the node's present process.
+// Process returns the node's current process.
 func (n *MeshNode) Process() *Process { return n.process.Load() }
 
-// Settings are what the node was started with.
+// Settings returns the settings that the node was started with.
 func (n *MeshNode) Settings() MeshSettings { return n.settings }
 
-// Ready is where the node is asked whether it takes callers.
-func (n *MeshNode) Ready() string { return n.settings.Mesh["ready"].(string) }
+// ReadyAddress returns the address of the node's readiness endpoint.
+func (n *MeshNode) ReadyAddress() string { return n.settings.Mesh["ready"].(string) }
 
-// StartMeshNode starts a node that reaches the store at an address; ports are filled in.
+// StartMeshNode starts a node that connects to the store at an address; ports are filled in.
 func (f *Fleet) StartMeshNode(settings MeshSettings, store string) (*MeshNode, error) {
 	settings.Region = "trial"
 	settings.Listen = NodePorts{
@@ -55,28 +55,30 @@
 	return node, f.RestartMeshNode(node)
 }
 
-// RestartMeshNode starts a node's process, with the settings it had before.
+// RestartMeshNode starts a node's process again with its previous settings.
 func (f *Fleet) RestartMeshNode(node *MeshNode) error {
 	process, err := f.startProcess("bfnode", node.settings.Instance, node.file)
 	if err != nil {
 		return err
 	}
 	node.process.Store(process)
-	f.adopt(process)
+	f.addProcess(process)
 	return nil
 }
 
-// StoreAddress is where the stand-in platform's store listens.
+// StoreAddress returns the listen address of the stand-in platform's store.
 func (f *Fleet) StoreAddress() string { return f.platformAddress }
 
-// Operate writes a configuration as the platform's operators do.
-func (f *Fleet) Operate(configuration []byte) error { return f.operate(http.MethodPut, configuration) }
+// WriteConfiguration writes a configuration to the store, as the platform's operators do.
+func (f *Fleet) WriteConfiguration(configuration []byte) error {
+	return f.sendConfiguration(http.MethodPut, configuration)
+}
 
-// DropHistory has the stand-in store forget its changes.
-func (f *Fleet) DropHistory() error { return f.operate(http.MethodDelete, nil) }
+// DropHistory deletes the change history of the stand-in store.
+func (f *Fleet) DropHistory() error { return f.sendConfiguration(http.MethodDelete, nil) }
 
-func (f *Fleet) operate(method string, body []byte) error {
-	request, err := http.NewRequest(method, f.Platform()+"/configuration", bytes.NewReader(body))
+func (f *Fleet) sendConfiguration(method string, body []byte) error {
+	request, err := http.NewRequest(method, f.PlatformURL()+"/configuration", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -87,7 +89,7 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	if err == nil && response.StatusCode != http.StatusNoContent {
-		err = fmt.Errorf("platform answered %s of the configuration with %d: %s", method, response.StatusCode, answer)
+		err = fmt.Errorf("%s of the configuration on the platform: unexpected status %d: %s", method, response.StatusCode, answer)
 	}
 	return err
 }
--- a/bftrial/internal/bffleet/process.go
+++ b/bftrial/internal/bffleet/process.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Process is one running program of the system.
+// Process is one started program with its log file.
 type Process struct {
 	name string
 	cmd  *exec.Cmd
@@ -19,31 +19,31 @@
 	done chan error
 }
 
-// StartError reports a process that did not start or did not stay.
-type StartError struct {
+// ProcessError reports a process that failed to start, to keep running or to exit in time.
+type ProcessError struct {
 	Name   string
 	Reason error
 }
 
-// Error names the process.
-func (e *StartError) Error() string { return fmt.Sprintf("process %s: %v", e.Name, e.Reason) }
+// Error returns the process name and the reason.
+func (e *ProcessError) Error() string { return fmt.Sprintf("process %s: %v", e.Name, e.Reason) }
 
-// Unwrap is the reason.
-func (e *StartError) Unwrap() error { return e.Reason }
+// Unwrap returns the reason.
+func (e *ProcessError) Unwrap() error { return e.Reason }
 
-// startProcess starts a program with a settings file; its log goes to directory.
+// startProcess starts a program with a settings file. Its output is appended to name.log in the fleet's directory.
 func (f *Fleet) startProcess(program, name, settings string) (*Process, error) {
 	const flags = os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	log, err := os.OpenFile(filepath.Join(f.directory, name+".log"), flags, 0o600)
 	if err != nil {
-		return nil, &StartError{name, err}
+		return nil, &ProcessError{name, err}
 	}
 	p := &Process{name: name, log: log, done: make(chan error, 1)}
 	p.cmd = exec.Command(filepath.Join(f.binaries, program), "--settings", settings)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.Env = append(os.Environ(), f.environment...)
 	if err := p.cmd.Start(); err != nil {
-		return nil, errors.Join(&StartError{name, err}, log.Close())
+		return nil, errors.Join(&ProcessError{name, err}, log.Close())
 	}
 	f.group.Go("wait for "+name, func() error {
 		p.done <- p.cmd.Wait()
@@ -52,13 +52,13 @@
 	return p, nil
 }
 
-// Name is the process's name in the fleet.
+// Name returns the process's name in the fleet.
 func (p *Process) Name() string { return p.name }
 
-// ID is the process's ID.
+// ID returns the operating system's process ID.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
 
-// Log is everything the process has written.
+// Log returns everything that the process has written, or the text of the read error.
 func (p *Process) Log() string {
 	data, err := os.ReadFile(p.log.Name())
 	if err != nil {
@@ -67,7 +67,7 @@
 	return string(data)
 }
 
-// Signal sends a signal; a process that has ended is none to send it to.
+// Signal sends a signal. It does nothing if the process has exited.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.cmd.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -76,7 +76,7 @@
 	return err
 }
 
-// Kill ends the process at once, as a lost machine would.
+// Kill terminates the process with SIGKILL, like the loss of its machine, and waits for its exit.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -85,7 +85,8 @@
 	return err
 }
 
-// Stop stops the process gracefully and returns its exit code.
+// Stop terminates the process with SIGTERM and returns its exit code. It returns an error
+// if the process still runs after limit.
 func (p *Process) Stop(limit time.Duration) (int, error) {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return 0, err
@@ -104,9 +105,9 @@
 		}
 		return p.cmd.ProcessState.ExitCode(), nil
 	case <-time.After(limit):
-		return 0, &StartError{p.name, fmt.Errorf("still runs after %v", limit)}
+		return 0, &ProcessError{p.name, fmt.Errorf("still running after %v", limit)}
 	}
 }
 
-// drainLog copies the log to w, for failures.
-func (p *Process) drainLog(w io.Writer) { fmt.Fprintf(w, "--- %s\n%s", p.name, p.Log()) }
+// writeLog copies the log to w under a heading.
+func (p *Process) writeLog(w io.Writer) { fmt.Fprintf(w, "--- %s\n%s", p.name, p.Log()) }
--- a/bftrial/internal/bfmeasure/measure.go
+++ b/bftrial/internal/bfmeasure/measure.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	// Each process is measured at what one core gives it: the fleet shares the machine.
-	r.fleet.Environment("GOMAXPROCS=2")
+	r.fleet.AddEnvironment("GOMAXPROCS=2")
 	var seeds []string
 	for i := range r.options.Nodes {
 		domain := i % domains
@@ -166,7 +166,7 @@
 		s.metrics, s.usage = append(s.metrics, metrics), append(s.usage, used)
 	}
 	platform, err := r.fleet.PlatformMetrics()
-	s.reads = bffleet.Number(platform, "reads")
+	s.reads = bffleet.MetricValue(platform, "reads")
 	return s, err
 }
 
@@ -175,7 +175,7 @@
 	for i := range s.metrics {
 		sum := 0.0
 		for _, name := range names {
-			sum += bffleet.Number(s.metrics[i], name) - bffleet.Number(before.metrics[i], name)
+			sum += bffleet.MetricValue(s.metrics[i], name) - bffleet.MetricValue(before.metrics[i], name)
 		}
 		mean += sum / float64(len(s.metrics))
 		most = max(most, sum)
@@ -221,7 +221,7 @@
 }
 
 func (r *run) change() error {
-	base := startBaseline(r.fleet.Platform(), r.options.Nodes)
+	base := startBaseline(r.fleet.PlatformURL(), r.options.Nodes)
 	baseStart, readsBefore := time.Now(), base.metrics.Counter("table_reads").Value()
 	before, err := r.sample()
 	if err != nil {
@@ -279,7 +279,7 @@
 // deltaBytes is the mean encoded size of the measured changes, as the table has them.
 func (r *run) deltaBytes() (float64, error) {
 	const timeout = 5 * time.Second
-	table := bftable.New(r.fleet.Platform(), timeout, bfmetric.New())
+	table := bftable.New(r.fleet.PlatformURL(), timeout, bfmetric.New())
 	defer table.Close()
 	from, to := bfcommit.VersionRange(2, r.version)
 	rows, err := table.Range(context.Background(), from, to, r.options.Changes)
@@ -300,7 +300,7 @@
 		if err != nil {
 			return nil, err
 		}
-		times = append(times, time.UnixMicro(int64(bffleet.Number(metrics, "config_in_force_since_us"))))
+		times = append(times, time.UnixMicro(int64(bffleet.MetricValue(metrics, "config_in_force_since_us"))))
 	}
 	return times, nil
 }
--- a/bftrial/internal/bfmeasure/operator.go
+++ b/bftrial/internal/bfmeasure/operator.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	request.Header.Set("Authorization", "Bearer "+bffleet.Secret)
+	request.Header.Set("Authorization", "Bearer "+bffleet.OperatorToken)
 	response, err := o.client.Do(request)
 	if err != nil {
 		return time.Time{}, err
--- a/bftrial/internal/bfproof/config_test.go
+++ b/bftrial/internal/bfproof/config_test.go
@@ -92,7 +92,7 @@
 	w := newWorld(t, 3)
 	w.command(0, "stage a change policy lookup queue 7", 0)
 	// Only commits write version rows; what comes before them is answered.
-	w.is.NoErr(w.SwitchFault(bffleet.Fault{Mode: "lose-answers", For: "10m", Key: "version/"}))
+	w.is.NoErr(w.EnableFault(bffleet.Fault{Mode: "lose-answers", For: "10m", Key: "version/"}))
 	w.command(0, "confirm a", 0)
 	w.is.NoErr(w.AwaitVersion(2, limit))
 	w.is.Equal(strings.Count(w.command(1, "show versions", 0), "trial"), 2)
@@ -108,8 +108,8 @@
 		w.change(number%3, number)
 	}
 	w.is.NoErr(w.AwaitVersion(4, limit))
-	w.is.NoErr(w.SwitchFault(bffleet.Fault{Mode: "down", For: "10m"}))
-	said, err := w.Command(w.Nodes()[0], "stage never change policy lookup queue 99")
+	w.is.NoErr(w.EnableFault(bffleet.Fault{Mode: "down", For: "10m"}))
+	said, err := w.RunCommand(w.Nodes()[0], "stage never change policy lookup queue 99")
 	w.is.NoErr(err)
 	w.is.True(said.Code != 0)
 	for _, herd := range [][]string{{"n0", "n3"}, {"n7"}, {"n8"}} {
@@ -127,7 +127,7 @@
 	}
 	w.is.NoErr(w.ClearFaults())
 	w.eventually(func() bool {
-		said, err := w.Command(w.Nodes()[1], "stage after change policy lookup queue 42")
+		said, err := w.RunCommand(w.Nodes()[1], "stage after change policy lookup queue 42")
 		return err == nil && said.Code == 0
 	})
 	w.command(1, "confirm after", 0)
@@ -146,7 +146,7 @@
 		w.change(0, number)
 	}
 	w.eventually(func() bool {
-		said, err := w.Command(w.Nodes()[0], "show members where instance = n4")
+		said, err := w.RunCommand(w.Nodes()[0], "show members where instance = n4")
 		return err == nil && !strings.Contains(said.Output, "alive") && !strings.Contains(said.Output, "suspect")
 	})
 	w.is.NoErr(w.Node("n4").Signal(syscall.SIGCONT))
@@ -165,9 +165,9 @@
 	w := newWorld(t, 6)
 	w.command(5, "stage a change policy lookup queue 7", 0)
 	// The answer comes late enough to kill the node in between.
-	w.is.NoErr(w.SwitchFault(bffleet.Fault{Mode: "late-writes", For: "1s", Delay: "500ms"}))
+	w.is.NoErr(w.EnableFault(bffleet.Fault{Mode: "late-writes", For: "1s", Delay: "500ms"}))
 	var wait sync.WaitGroup
-	wait.Go(func() { _, _ = w.Command(w.Nodes()[5], "confirm a", "--timeout", "3s") })
+	wait.Go(func() { _, _ = w.RunCommand(w.Nodes()[5], "confirm a", "--timeout", "3s") })
 	time.Sleep(200 * time.Millisecond)
 	w.is.NoErr(w.Node("n5").Kill())
 	wait.Wait()
@@ -177,7 +177,7 @@
 	// Whether the write took effect is the table's business; all agree on it.
 	var said string
 	w.eventually(func() bool {
-		answer, err := w.Command(w.Nodes()[0], "show versions")
+		answer, err := w.RunCommand(w.Nodes()[0], "show versions")
 		said = answer.Output
 		return err == nil && answer.Code == 0
 	})
--- a/bftrial/internal/bfproof/world_test.go
+++ b/bftrial/internal/bfproof/world_test.go
@@ -69,7 +69,7 @@
 	w := &world{Fleet: fleet, t: t, is: is}
 	t.Cleanup(func() {
 		if t.Failed() {
-			fleet.Logs(os.Stderr)
+			fleet.WriteLogs(os.Stderr)
 		}
 		_ = fleet.Close()
 	})
@@ -113,7 +113,7 @@
 // command runs bfctl against a node and checks its exit code.
 func (w *world) command(i int, command string, code int) string {
 	w.t.Helper()
-	said, err := w.Command(w.Nodes()[i], command)
+	said, err := w.RunCommand(w.Nodes()[i], command)
 	w.is.NoErr(err)
 	if said.Code != code {
 		w.t.Fatalf("bfctl %q exited with %d, not %d: %s", command, said.Code, code, said.Output)
@@ -195,5 +195,5 @@
 // metric reads a number of a node, and whether it answered.
 func (w *world) metric(node *bffleet.Node, name string) (float64, bool) {
 	metrics, err := w.Metrics(node)
-	return bffleet.Number(metrics, name), err == nil
+	return bffleet.MetricValue(metrics, name), err == nil
 }
--- a/bftrial/internal/bfsoak/faults.go
+++ b/bftrial/internal/bfsoak/faults.go
@@ -128,7 +128,7 @@
 // milliseconds. TestSignalWhileSettingsAreRead in lib/bfprogram covers signals
 // between the program's start and serving.
 func (h *harness) awaitStart(n *nodeSlot) {
-	h.checkError("start of a node", h.fleet.Await(n.process.Process(), "http://"+n.process.Ready()))
+	h.checkError("start of a node", h.fleet.AwaitResponse(n.process.Process(), "http://"+n.process.ReadyAddress()))
 }
 
 func (h *harness) stopNode(n *nodeSlot, _ time.Duration) {
@@ -198,7 +198,7 @@
 func platformFault(mode string) func(*harness, *nodeSlot, time.Duration) {
 	return func(h *harness, _ *nodeSlot, length time.Duration) {
 		h.withStoreFault(func() {
-			h.checkError("platform fault", h.fleet.SwitchFault(bffleet.Fault{Mode: mode, For: length.String(), Delay: "300ms", Percent: 70}))
+			h.checkError("platform fault", h.fleet.EnableFault(bffleet.Fault{Mode: mode, For: length.String(), Delay: "300ms", Percent: 70}))
 			time.Sleep(length)
 		})
 	}
--- a/bftrial/internal/bfsoak/harness.go
+++ b/bftrial/internal/bfsoak/harness.go
@@ -137,7 +137,7 @@
 	}
 	defer func() {
 		if err != nil || len(h.violations) > 0 {
-			fleet.Logs(out)
+			fleet.WriteLogs(out)
 		}
 		_ = fleet.Close()
 	}()
@@ -204,7 +204,7 @@
 	}
 	data, err := bfdialect.EncodeConfiguration(spec)
 	if err == nil {
-		err = h.fleet.Operate(data)
+		err = h.fleet.WriteConfiguration(data)
 	}
 	if err != nil {
 		return err
@@ -219,7 +219,7 @@
 	client := &http.Client{Timeout: 500 * time.Millisecond}
 	for ctx.Err() == nil {
 		for _, n := range h.nodes {
-			response, err := client.Get("http://" + n.process.Ready() + bfdialect.ReadyPath)
+			response, err := client.Get("http://" + n.process.ReadyAddress() + bfdialect.ReadyPath)
 			if err == nil {
 				response.Body.Close()
 			}
--- a/bftrial/internal/bfspike/fault.go
+++ b/bftrial/internal/bfspike/fault.go
@@ -70,9 +70,9 @@
 		return t.fleet.Node(t.instances[0][0]).Kill()
 	case faultSlow:
 		slow := t.options.ServiceTime.Seconds() * 1000 * slowFactor
-		return t.fleet.Behave(t.victim(), map[string]any{"serviceTimeMs": slow})
+		return t.fleet.SetBehaviour(t.victim(), map[string]any{"serviceTimeMs": slow})
 	case faultLying:
-		return t.fleet.Behave(t.victim(), map[string]any{"shed": true, "sayHealth": "healthy"})
+		return t.fleet.SetBehaviour(t.victim(), map[string]any{"shed": true, "sayHealth": "healthy"})
 	case faultNone:
 	}
 	return nil
@@ -85,7 +85,7 @@
 		return t.fleet.RestartTarget(t.victim(), t.victim().Name())
 	}
 	usual := t.options.ServiceTime.Seconds() * 1000
-	return t.fleet.Behave(t.victim(), map[string]any{"serviceTimeMs": usual, "shed": false, "sayHealth": ""})
+	return t.fleet.SetBehaviour(t.victim(), map[string]any{"serviceTimeMs": usual, "shed": false, "sayHealth": ""})
 }
 
 // runs counts how often the targets began to run each arrival of a policy, by
--- a/bftrial/internal/bfspike/run.go
+++ b/bftrial/internal/bfspike/run.go
@@ -85,7 +85,7 @@
 	if err := t.fleet.StartPlatform(bffleet.PlatformSettings{}); err != nil {
 		return err
 	}
-	t.fleet.Environment("GOMAXPROCS=2")
+	t.fleet.AddEnvironment("GOMAXPROCS=2")
 	n := 0
 	for _, service := range t.shape.services {
 		var names []string
@@ -200,7 +200,7 @@
 	spikeStart := start.Add(t.timetable.begin(spike))
 	configuration := t.shape.configuration(spikeStart, spikeStart.Add(t.timetable[spike]))
 	for _, command := range []string{configuration, "confirm spike"} {
-		said, err := t.fleet.Command(t.fleet.Nodes()[0], command)
+		said, err := t.fleet.RunCommand(t.fleet.Nodes()[0], command)
 		if err != nil {
 			return err
 		}
@@ -239,7 +239,7 @@
 func (t *trial) eachTarget(behaviour map[string]any) error {
 	for _, names := range t.instances {
 		for _, name := range names {
-			if err := t.fleet.Behave(t.fleet.Target(name), behaviour); err != nil {
+			if err := t.fleet.SetBehaviour(t.fleet.Target(name), behaviour); err != nil {
 				return err
 			}
 		}
