--- a/bftrial/internal/bfproof/doc.go
+++ b/bftrial/internal/bfproof/doc.go
@@ -1,4 +1,4 @@
-// Package bfproof holds the proofs that need real processes: kills, freezes,
-// outages of the platform and stops under load, checked from outside by what
-// the targets logged of each run.
+// Package bfproof holds the end-to-end tests that need real processes: kills,
+// freezes, platform outages and stops under load. They compare callers' responses
+// with the runs in the targets' logs.
 package bfproof
--- a/bftrial/internal/bfproof/world_test.go
+++ b/bftrial/internal/bfproof/harness_test.go
@@ -19,7 +19,7 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// binaries holds the programs built for this run.
+// binaries is the directory of the programs built for this test run.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -40,7 +40,7 @@
 	os.Exit(code)
 }
 
-// limit bounds a wait; no proof is about time, and CI may run on a busy machine.
+// limit bounds each wait. It is generous since no test measures time and CI machines may be busy.
 const limit = 2 * time.Minute
 
 const configuration = `stage base {
@@ -53,20 +53,21 @@
   create route approvals prefix "/approvals" service core policy approve
 }`
 
-// world is a fleet with a configuration in force.
-type world struct {
+// harness is a test harness: a fleet with a configuration in force.
+type harness struct {
 	*bffleet.Fleet
 	t  *testing.T
 	is *is.I
 }
 
-// newWorld starts n nodes over three failure domains, each with a target of service core.
-func newWorld(t *testing.T, n int) *world {
+// newHarness starts n nodes in three failure domains, each with a target of service core,
+// and waits until all serve look-ups.
+func newHarness(t *testing.T, n int) *harness {
 	t.Helper()
 	is := is.New(t)
 	fleet, err := bffleet.New(binaries)
 	is.NoErr(err)
-	w := &world{Fleet: fleet, t: t, is: is}
+	h := &harness{Fleet: fleet, t: t, is: is}
 	t.Cleanup(func() {
 		if t.Failed() {
 			fleet.WriteLogs(os.Stderr)
@@ -84,58 +85,58 @@
 	}
 	is.NoErr(fleet.AwaitNodes())
 	is.NoErr(fleet.AwaitMembers(limit))
-	w.command(0, configuration, 0)
-	w.command(0, "confirm base", 0)
+	h.command(0, configuration, 0)
+	h.command(0, "confirm base", 0)
 	is.NoErr(fleet.AwaitVersion(1, limit))
 	for i := range n {
-		w.awaitServing(i)
+		h.awaitServing(i)
 	}
-	return w
+	return h
 }
 
-// awaitServing waits until a node finds targets for a look-up.
-func (w *world) awaitServing(i int) {
-	w.t.Helper()
-	w.eventually(func() bool {
-		return w.send(i, http.MethodGet, "/lookups/ready", "ready", "").outcome == bfheader.OutcomeDone
+// awaitServing waits until a look-up through node i succeeds.
+func (h *harness) awaitServing(i int) {
+	h.t.Helper()
+	h.eventually(func() bool {
+		return h.send(i, http.MethodGet, "/lookups/ready", "ready", "").outcome == bfheader.OutcomeDone
 	})
 }
 
-func (w *world) eventually(done func() bool) {
-	w.t.Helper()
+func (h *harness) eventually(done func() bool) {
+	h.t.Helper()
 	for deadline := time.Now().Add(limit); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.t.Fatal("condition not reached")
+			h.t.Fatal("condition not met within the limit")
 		}
 	}
 }
 
-// command runs bfctl against a node and checks its exit code.
-func (w *world) command(i int, command string, code int) string {
-	w.t.Helper()
-	said, err := w.RunCommand(w.Nodes()[i], command)
-	w.is.NoErr(err)
-	if said.Code != code {
-		w.t.Fatalf("bfctl %q exited with %d, not %d: %s", command, said.Code, code, said.Output)
+// command runs bfctl against node i, checks its exit code and returns its output.
+func (h *harness) command(i int, command string, code int) string {
+	h.t.Helper()
+	result, err := h.RunCommand(h.Nodes()[i], command)
+	h.is.NoErr(err)
+	if result.Code != code {
+		h.t.Fatalf("bfctl %q: exit code %d, want %d: %s", command, result.Code, code, result.Output)
 	}
-	return said.Output
+	return result.Output
 }
 
-// answer is what a caller was told.
+// answer is the response or the error that a caller received.
 type answer struct {
-	status  int
-	outcome string
-	earlier bool
-	body    string
-	err     error
+	status            int
+	outcome           string
+	earlierMayHaveRun bool
+	body              string
+	err               error
 }
 
-// send sends a request with a mark that the target logs.
-func (w *world) send(i int, method, path, mark, key string) answer {
-	return w.sendTo(w.Nodes()[i].Settings().Listen.Caller, method, path, mark, key)
+// send sends a request through node i, with a mark that the target logs.
+func (h *harness) send(i int, method, path, mark, key string) answer {
+	return h.sendTo(h.Nodes()[i].Settings().Listen.Caller, method, path, mark, key)
 }
 
-// separator stands between a path, which may have a query, and the mark.
+// separator returns the text between a path, which may have a query, and the mark.
 func separator(path string) string {
 	if strings.HasSuffix(path, "&") {
 		return ""
@@ -145,12 +146,12 @@
 
 var client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (w *world) sendTo(address, method, path, mark, key string) answer {
+func (h *harness) sendTo(address, method, path, mark, key string) answer {
 	request, err := http.NewRequest(method, "http://"+address+path+separator(path)+"mark="+mark, strings.NewReader("content of "+mark))
 	if err != nil {
 		return answer{err: err}
 	}
-	// Without this net/http may send a request again by itself.
+	// A nil GetBody keeps net/http from retrying the request.
 	request.GetBody = nil
 	if key != "" {
 		request.Header.Set(bfheader.IdempotencyKey, key)
@@ -166,17 +167,17 @@
 		Earlier bool `json:"earlierMayHaveRun"`
 	}
 	if a.outcome == bfheader.OutcomeNotRun && json.Unmarshal(body, &problem) == nil {
-		a.earlier = problem.Earlier
+		a.earlierMayHaveRun = problem.Earlier
 	}
 	return a
 }
 
-// runs counts, for each mark, how often any target began to run it, by the
-// targets' logs, which outlive the targets.
-func (w *world) runs() map[string]int {
+// runs counts the started runs of each mark in the targets' logs, which survive
+// crashes of the targets.
+func (h *harness) runs() map[string]int {
 	counts := map[string]int{}
-	for _, node := range w.Nodes() {
-		target := w.Target(node.Settings().Instance)
+	for _, node := range h.Nodes() {
+		target := h.Target(node.Settings().Instance)
 		lines := bufio.NewScanner(strings.NewReader(target.Log()))
 		for lines.Scan() {
 			var line struct {
@@ -192,8 +193,8 @@
 	return counts
 }
 
-// metric reads a number of a node, and whether it answered.
-func (w *world) metric(node *bffleet.Node, name string) (float64, bool) {
-	metrics, err := w.Metrics(node)
+// metric reads a node's metric and reports whether the node responded.
+func (h *harness) metric(node *bffleet.Node, name string) (float64, bool) {
+	metrics, err := h.Metrics(node)
 	return bffleet.MetricValue(metrics, name), err == nil
 }
--- a/bftrial/internal/bfproof/request_test.go
+++ b/bftrial/internal/bfproof/request_test.go
@@ -18,23 +18,23 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// told is what a caller was told of one mark, over all its sendings.
-type told struct {
+// exchange holds the responses to all attempts of one request, which its mark identifies.
+type exchange struct {
 	mark, kind string
 	answers    []answer
 }
 
-// load sends requests of every kind through random nodes until stop is closed.
+// load sends requests of all kinds through random nodes until stop is closed.
 type load struct {
-	w    *world
-	mu   sync.Mutex
-	told []told
-	wait sync.WaitGroup
-	stop chan struct{}
+	h         *harness
+	mu        sync.Mutex
+	exchanges []exchange
+	wait      sync.WaitGroup
+	stop      chan struct{}
 }
 
-func startLoad(w *world, workers int) *load {
-	l := &load{w: w, stop: make(chan struct{})}
+func startLoad(h *harness, workers int) *load {
+	l := &load{h: h, stop: make(chan struct{})}
 	for worker := range workers {
 		random := rand.New(rand.NewPCG(uint64(worker), 1))
 		l.wait.Go(func() {
@@ -44,29 +44,29 @@
 					return
 				default:
 				}
-				l.one(random, fmt.Sprintf("w%d-%d", worker, i))
+				l.sendRandom(random, fmt.Sprintf("w%d-%d", worker, i))
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) one(random *rand.Rand, mark string) {
-	nodes := len(l.w.Nodes())
-	t := told{mark: mark}
+func (l *load) sendRandom(random *rand.Rand, mark string) {
+	nodes := len(l.h.Nodes())
+	e := exchange{mark: mark}
 	switch random.IntN(3) {
 	case 0:
-		t.kind = "lookup"
-		t.answers = append(t.answers, l.w.send(random.IntN(nodes), http.MethodGet, "/lookups/"+mark, mark, ""))
+		e.kind = "lookup"
+		e.answers = append(e.answers, l.h.send(random.IntN(nodes), http.MethodGet, "/lookups/"+mark, mark, ""))
 	case 1:
-		t.kind = "nomination"
-		t.answers = append(t.answers, l.w.send(random.IntN(nodes), http.MethodPost, "/nominations/"+mark, mark, ""))
+		e.kind = "nomination"
+		e.answers = append(e.answers, l.h.send(random.IntN(nodes), http.MethodPost, "/nominations/"+mark, mark, ""))
 	default:
-		t.kind = "approval"
-		// A caller that knows no better sends the key again through another node.
+		e.kind = "approval"
+		// The caller retries with the same idempotency key through another node.
 		for range 4 {
-			a := l.w.send(random.IntN(nodes), http.MethodPost, "/approvals/"+mark, mark, mark)
-			t.answers = append(t.answers, a)
+			a := l.h.send(random.IntN(nodes), http.MethodPost, "/approvals/"+mark, mark, mark)
+			e.answers = append(e.answers, a)
 			if a.err == nil && a.outcome == bfheader.OutcomeDone {
 				break
 			}
@@ -75,29 +75,30 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = append(l.told, t)
+	l.exchanges = append(l.exchanges, e)
 }
 
-// end stops the load and checks every answer against what the targets ran.
-func (l *load) end() (done int) {
+// stopAndCheck stops the load, checks every response against the targets' runs, and returns
+// how many requests were done.
+func (l *load) stopAndCheck() (done int) {
 	close(l.stop)
 	l.wait.Wait()
-	runs := l.w.runs()
-	for _, t := range l.told {
-		done += l.check(t, runs[t.mark])
+	runs := l.h.runs()
+	for _, e := range l.exchanges {
+		done += l.check(e, runs[e.mark])
 	}
 	return done
 }
 
-func (l *load) check(t told, runs int) (done int) {
+func (l *load) check(e exchange, runs int) (done int) {
 	report := func(format string, values ...any) {
-		l.w.t.Errorf("%s %s ran %d times: %s; told %+v", t.kind, t.mark, runs, fmt.Sprintf(format, values...), t.answers)
+		l.h.t.Errorf("%s %s ran %d times: %s; responses %+v", e.kind, e.mark, runs, fmt.Sprintf(format, values...), e.answers)
 	}
-	if t.kind != "lookup" && runs > 1 {
-		report("not at most once")
+	if e.kind != "lookup" && runs > 1 {
+		report("ran more than once")
 	}
 	provenNotRun := true
-	for _, a := range t.answers {
+	for _, a := range e.answers {
 		switch {
 		case a.err != nil || a.outcome == bfheader.OutcomeUnknown:
 			provenNotRun = false
@@ -105,96 +106,92 @@
 			done = 1
 			provenNotRun = false
 			if runs == 0 {
-				report("told done")
+				report("answered as done")
 			}
-			if !strings.Contains(a.body, "content of "+t.mark) {
-				report("answer of another request")
+			if !strings.Contains(a.body, "content of "+e.mark) {
+				report("response of another request")
 			}
 		case a.outcome == bfheader.OutcomeDone:
 			provenNotRun = false
 		case a.outcome == bfheader.OutcomeNotRun:
 		default:
-			report("outcome %q", a.outcome)
+			report("unexpected outcome %q", a.outcome)
 		}
 	}
 	if provenNotRun && runs > 0 {
-		report("told not run")
+		report("answered as not run")
 	}
 	return done
 }
 
-// Callers send look-ups, nominations and approvals through every node while a
-// target is killed, a node is killed and comes back, another is frozen for
-// longer than every timeout and wakes, and the platform is away. Whatever each
-// caller is told must fit what the targets ran, since a wrong "not run" makes
-// it order twice and a second run bills twice.
-func TestEveryAnswerIsTruthfulThroughFaults(t *testing.T) {
-	w := newWorld(t, 6)
-	l := startLoad(w, 12)
+// Every response must match the targets' runs while targets and nodes are killed,
+// restarted and frozen and the platform fails: a wrong "not run" makes the caller
+// order twice, and a second run bills twice.
+func TestResponsesMatchRunsDuringFaults(t *testing.T) {
+	h := newHarness(t, 6)
+	l := startLoad(h, 12)
 	pause := func() { time.Sleep(time.Second) }
 	pause()
-	w.is.NoErr(w.Target("n1").Kill())
+	h.is.NoErr(h.Target("n1").Kill())
 	pause()
-	w.is.NoErr(w.Node("n2").Kill())
+	h.is.NoErr(h.Node("n2").Kill())
 	pause()
-	w.is.NoErr(w.RestartNode(w.Node("n2")))
-	w.is.NoErr(w.Node("n3").Signal(syscall.SIGSTOP))
-	w.is.NoErr(w.RestartTarget(w.Target("n1"), "target-n1"))
+	h.is.NoErr(h.RestartNode(h.Node("n2")))
+	h.is.NoErr(h.Node("n3").Signal(syscall.SIGSTOP))
+	h.is.NoErr(h.RestartTarget(h.Target("n1"), "target-n1"))
 	time.Sleep(4 * time.Second)
-	w.is.NoErr(w.Node("n3").Signal(syscall.SIGCONT))
+	h.is.NoErr(h.Node("n3").Signal(syscall.SIGCONT))
 	pause()
-	w.is.NoErr(w.EnableFault(bffleet.Fault{Mode: "down", For: "1s"}))
+	h.is.NoErr(h.EnableFault(bffleet.Fault{Mode: "down", For: "1s"}))
 	pause()
-	w.is.NoErr(w.EnableFault(bffleet.Fault{Mode: "lose-answers", For: "1s", Percent: 50}))
+	h.is.NoErr(h.EnableFault(bffleet.Fault{Mode: "lose-answers", For: "1s", Percent: 50}))
 	pause()
-	w.is.NoErr(w.EnableFault(bffleet.Fault{Mode: "late-writes", For: "1s", Delay: "300ms", Percent: 30}))
+	h.is.NoErr(h.EnableFault(bffleet.Fault{Mode: "late-writes", For: "1s", Delay: "300ms", Percent: 30}))
 	pause()
-	// A target dies in the middle of its work, and its node with it.
-	w.is.NoErr(w.Target("n4").Kill())
-	w.is.NoErr(w.Node("n4").Kill())
+	// A target is killed with requests in flight, and its node with it.
+	h.is.NoErr(h.Target("n4").Kill())
+	h.is.NoErr(h.Node("n4").Kill())
 	pause()
-	done := l.end()
-	t.Logf("%d requests, %d done", len(l.told), done)
-	w.is.True(done > 0)
+	done := l.stopAndCheck()
+	t.Logf("%d requests, %d done", len(l.exchanges), done)
+	h.is.True(done > 0)
 }
 
-// A target is stopped as planned while callers keep every slot busy, and then
-// its node. No caller may see a cut answer or an unknown outcome, and once the
-// stop is done the instance gets no new work.
-func TestPlannedStopCutsNothing(t *testing.T) {
-	w := newWorld(t, 3)
-	l := startLoad(w, 12)
+// A graceful stop of a target under full load must cause no truncated response and no
+// unknown outcome, and the target must receive no requests afterwards.
+func TestPlannedStopOfATargetFailsNoRequest(t *testing.T) {
+	h := newHarness(t, 3)
+	l := startLoad(h, 12)
 	time.Sleep(time.Second)
-	code, err := w.Target("n1").Stop(limit)
-	w.is.NoErr(err)
-	w.is.Equal(code, 0)
-	ranBefore := strings.Count(w.Target("n1").Log(), `"event":4007`)
+	code, err := h.Target("n1").Stop(limit)
+	h.is.NoErr(err)
+	h.is.Equal(code, 0)
+	ranBefore := strings.Count(h.Target("n1").Log(), `"event":4007`)
 	time.Sleep(time.Second)
 	close(l.stop)
 	l.wait.Wait()
-	w.is.Equal(strings.Count(w.Target("n1").Log(), `"event":4007`), ranBefore)
-	for _, told := range l.told {
-		for _, a := range told.answers {
+	h.is.Equal(strings.Count(h.Target("n1").Log(), `"event":4007`), ranBefore)
+	for _, e := range l.exchanges {
+		for _, a := range e.answers {
 			if a.err != nil || a.outcome == bfheader.OutcomeUnknown {
-				t.Errorf("%s %s: %+v", told.kind, told.mark, a)
+				t.Errorf("%s %s: %+v", e.kind, e.mark, a)
 			}
 		}
 	}
 }
 
-// A node is stopped as planned while callers talk to it. Every request that it
-// took must get its whole answer; one that comes too late is refused as not run
-// or finds nobody listening.
-func TestPlannedStopOfANode(t *testing.T) {
-	w := newWorld(t, 3)
+// A graceful stop of a node must complete every accepted request. Later requests must
+// be refused as not run, or fail to connect.
+func TestPlannedStopOfANodeFailsNoRequest(t *testing.T) {
+	h := newHarness(t, 3)
 	is := is.New(t)
-	address := w.Nodes()[0].Settings().Listen.Caller
+	address := h.Nodes()[0].Settings().Listen.Caller
 	var wait sync.WaitGroup
-	type sent struct {
+	type markedAnswer struct {
 		answer
 		mark string
 	}
-	answers := make(chan sent, 1000)
+	answers := make(chan markedAnswer, 1000)
 	stop := make(chan struct{})
 	for worker := range 8 {
 		wait.Go(func() {
@@ -205,23 +202,23 @@
 				default:
 				}
 				mark := fmt.Sprintf("s%d-%d", worker, i)
-				answers <- sent{w.sendTo(address, http.MethodPost, "/nominations/x", mark, ""), mark}
+				answers <- markedAnswer{h.sendTo(address, http.MethodPost, "/nominations/x", mark, ""), mark}
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
 	}
 	time.Sleep(500 * time.Millisecond)
-	code, err := w.Node("n0").Stop(limit)
+	code, err := h.Node("n0").Stop(limit)
 	is.NoErr(err)
 	is.Equal(code, 0)
 	close(stop)
 	wait.Wait()
 	close(answers)
-	runs := w.runs()
+	runs := h.runs()
 	for a := range answers {
 		if a.err != nil {
-			// Nobody listens, or the request crossed the end of its connection, which the
-			// caller sees as a reset or as an end without an answer. It has not run.
+			// The node no longer listens, or the connection was closed while the request was
+			// sent, which causes a reset or EOF. In both cases the request has not run.
 			is.True(strings.Contains(a.err.Error(), "refused") || strings.Contains(a.err.Error(), "reset") || errors.Is(a.err, io.EOF))
 			is.Equal(runs[a.mark], 0)
 			continue
