--- a/bftrial/internal/bfspike/arrivals.go
+++ b/bftrial/internal/bfspike/arrivals.go
@@ -14,7 +14,7 @@
 	classes
 )
 
-// phase is a part of the run.
+// phase is a part of a run.
 type phase int
 
 const (
@@ -25,13 +25,13 @@
 	phases
 )
 
-// String is the phase's name in the report.
+// String returns the phase's name in the report.
 func (p phase) String() string { return [phases]string{"settle", "before", "spike", "after"}[p] }
 
-// timetable is how long each phase lasts.
+// timetable holds the length of each phase.
 type timetable [phases]time.Duration
 
-// Shares of the spike's length that the other phases last.
+// Lengths of the other phases, as factors of the spike's length, and of the settle phase.
 const (
 	beforeShare, afterShare = 0.7, 1.5
 	settleTime              = 2 * time.Second
@@ -44,7 +44,8 @@
 	}
 }
 
-// begin is when a phase begins, since the start of the run; that of phases is the end of the run.
+// begin returns the start of a phase relative to the start of the run. For the constant
+// phases it returns the length of the run.
 func (t timetable) begin(p phase) time.Duration {
 	var at time.Duration
 	for i := range p {
@@ -54,18 +55,18 @@
 }
 
 const (
-	// usualLoad is the share of the slots' capacity offered before and after the spike.
+	// usualLoad is the load offered outside the spike, as a fraction of the slots' capacity.
 	usualLoad = 0.5
-	// spikeFactor is how many times the usual rate is offered in the spike.
+	// spikeFactor is the ratio of the spike's request rate to the usual rate.
 	spikeFactor = 20
-	// writeShare is the share of requests that are not idempotent.
+	// writeShare is the fraction of requests that are not idempotent.
 	writeShare = 0.05
 	tenants    = 10
-	// floodShare of the spike's requests come from the first tenant.
+	// floodShare is the fraction of the spike's requests sent by the first tenant alone.
 	floodShare = 0.5
 )
 
-// arrival is one caller's request.
+// arrival is one request of the generated load.
 type arrival struct {
 	number  int
 	at      time.Duration
@@ -75,7 +76,7 @@
 	service int
 }
 
-// arrivals are a Poisson process at the phases' rates; capacity is requests a second.
+// arrivals generates a Poisson process with the phases' rates; capacity is in requests per second.
 func arrivals(seed uint64, t timetable, capacity float64, services []service) []arrival {
 	random := rand.New(rand.NewPCG(seed, seed+1))
 	total := 0
@@ -95,7 +96,7 @@
 			if at >= end {
 				break
 			}
-			a := arrival{number: len(list), at: at, phase: p, tenant: tenantOf(random, p), service: serviceOf(random, services, total)}
+			a := arrival{number: len(list), at: at, phase: p, tenant: drawTenant(random, p), service: drawService(random, services, total)}
 			if random.Float64() < writeShare {
 				a.class = write
 			}
@@ -105,15 +106,15 @@
 	return list
 }
 
-func tenantOf(random *rand.Rand, p phase) int {
+func drawTenant(random *rand.Rand, p phase) int {
 	if p == spike && random.Float64() < floodShare {
 		return 0
 	}
 	return random.IntN(tenants)
 }
 
-// serviceOf gives each service the share of its targets.
-func serviceOf(random *rand.Rand, services []service, targets int) int {
+// drawService draws a service with a probability proportional to its targets.
+func drawService(random *rand.Rand, services []service, targets int) int {
 	drawn := random.IntN(targets)
 	for i, s := range services {
 		if drawn < s.targets {
--- a/bftrial/internal/bfspike/doc.go
+++ b/bftrial/internal/bfspike/doc.go
@@ -1,4 +1,5 @@
-// Package bfspike measures the request policy at an event's start with real
-// processes on loopback: open-loop callers at twenty times the usual rate,
-// beside callers without any policy in the same run, with faults of one target.
+// Package bfspike measures the request policy during a load spike at the start of
+// a scheduled event, with real processes on loopback. It sends an open-loop load at
+// twenty times the usual rate through the nodes, repeats it with naive callers that
+// bypass them, and can inject a fault into one target.
 package bfspike
--- a/bftrial/internal/bfspike/fault.go
+++ b/bftrial/internal/bfspike/fault.go
@@ -11,16 +11,16 @@
 	"bilberryflow.org/bftrial/internal/bffleet"
 )
 
-// fault is what goes wrong at one target in the spike.
+// fault is the fault injected into one target during the spike.
 type fault string
 
 const (
 	faultNone fault = "none"
-	// faultLost ends a target and its node at once, as a lost machine would.
+	// faultLost kills a target and its node, like the loss of their machine.
 	faultLost fault = "lost"
 	// faultSlow makes a target slowFactor times slower.
 	faultSlow fault = "slow"
-	// faultLying has a target shed everything while its health endpoint says that it is well.
+	// faultLying makes a target shed all requests while its health endpoint reports healthy.
 	faultLying fault = "lying"
 )
 
@@ -34,8 +34,8 @@
 	return "", &ShapeError{"fault", name, "none, lost, slow, lying"}
 }
 
-// loss is how much of one target's capacity the fault takes.
-func (f fault) loss() float64 {
+// capacityLoss returns the fraction of one target's capacity that the fault removes.
+func (f fault) capacityLoss() float64 {
 	switch f {
 	case faultLost, faultLying:
 		return 1
@@ -46,50 +46,51 @@
 	return 0
 }
 
-func (t *trial) victim() *bffleet.Target { return t.fleet.Target(t.instances[0][0]) }
+func (t *trial) faultyTarget() *bffleet.Target { return t.fleet.Target(t.instances[0][0]) }
 
-// at runs fn at a moment.
-func (t *trial) at(moment time.Time, fn func() error) func(context.Context) error {
+// runAt returns a function that runs fn at a given time unless its context is done before.
+func (t *trial) runAt(when time.Time, fn func() error) func(context.Context) error {
 	return func(ctx context.Context) error {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(time.Until(moment)):
+		case <-time.After(time.Until(when)):
 			return fn()
 		}
 	}
 }
 
-func (t *trial) begin() error {
+func (t *trial) injectFault() error {
 	switch t.fault {
 	case faultLost:
 		t.lost = true
-		if err := t.victim().Kill(); err != nil {
+		if err := t.faultyTarget().Kill(); err != nil {
 			return err
 		}
 		return t.fleet.Node(t.instances[0][0]).Kill()
 	case faultSlow:
 		slow := t.options.ServiceTime.Seconds() * 1000 * slowFactor
-		return t.fleet.SetBehaviour(t.victim(), map[string]any{"serviceTimeMs": slow})
+		return t.fleet.SetBehaviour(t.faultyTarget(), map[string]any{"serviceTimeMs": slow})
 	case faultLying:
-		return t.fleet.SetBehaviour(t.victim(), map[string]any{"shed": true, "sayHealth": "healthy"})
+		return t.fleet.SetBehaviour(t.faultyTarget(), map[string]any{"shed": true, "sayHealth": "healthy"})
 	case faultNone:
 	}
 	return nil
 }
 
-// mend undoes the fault for the next policy; a lost node is of no use to callers who know only targets.
-func (t *trial) mend() error {
+// revertFault reverts the fault before the next policy. A lost node isn't restarted, since the
+// naive callers that follow use only targets.
+func (t *trial) revertFault() error {
 	if t.lost {
 		t.lost = false
-		return t.fleet.RestartTarget(t.victim(), t.victim().Name())
+		return t.fleet.RestartTarget(t.faultyTarget(), t.faultyTarget().Name())
 	}
 	usual := t.options.ServiceTime.Seconds() * 1000
-	return t.fleet.SetBehaviour(t.victim(), map[string]any{"serviceTimeMs": usual, "shed": false, "sayHealth": ""})
+	return t.fleet.SetBehaviour(t.faultyTarget(), map[string]any{"serviceTimeMs": usual, "shed": false, "sayHealth": ""})
 }
 
-// runs counts how often the targets began to run each arrival of a policy, by
-// their logs, which outlive a target that was killed.
+// runs counts the started runs of each of a policy's arrivals in the targets' logs,
+// which survive a killed target.
 func (t *trial) runs(p policy) (map[string]int, error) {
 	counts := map[string]int{}
 	prefix := mark(p, arrival{})[:1]
@@ -114,4 +115,4 @@
 	return counts, nil
 }
 
-func (t *trial) fleetClient() *http.Client { return &http.Client{Timeout: readDeadline + grace} }
+func (t *trial) httpClient() *http.Client { return &http.Client{Timeout: readDeadline + lateGrace} }
--- a/bftrial/internal/bfspike/figures.go
+++ b/bftrial/internal/bfspike/figures.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// capacity is how many requests a second the slots serve, before and after the fault.
+// capacity is the request rate that all slots can serve, per second, before and after the fault.
 type capacity struct {
 	faultAt       time.Duration
 	before, after float64
 }
 
-// between is how many requests the slots serve in a part of the run.
+// between returns the number of requests that the slots can serve between two times of the run.
 func (c capacity) between(from, to time.Duration) float64 {
-	edge := min(max(c.faultAt, from), to)
-	return c.before*(edge-from).Seconds() + c.after*(to-edge).Seconds()
+	split := min(max(c.faultAt, from), to)
+	return c.before*(split-from).Seconds() + c.after*(to-split).Seconds()
 }
 
-// quantiles of durations.
+// quantiles holds the 50th, 99th and 99.9th percentiles of durations.
 type quantiles struct{ p50, p99, p999 time.Duration }
 
 func quantilesOf(list []time.Duration) quantiles {
@@ -29,58 +29,60 @@
 	return quantiles{p50: at(500), p99: at(990), p999: at(999)}
 }
 
-// Row is the figures of one class in one phase.
+// Row holds the figures of one class in one phase.
 type Row struct {
 	phase phase
 	class string
-	// offered counts callers who came in the phase; the rest is by the callers' ends.
+	// offered counts the arrivals of the phase, without retries.
 	offered int
-	// ends counts the callers by the end of their last sending.
-	ends [outcomes]int
-	// servedAgain counts callers served when they came back.
-	servedAgain int
-	// noReturn counts callers who were told to come back after the end of the run.
-	noReturn int
-	// goodput is answers in time that came in the phase, as a share of all slots' capacity.
+	// byOutcome counts the arrivals by the outcome of their last attempt.
+	byOutcome [outcomes]int
+	// servedOnRetry counts the arrivals served on retry.
+	servedOnRetry int
+	// retryAfterEnd counts the arrivals whose retry time was after the end of the run.
+	retryAfterEnd int
+	// goodput is the number of responses within the deadline that completed in the phase,
+	// as a fraction of all slots' capacity.
 	goodput float64
 	served  quantiles
-	// told is how long until callers were told of a refusal.
-	told quantiles
+	// refused is the latency of refusals.
+	refused quantiles
 }
 
-// Report is one policy's figures.
+// Report holds the figures of one policy.
 type Report struct {
 	policy string
 	rows   []Row
 	busy   [phases]float64
-	// lag is how late callers began to send: the load maker's own fault.
+	// lag is the delay of sends after their due time, caused by the load generator itself.
 	lag quantiles
-	// added is latency beyond the target's own time, before the spike.
-	added quantiles
-	// fairness is Jain's index of look-ups served by tenant in the spike; flood is the flooding tenant's share of them.
-	fairness, flood float64
-	// runs are begun by targets, wasted those without an answer in time, and repeated the writes run more than once.
+	// addedLatency is the latency before the spike in excess of the target's service time.
+	addedLatency quantiles
+	// fairness is Jain's index over tenants of look-ups served in the spike; floodFraction is the flooding tenant's fraction.
+	fairness, floodFraction float64
+	// runs counts runs started by targets, wasted those without a response within the deadline,
+	// and repeated the writes run more than once.
 	runs, wasted, repeated int
-	// goodputBack and latencyBack are how long after the spike's end goodput
-	// and p99 are back, negative if they were not in the run.
-	goodputBack, latencyBack time.Duration
-	timeline                 []point
+	// goodputRecovery and latencyRecovery are the times from the spike's end until goodput, and
+	// goodput together with p99, recover; negative if they don't within the run.
+	goodputRecovery, latencyRecovery time.Duration
+	timeline                         []point
 }
 
 // point is one second of a run.
 type point struct {
 	at time.Duration
-	// share is goodput by class as a share of the capacity.
+	// share is the goodput of each class as a fraction of the capacity.
 	share [classes]float64
 	good  int
 	p99   time.Duration
-	// first and comers are sendings due in that second, of callers who come first and again.
-	first, comers int
-	// firstServed are those of first that were served in time.
+	// first and retries count first attempts and retries due in that second.
+	first, retries int
+	// firstServed counts the first attempts that were served within the deadline.
 	firstServed int
 }
 
-// figures works a run out.
+// figures evaluates the samples of one run.
 type figures struct {
 	shape     shape
 	timetable timetable
@@ -97,20 +99,20 @@
 			r.rows = append(r.rows, f.row(p, f.shape.className(c), func(other class) bool { return c == other }))
 		}
 	}
-	r.lag, r.added = f.lag(), f.added()
-	r.fairness, r.flood = f.fairness()
-	r.goodputBack, r.latencyBack = f.recovery(r.timeline)
+	r.lag, r.addedLatency = f.lag(), f.addedLatency()
+	r.fairness, r.floodFraction = f.fairness()
+	r.goodputRecovery, r.latencyRecovery = f.recovery(r.timeline)
 	f.countRuns(&r)
 	return r
 }
 
-func (f figures) row(p phase, name string, of func(class) bool) Row {
+func (f figures) row(p phase, name string, includes func(class) bool) Row {
 	row := Row{phase: p, class: name}
 	from, to := f.timetable.begin(p), f.timetable.begin(p+1)
-	var latencies, told []time.Duration
+	var latencies, refusals []time.Duration
 	good := 0
 	for _, s := range f.samples {
-		if !of(s.arrival.class) {
+		if !includes(s.arrival.class) {
 			continue
 		}
 		if s.outcome == served && from <= s.done && s.done < to {
@@ -124,32 +126,32 @@
 		case served:
 			latencies = append(latencies, s.latency())
 		case refused:
-			told = append(told, s.latency())
+			refusals = append(refusals, s.latency())
 		default:
 		}
 	}
 	row.goodput = float64(good) / f.capacity.between(from, to)
-	row.served, row.told = quantilesOf(latencies), quantilesOf(told)
+	row.served, row.refused = quantilesOf(latencies), quantilesOf(refusals)
 	return row
 }
 
-// count takes in one sending; a caller who came back counts by that.
+// count adds one attempt. A retry replaces the refusal that preceded it.
 func (r *Row) count(s sample) {
-	if s.returned {
-		r.ends[refused]--
+	if s.retry {
+		r.byOutcome[refused]--
 	} else {
 		r.offered++
 	}
-	r.ends[s.outcome]++
-	if s.returned && s.outcome == served {
-		r.servedAgain++
+	r.byOutcome[s.outcome]++
+	if s.retry && s.outcome == served {
+		r.servedOnRetry++
 	}
-	if s.noReturn {
-		r.noReturn++
+	if s.retryAfterEnd {
+		r.retryAfterEnd++
 	}
 }
 
-// lag is over all phases.
+// lag covers all phases and omits dropped attempts.
 func (f figures) lag() quantiles {
 	var list []time.Duration
 	for _, s := range f.samples {
@@ -160,17 +162,17 @@
 	return quantilesOf(list)
 }
 
-func (f figures) added() quantiles {
+func (f figures) addedLatency() quantiles {
 	var list []time.Duration
 	for _, s := range f.samples {
-		if s.arrival.phase == before && s.outcome == served && s.own > 0 {
-			list = append(list, s.done-s.answered-s.own)
+		if s.arrival.phase == before && s.outcome == served && s.serviceTime > 0 {
+			list = append(list, s.done-s.lastTry-s.serviceTime)
 		}
 	}
 	return quantilesOf(list)
 }
 
-// fairness is Jain's index of the tenants' look-ups served in the spike, and the flooding tenant's share.
+// fairness returns Jain's index over tenants of look-ups served in the spike, and the flooding tenant's fraction.
 func (f figures) fairness() (index, flood float64) {
 	counts := make([]int, tenants)
 	for _, s := range f.samples {
@@ -186,11 +188,11 @@
 	if sum == 0 {
 		return 0, 0
 	}
-	return jain(counts), float64(counts[0]) / float64(sum)
+	return jainIndex(counts), float64(counts[0]) / float64(sum)
 }
 
-// jain is 1 if all have the same, and 1/n if one has all.
-func jain(counts []int) float64 {
+// jainIndex returns Jain's fairness index: 1 if all counts are equal, 1/n if all but one are zero.
+func jainIndex(counts []int) float64 {
 	var sum, squares float64
 	for _, n := range counts {
 		sum += float64(n)
@@ -202,16 +204,16 @@
 	return sum * sum / (float64(len(counts)) * squares)
 }
 
-const bin = time.Second
+const timelineStep = time.Second
 
 func (f figures) timeline() []point {
-	points := make([]point, f.timetable.begin(phases)/bin)
+	points := make([]point, f.timetable.begin(phases)/timelineStep)
 	latencies := make([][]time.Duration, len(points))
 	for _, s := range f.samples {
-		if due := int(s.due / bin); due < len(points) {
-			points[due].takeSending(s)
+		if due := int(s.due / timelineStep); due < len(points) {
+			points[due].countAttempt(s)
 		}
-		at := int(s.done / bin)
+		at := int(s.done / timelineStep)
 		if s.outcome != served || at < 0 || at >= len(points) {
 			continue
 		}
@@ -220,18 +222,18 @@
 		latencies[at] = append(latencies[at], s.latency())
 	}
 	for i := range points {
-		points[i].at = time.Duration(i) * bin
+		points[i].at = time.Duration(i) * timelineStep
 		points[i].p99 = quantilesOf(latencies[i]).p99
 		for c := range points[i].share {
-			points[i].share[c] /= f.capacity.between(points[i].at, points[i].at+bin)
+			points[i].share[c] /= f.capacity.between(points[i].at, points[i].at+timelineStep)
 		}
 	}
 	return points
 }
 
-func (p *point) takeSending(s sample) {
-	if s.returned {
-		p.comers++
+func (p *point) countAttempt(s sample) {
+	if s.retry {
+		p.retries++
 		return
 	}
 	p.first++
@@ -240,15 +242,16 @@
 	}
 }
 
-// back is the share of the usual goodput, and of p99 above it, that counts as recovered.
-const back = 0.1
+// recoveryTolerance is the relative deviation from the usual goodput and p99 that still counts as recovered.
+const recoveryTolerance = 0.1
 
-// recovery is how long after the spike's end two seconds in a row are back.
+// recovery returns the times from the spike's end to the first two consecutive seconds with
+// recovered goodput, and with recovered goodput and p99.
 func (f figures) recovery(points []point) (goodput, latency time.Duration) {
 	var good, p99 float64
 	n := 0.0
 	for _, p := range points {
-		if p.at >= f.timetable.begin(before) && p.at+bin <= f.timetable.begin(spike) {
+		if p.at >= f.timetable.begin(before) && p.at+timelineStep <= f.timetable.begin(spike) {
 			good += float64(p.good)
 			p99 += p.p99.Seconds()
 			n++
@@ -256,16 +259,17 @@
 	}
 	usualGood, usualP99 := good/n, p99/n
 	end := f.timetable.begin(after)
-	isGood := func(p point) bool { return float64(p.good) >= usualGood*(1-back) }
-	goodput = firstTwo(points, end, isGood)
-	latency = firstTwo(points, end, func(p point) bool {
-		return isGood(p) && p.p99.Seconds() <= usualP99*(1+back)
+	isGood := func(p point) bool { return float64(p.good) >= usualGood*(1-recoveryTolerance) }
+	goodput = firstTwoConsecutive(points, end, isGood)
+	latency = firstTwoConsecutive(points, end, func(p point) bool {
+		return isGood(p) && p.p99.Seconds() <= usualP99*(1+recoveryTolerance)
 	})
 	return goodput, latency
 }
 
-// firstTwo is how long after end the first of two points in a row that hold begins, negative if none do.
-func firstTwo(points []point, end time.Duration, holds func(point) bool) time.Duration {
+// firstTwoConsecutive returns the time from end to the first of two consecutive points for which holds
+// is true, or a negative value if there are none.
+func firstTwoConsecutive(points []point, end time.Duration, holds func(point) bool) time.Duration {
 	for i := 1; i < len(points); i++ {
 		if points[i-1].at >= end && holds(points[i-1]) && holds(points[i]) {
 			return points[i-1].at - end
--- a/bftrial/internal/bfspike/figures_test.go
+++ b/bftrial/internal/bfspike/figures_test.go
@@ -40,7 +40,7 @@
 	near(float64(writes), writeShare*float64(len(list)))
 	near(float64(flood), (floodShare+(1-floodShare)/tenants)*float64(byPhase[spike]))
 	near(float64(core), 7.0/12*float64(len(list)))
-	is.Equal(arrivals(1, table, perSecond, shapes[0].services), list) // the same for every policy
+	is.Equal(arrivals(1, table, perSecond, shapes[0].services), list) // deterministic, so that all policies get the same arrivals
 }
 
 func TestCapacityAcrossAFault(t *testing.T) {
@@ -59,14 +59,13 @@
 	}
 	is.Equal(quantilesOf(list), quantiles{p50: 501, p99: 991, p999: 1000})
 	is.Equal(quantilesOf(nil), quantiles{})
-	is.Equal(jain([]int{5, 5, 5, 5}), 1.0)
-	is.Equal(jain([]int{8, 0, 0, 0}), 0.25)
-	is.Equal(jain(make([]int, 3)), 0.0)
+	is.Equal(jainIndex([]int{5, 5, 5, 5}), 1.0)
+	is.Equal(jainIndex([]int{8, 0, 0, 0}), 0.25)
+	is.Equal(jainIndex(make([]int, 3)), 0.0)
 }
 
-// A caller is refused and served when it comes back, another refused for good;
-// each counts once, by its last end.
-func TestReturnsCountOnce(t *testing.T) {
+// An arrival with a retry must count once, by the outcome of its last attempt.
+func TestRetriesCountOnce(t *testing.T) {
 	is := is.New(t)
 	table := timetable{before: time.Second, spike: time.Second, after: 2 * time.Second}
 	a, b := arrival{phase: spike, at: time.Second}, arrival{phase: spike, at: time.Second, number: 1}
@@ -74,33 +73,33 @@
 		shape: shapes[0], timetable: table, capacity: capacity{faultAt: time.Hour, before: 2, after: 2},
 		samples: []sample{
 			{arrival: a, due: time.Second, done: time.Second, outcome: refused},
-			{arrival: b, due: time.Second, done: time.Second, outcome: refused, noReturn: true},
-			{arrival: a, returned: true, due: 2 * time.Second, done: 2500 * time.Millisecond, outcome: served},
+			{arrival: b, due: time.Second, done: time.Second, outcome: refused, retryAfterEnd: true},
+			{arrival: a, retry: true, due: 2 * time.Second, done: 2500 * time.Millisecond, outcome: served},
 		},
 	}
 	row := f.row(spike, "all", func(class) bool { return true })
 	is.Equal(row.offered, 2)
-	is.Equal(row.ends, [outcomes]int{served: 1, refused: 1})
-	is.Equal(row.servedAgain, 1)
-	is.Equal(row.noReturn, 1)
-	is.Equal(row.goodput, 0.0) // it came after the spike
+	is.Equal(row.byOutcome, [outcomes]int{served: 1, refused: 1})
+	is.Equal(row.servedOnRetry, 1)
+	is.Equal(row.retryAfterEnd, 1)
+	is.Equal(row.goodput, 0.0) // it was served after the spike
 	is.Equal(f.row(after, "all", func(class) bool { return true }).goodput, 0.25)
 }
 
-func TestRecoveryNeedsTwoSeconds(t *testing.T) {
+func TestRecoveryNeedsTwoConsecutiveSeconds(t *testing.T) {
 	is := is.New(t)
 	points := []point{{at: 0}, {at: time.Second, good: 9}, {at: 2 * time.Second}, {at: 3 * time.Second, good: 9}, {at: 4 * time.Second, good: 9}}
 	good := func(p point) bool { return p.good >= 9 }
-	is.Equal(firstTwo(points, time.Second, good), 2*time.Second)
-	is.True(firstTwo(points, 4*time.Second, good) < 0)
+	is.Equal(firstTwoConsecutive(points, time.Second, good), 2*time.Second)
+	is.True(firstTwoConsecutive(points, 4*time.Second, good) < 0)
 }
 
 func TestParseTicks(t *testing.T) {
 	is := is.New(t)
 	got, err := parseTicks("cpu  10 0 20 60 5 1 2 2 0 0\ncpu0 1 2 3\n")
 	is.NoErr(err)
-	is.Equal(got, ticks{idle: 65, all: 100})
-	is.Equal(ticks{idle: 90, all: 200}.busySince(got), 0.75)
+	is.Equal(got, ticks{idle: 65, total: 100})
+	is.Equal(ticks{idle: 90, total: 200}.busySince(got), 0.75)
 	_, err = parseTicks("intr 1")
 	is.True(err != nil)
 }
--- a/bftrial/internal/bfspike/load.go
+++ b/bftrial/internal/bfspike/load.go
@@ -11,7 +11,7 @@
 	"bilberryflow.org/lib/bfgroup"
 )
 
-// outcome is how one sending ended for its caller.
+// outcome is the result of one attempt for its caller.
 type outcome int
 
 const (
@@ -24,40 +24,40 @@
 	outcomes
 )
 
-// String is the outcome's name in the report.
+// String returns the outcome's name in the report.
 func (o outcome) String() string {
 	return [outcomes]string{"served", "late", "refused", "unknown", "failed", "dropped"}[o]
 }
 
-// result is what one sending brought.
+// result is the response to one attempt, or its failure.
 type result struct {
 	outcome    outcome
 	retryAfter time.Duration
-	// own is the target's own time, 0 where it told none.
-	own time.Duration
-	// began is when the first sending began, and answered when the one that was answered did.
-	began, answered time.Time
+	// serviceTime is the service time reported by the target, or 0.
+	serviceTime time.Duration
+	// began is when the first try was sent, and lastTry when the last try was sent.
+	began, lastTry time.Time
 }
 
-// sample is one sending; times are since the start of the run.
+// sample records one attempt; times are relative to the start of the run.
 type sample struct {
 	arrival arrival
-	// returned says that the caller was refused before and came back as told.
-	returned bool
-	// due is when the caller wanted to send.
-	due, began, answered, done time.Duration
-	outcome                    outcome
-	own                        time.Duration
-	// noReturn says that the caller was told to come back after the end of the run.
-	noReturn bool
+	// retry marks the second attempt after a refusal, sent at the time given in Retry-After.
+	retry bool
+	// due is the scheduled send time.
+	due, began, lastTry, done time.Duration
+	outcome                   outcome
+	serviceTime               time.Duration
+	// retryAfterEnd marks a refusal whose retry time is after the end of the run.
+	retryAfterEnd bool
 }
 
 func (s sample) latency() time.Duration { return s.done - s.due }
 
-// maxInFlight bounds the callers' open requests; it stays below the limit of open files.
+// maxInFlight limits the open requests, to stay below the limit of open files.
 const maxInFlight = 12_000
 
-// load sends arrivals as they come, however late the answers are.
+// load is an open-loop load generator: it sends arrivals on time regardless of pending responses.
 type load struct {
 	shape  shape
 	policy policy
@@ -69,27 +69,27 @@
 	inFlight atomic.Int64
 	mu       sync.Mutex
 	samples  []sample
-	returns  returns
+	retries  retryQueue
 }
 
-// comer is a refused caller who comes back.
-type comer struct {
+// attempt is an arrival with the time at which to send it.
+type attempt struct {
 	arrival arrival
 	due     time.Duration
 }
 
-// returns is a heap of comers by time.
-type returns []comer
+// retryQueue is a heap of scheduled retries by due time.
+type retryQueue []attempt
 
-func (r returns) Len() int           { return len(r) }
-func (r returns) Less(i, j int) bool { return r[i].due < r[j].due }
-func (r returns) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r retryQueue) Len() int           { return len(r) }
+func (r retryQueue) Less(i, j int) bool { return r[i].due < r[j].due }
+func (r retryQueue) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
 
-// Push is heap.Interface's.
-func (r *returns) Push(x any) { *r = append(*r, x.(comer)) }
+// Push implements heap.Interface.
+func (r *retryQueue) Push(x any) { *r = append(*r, x.(attempt)) }
 
-// Pop is heap.Interface's.
-func (r *returns) Pop() any {
+// Pop implements heap.Interface.
+func (r *retryQueue) Pop() any {
 	last := len(*r) - 1
 	x := (*r)[last]
 	*r = (*r)[:last]
@@ -104,15 +104,15 @@
 	}
 }
 
-// run sends every arrival at its time and returns when all have ended.
+// run sends every arrival at its time and returns the samples when all attempts have finished.
 func (l *load) run(list []arrival) ([]sample, error) {
 	time.Sleep(time.Until(l.start))
 	for _, a := range list {
 		time.Sleep(time.Until(l.start.Add(a.at)))
-		l.sendReturns()
-		l.launch(comer{arrival: a, due: a.at}, false)
+		l.sendDueRetries()
+		l.launch(attempt{arrival: a, due: a.at}, false)
 	}
-	// Whoever has no answer after the longest deadline has none in time.
+	// After the longest deadline no response can be in time.
 	stop := time.AfterFunc(time.Until(l.start.Add(l.end+writeDeadline)), l.group.Cancel)
 	defer stop.Stop()
 	err := l.group.Wait()
@@ -120,34 +120,35 @@
 	return l.samples, err
 }
 
-// sendReturns sends the comers that are due; arrivals are close enough together to look at each.
-func (l *load) sendReturns() {
+// sendDueRetries sends the retries that are due. It is called at each arrival, which is often
+// enough to send them on time.
+func (l *load) sendDueRetries() {
 	now := time.Since(l.start)
 	l.mu.Lock()
-	var due []comer
-	for len(l.returns) > 0 && l.returns[0].due <= now {
-		due = append(due, heap.Pop(&l.returns).(comer))
+	var due []attempt
+	for len(l.retries) > 0 && l.retries[0].due <= now {
+		due = append(due, heap.Pop(&l.retries).(attempt))
 	}
 	l.mu.Unlock()
-	for _, c := range due {
-		l.launch(c, true)
+	for _, a := range due {
+		l.launch(a, true)
 	}
 }
 
-func (l *load) launch(c comer, returned bool) {
-	s := sample{arrival: c.arrival, returned: returned, due: c.due}
+func (l *load) launch(a attempt, retry bool) {
+	s := sample{arrival: a.arrival, retry: retry, due: a.due}
 	if l.inFlight.Add(1) > maxInFlight {
 		l.inFlight.Add(-1)
-		s.outcome, s.began, s.done = dropped, c.due, c.due
+		s.outcome, s.began, s.done = dropped, a.due, a.due
 		l.record(s, 0)
 		return
 	}
 	l.group.Go("caller", func(ctx context.Context) error {
-		r := l.send(ctx, c.arrival, l.start.Add(c.due))
+		r := l.send(ctx, a.arrival, l.start.Add(a.due))
 		l.inFlight.Add(-1)
-		s.outcome, s.own = r.outcome, r.own
-		s.began, s.answered, s.done = r.began.Sub(l.start), r.answered.Sub(l.start), time.Since(l.start)
-		if s.outcome == served && s.latency() > deadlineOf(c.arrival.class) {
+		s.outcome, s.serviceTime = r.outcome, r.serviceTime
+		s.began, s.lastTry, s.done = r.began.Sub(l.start), r.lastTry.Sub(l.start), time.Since(l.start)
+		if s.outcome == served && s.latency() > deadlineOf(a.arrival.class) {
 			s.outcome = late
 		}
 		l.record(s, r.retryAfter)
@@ -155,15 +156,16 @@
 	})
 }
 
-// record keeps the sample and has a refused caller come back once; naive callers have come back at once already.
+// record adds the sample and schedules one retry of a refused request. Naive callers have
+// already retried immediately.
 func (l *load) record(s sample, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, obeys := l.policy.(mesh); obeys && s.outcome == refused && !s.returned {
+	if _, isMesh := l.policy.(mesh); isMesh && s.outcome == refused && !s.retry {
 		due := s.done + retryAfter
-		s.noReturn = due >= l.end
-		if !s.noReturn {
-			heap.Push(&l.returns, comer{s.arrival, due})
+		s.retryAfterEnd = due >= l.end
+		if !s.retryAfterEnd {
+			heap.Push(&l.retries, attempt{s.arrival, due})
 		}
 	}
 	l.samples = append(l.samples, s)
--- a/bftrial/internal/bfspike/machine.go
+++ b/bftrial/internal/bfspike/machine.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// machine samples how busy the whole machine is, other work on it included.
-type machine struct{ shares [phases]float64 }
+// cpuMonitor samples the CPU utilization of the whole machine, including unrelated processes.
+type cpuMonitor struct{ shares [phases]float64 }
 
-func newMachine() *machine { return &machine{} }
+func newCPUMonitor() *cpuMonitor { return &cpuMonitor{} }
 
-// watch measures each phase.
-func (m *machine) watch(start time.Time, t timetable) func(context.Context) error {
+// watch returns a function that measures the utilization in each phase.
+func (m *cpuMonitor) watch(start time.Time, t timetable) func(context.Context) error {
 	return func(ctx context.Context) error {
 		var last ticks
 		for p := settle; p <= phases; p++ {
@@ -36,18 +36,18 @@
 	}
 }
 
-// busy is the share of the processors' time used in each phase, valid once watch has ended.
-func (m *machine) busy() [phases]float64 { return m.shares }
+// utilization returns the CPU utilization in each phase. Call it only after watch's function has returned.
+func (m *cpuMonitor) utilization() [phases]float64 { return m.shares }
 
-// ticks are the processors' times since the machine started.
-type ticks struct{ idle, all int64 }
+// ticks holds the cumulative CPU times since boot, in clock ticks.
+type ticks struct{ idle, total int64 }
 
 func (t ticks) busySince(before ticks) float64 {
-	all := t.all - before.all
-	if all <= 0 {
+	total := t.total - before.total
+	if total <= 0 {
 		return 0
 	}
-	return 1 - float64(t.idle-before.idle)/float64(all)
+	return 1 - float64(t.idle-before.idle)/float64(total)
 }
 
 func readTicks() (ticks, error) {
@@ -72,7 +72,7 @@
 		if _, err := fmt.Sscan(field, &n); err != nil {
 			return ticks{}, fmt.Errorf("/proc/stat: %w", err)
 		}
-		t.all += n
+		t.total += n
 		if i == idleField || i == waitField {
 			t.idle += n
 		}
--- a/bftrial/internal/bfspike/policy.go
+++ b/bftrial/internal/bfspike/policy.go
@@ -15,13 +15,13 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// policy is the sealed set of ways in which callers send: mesh and naive.
+// policy is how callers send requests: mesh or naive.
 type policy interface{ policy() }
 
-// mesh sends to any node; a refused caller comes back once when it was told to.
+// mesh sends to random nodes and retries a refused request once, at the time given in Retry-After.
 type mesh struct{ nodes []string }
 
-// naive sends to a random target of the service, and up to naiveRetries times more at once.
+// naive sends to random targets of the service and retries immediately, up to naiveRetries times.
 type naive struct{ targets [][]string }
 
 func (mesh) policy()  {}
@@ -29,10 +29,10 @@
 
 const (
 	naiveRetries = 3
-	// grace is how much longer than its deadline a caller listens, to tell late from never.
-	grace = time.Second
-	// connectTries is how many addresses a caller tries that take no connection.
-	connectTries = 3
+	// lateGrace is how long callers wait beyond the deadline, to distinguish late responses from missing ones.
+	lateGrace = time.Second
+	// maxConnectTries is the maximum number of nodes tried when connections fail.
+	maxConnectTries = 3
 )
 
 func policyName(p policy) string {
@@ -42,19 +42,19 @@
 	return "bilberryflow"
 }
 
-// mark names an arrival in the targets' logs.
+// mark returns the ID of an arrival in the targets' logs.
 func mark(p policy, a arrival) string {
 	return fmt.Sprintf("%c%d-%d", policyName(p)[0], a.class, a.number)
 }
 
-// send takes one caller's request to its end.
+// send sends one request under the load's policy and returns its final result.
 func (l *load) send(ctx context.Context, a arrival, due time.Time) result {
 	deadline := deadlineOf(a.class)
 	began := time.Now()
 	r := result{outcome: failed}
 	switch p := l.policy.(type) {
 	case mesh:
-		ctx, cancel := context.WithDeadline(ctx, due.Add(deadline+grace))
+		ctx, cancel := context.WithDeadline(ctx, due.Add(deadline+lateGrace))
 		defer cancel()
 		r = l.sendMesh(ctx, p, a)
 	case naive:
@@ -65,11 +65,11 @@
 }
 
 func (l *load) sendMesh(ctx context.Context, p mesh, a arrival) (r result) {
-	for range connectTries {
+	for range maxConnectTries {
 		answered := time.Now()
 		var err error
-		r, err = l.once(ctx, p.nodes[rand.IntN(len(p.nodes))], a)
-		r.answered = answered
+		r, err = l.sendOnce(ctx, p.nodes[rand.IntN(len(p.nodes))], a)
+		r.lastTry = answered
 		var op *net.OpError
 		if !errors.As(err, &op) || op.Op != "dial" {
 			break
@@ -83,9 +83,9 @@
 	for range 1 + naiveRetries {
 		answered := time.Now()
 		try, cancel := context.WithTimeout(ctx, timeout)
-		r, _ = l.once(try, targets[rand.IntN(len(targets))], a)
+		r, _ = l.sendOnce(try, targets[rand.IntN(len(targets))], a)
 		cancel()
-		r.answered = answered
+		r.lastTry = answered
 		if r.outcome == served {
 			break
 		}
@@ -103,14 +103,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without this net/http may send a request again by itself.
+	// A nil GetBody keeps net/http from retrying the request.
 	request.GetBody = nil
 	request.Header.Set(bfheader.Tenant, fmt.Sprintf("tenant-%d", a.tenant))
 	return request, nil
 }
 
-// once sends a request to one address.
-func (l *load) once(ctx context.Context, address string, a arrival) (result, error) {
+// sendOnce sends a request to one address.
+func (l *load) sendOnce(ctx context.Context, address string, a arrival) (result, error) {
 	request, err := l.request(ctx, address, a)
 	if err != nil {
 		return result{outcome: failed}, err
@@ -124,18 +124,18 @@
 		return result{outcome: failed}, err
 	}
 	r := result{outcome: failed}
-	switch said := response.Header.Get(bfheader.Outcome); {
+	switch reported := response.Header.Get(bfheader.Outcome); {
 	case response.StatusCode == http.StatusOK:
-		r.outcome, r.own = served, targetTime(response.Header)
-	case said == bfheader.OutcomeNotRun:
+		r.outcome, r.serviceTime = served, targetTime(response.Header)
+	case reported == bfheader.OutcomeNotRun:
 		r.outcome, r.retryAfter = refused, bfheader.ReadRetryAfter(response.Header)
-	case said == bfheader.OutcomeUnknown:
+	case reported == bfheader.OutcomeUnknown:
 		r.outcome = unknown
 	}
 	return r, nil
 }
 
-// targetTime is the target's own time, 0 where it told none.
+// targetTime returns the service time in a target's Server-Timing header, or 0.
 func targetTime(header http.Header) time.Duration {
 	_, text, _ := strings.Cut(header.Get("Server-Timing"), "dur=")
 	ms, err := strconv.ParseFloat(text, 64)
--- a/bftrial/internal/bfspike/report.go
+++ b/bftrial/internal/bfspike/report.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-func share(f float64) string { return strconv.FormatFloat(f, 'f', 3, 64) }
+func formatShare(f float64) string { return strconv.FormatFloat(f, 'f', 3, 64) }
 
-func ms(d time.Duration) string { return strconv.FormatFloat(d.Seconds()*1000, 'f', 2, 64) }
+func formatMillis(d time.Duration) string { return strconv.FormatFloat(d.Seconds()*1000, 'f', 2, 64) }
 
 var header = []string{
 	"policy", "phase", "class", "offered", "served", "served_on_return", "late", "refused", "unknown", "failed", "dropped",
@@ -26,17 +26,17 @@
 	"told_p50_ms", "told_p99_ms", "machine_busy",
 }
 
-func (r Report) fields(row Row) []string {
+func (r Report) csvFields(row Row) []string {
 	n := strconv.Itoa
 	return []string{
-		r.policy, row.phase.String(), row.class, n(row.offered), n(row.ends[served]), n(row.servedAgain), n(row.ends[late]),
-		n(row.ends[refused]), n(row.ends[unknown]), n(row.ends[failed]), n(row.ends[dropped]),
-		n(row.noReturn), share(row.goodput), ms(row.served.p50), ms(row.served.p99), ms(row.served.p999),
-		ms(row.told.p50), ms(row.told.p99), share(r.busy[row.phase]),
+		r.policy, row.phase.String(), row.class, n(row.offered), n(row.byOutcome[served]), n(row.servedOnRetry), n(row.byOutcome[late]),
+		n(row.byOutcome[refused]), n(row.byOutcome[unknown]), n(row.byOutcome[failed]), n(row.byOutcome[dropped]),
+		n(row.retryAfterEnd), formatShare(row.goodput), formatMillis(row.served.p50), formatMillis(row.served.p99), formatMillis(row.served.p999),
+		formatMillis(row.refused.p50), formatMillis(row.refused.p99), formatShare(r.busy[row.phase]),
 	}
 }
 
-// write writes the CSV and the plot, and a summary to the terminal.
+// write writes the CSV files and the plot, and prints the table and a summary.
 func (t *trial) write(reports []Report) error {
 	if err := os.MkdirAll(t.options.Out, 0o755); err != nil {
 		return err
@@ -55,8 +55,8 @@
 	for _, r := range reports {
 		r.summary(t.out)
 	}
-	judge(t.out, reports[0])
-	return draw(name+".png", fmt.Sprintf("%s, fault %s: served in time", t.shape.name, t.fault), reports)
+	writeVerdicts(t.out, reports[0])
+	return savePlot(name+".png", fmt.Sprintf("%s, fault %s: served in time", t.shape.name, t.fault), reports)
 }
 
 func writeCSV(path string, lines [][]string) error {
@@ -67,25 +67,25 @@
 	return errors.Join(csv.NewWriter(file).WriteAll(lines), file.Close())
 }
 
-// table has a line for each class in each phase of each policy.
+// table returns a header and one line for each class in each phase of each policy.
 func table(reports []Report) [][]string {
 	lines := [][]string{header}
 	for _, r := range reports {
 		for _, row := range r.rows {
-			lines = append(lines, r.fields(row))
+			lines = append(lines, r.csvFields(row))
 		}
 	}
 	return lines
 }
 
-// timelineTable has a line for each second of each policy.
+// timelineTable returns a header and one line for each second of each policy's run.
 func timelineTable(reports []Report) [][]string {
 	lines := [][]string{{"policy", "second", "came_first", "served_of_those", "came_again", "goodput_read", "goodput_write", "served_p99_ms"}}
 	n := strconv.Itoa
 	for _, r := range reports {
 		for _, p := range r.timeline {
 			lines = append(lines, []string{
-				r.policy, n(int(p.at / bin)), n(p.first), n(p.firstServed), n(p.comers), share(p.share[read]), share(p.share[write]), ms(p.p99),
+				r.policy, n(int(p.at / timelineStep)), n(p.first), n(p.firstServed), n(p.retries), formatShare(p.share[read]), formatShare(p.share[write]), formatMillis(p.p99),
 			})
 		}
 	}
@@ -93,61 +93,61 @@
 }
 
 func (r Report) summary(w io.Writer) {
-	fmt.Fprintf(w, "\n%s: load maker late p50 %s p99 %s ms; beyond the target's own time, before: p50 %s p99 %s p99.9 %s ms\n",
-		r.policy, ms(r.lag.p50), ms(r.lag.p99), ms(r.added.p50), ms(r.added.p99), ms(r.added.p999))
+	fmt.Fprintf(w, "\n%s: load generator lag p50 %s p99 %s ms; added latency before the spike: p50 %s p99 %s p99.9 %s ms\n",
+		r.policy, formatMillis(r.lag.p50), formatMillis(r.lag.p99), formatMillis(r.addedLatency.p50), formatMillis(r.addedLatency.p99), formatMillis(r.addedLatency.p999))
 	fmt.Fprintf(w, "  runs %d, wasted %d (%.1f %%), writes run more than once %d\n",
 		r.runs, r.wasted, 100*float64(r.wasted)/float64(max(1, r.runs)), r.repeated)
-	fmt.Fprintf(w, "  look-ups served in the spike: Jain's index over tenants %.3f, the flooding tenant's share %.3f\n", r.fairness, r.flood)
-	fmt.Fprintf(w, "  after the spike goodput is back in %s, with p99 in %s\n", recovered(r.goodputBack), recovered(r.latencyBack))
+	fmt.Fprintf(w, "  look-ups served in the spike: Jain's index over tenants %.3f, the flooding tenant's share %.3f\n", r.fairness, r.floodFraction)
+	fmt.Fprintf(w, "  recovery after the spike: goodput %s, goodput and p99 %s\n", formatRecovery(r.goodputRecovery), formatRecovery(r.latencyRecovery))
 }
 
-func recovered(d time.Duration) string {
+func formatRecovery(d time.Duration) string {
 	if d < 0 {
-		return "not in the run"
+		return "not within the run"
 	}
 	return d.String()
 }
 
-// Aims of the request policy.
+// Objectives of the request policy.
 const (
-	goodputAim = 0.95
-	addedAim   = 1100 * time.Microsecond
+	goodputObjective      = 0.95
+	addedLatencyObjective = 1100 * time.Microsecond
 )
 
-func verdict(holds bool) string {
-	if holds {
-		return "holds"
+func verdict(met bool) string {
+	if met {
+		return "met"
 	}
-	return "does not hold"
+	return "not met"
 }
 
-// judge compares the figures with the aims.
-func judge(w io.Writer, r Report) {
+// writeVerdicts prints whether the figures meet the objectives.
+func writeVerdicts(w io.Writer, r Report) {
 	var all, low, high Row
 	for i, row := range r.rows {
 		if row.phase == spike && row.class == "all" {
 			all, low, high = row, r.rows[i+1], r.rows[i+2]
 		}
 	}
-	part := func(row Row) float64 { return float64(row.ends[served]) / float64(max(1, row.offered)) }
-	fmt.Fprintf(w, "\ngoodput in the spike %.3f of capacity, aim %.2f: %s\n", all.goodput, goodputAim, verdict(all.goodput >= goodputAim))
+	servedFraction := func(row Row) float64 { return float64(row.byOutcome[served]) / float64(max(1, row.offered)) }
+	fmt.Fprintf(w, "\ngoodput in the spike %.3f of capacity, objective %.2f: %s\n", all.goodput, goodputObjective, verdict(all.goodput >= goodputObjective))
 	fmt.Fprintf(w, "no class starved, goodput %.3f and %.3f: %s\n", low.goodput, high.goodput, verdict(low.goodput > 0 && high.goodput > 0))
-	fmt.Fprintf(w, "higher class first, served %.3f of %s and %.3f of %s: %s\n",
-		part(high), high.class, part(low), low.class, verdict(part(high) >= part(low)))
-	fmt.Fprintf(w, "p99 added at half of saturation %s ms, aim %s: %s\n", ms(r.added.p99), ms(addedAim), verdict(r.added.p99 < addedAim))
+	fmt.Fprintf(w, "higher class prioritized, served %.3f of %s and %.3f of %s: %s\n",
+		servedFraction(high), high.class, servedFraction(low), low.class, verdict(servedFraction(high) >= servedFraction(low)))
+	fmt.Fprintf(w, "added p99 at half of saturation %s ms, objective %s ms: %s\n", formatMillis(r.addedLatency.p99), formatMillis(addedLatencyObjective), verdict(r.addedLatency.p99 < addedLatencyObjective))
 }
 
-func draw(path, title string, reports []Report) error {
+func savePlot(path, title string, reports []Report) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "share of the slots' capacity"
-	// The legend has the part above.
+	// The range above 1 is for the legend.
 	p.Y.Min, p.Y.Max = 0, 1.5
 	p.Legend.Top = true
 	colors := []color.Color{color.RGBA{B: 200, A: 255}, color.RGBA{R: 200, A: 255}}
 	for i, r := range reports {
 		all, writes := make(plotter.XYs, len(r.timeline)), make(plotter.XYs, len(r.timeline))
 		for j, point := range r.timeline {
-			x := point.at.Seconds() + bin.Seconds()/2
+			x := point.at.Seconds() + timelineStep.Seconds()/2
 			all[j] = plotter.XY{X: x, Y: point.share[read] + point.share[write]}
 			writes[j] = plotter.XY{X: x, Y: point.share[write]}
 		}
--- a/bftrial/internal/bfspike/run.go
+++ b/bftrial/internal/bfspike/run.go
@@ -9,26 +9,26 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// Options of one measurement.
+// Options configures one measurement.
 type Options struct {
 	Binaries string
 	Shape    string
 	Fault    string
-	// Spike is how long the spike lasts; the other phases follow from it.
+	// Spike is the length of the spike; the other phases scale with it.
 	Spike time.Duration
-	// ServiceTime is a target's mean time for one request.
+	// ServiceTime is the targets' mean service time.
 	ServiceTime time.Duration
-	// Out is the directory of the CSV and the plot.
+	// Out is the directory of the CSV files and the plot.
 	Out string
 }
 
-// seed is of the arrivals.
+// seed is the random seed of the arrivals.
 const seed = 1
 
-// faultShare is how much of the spike is over when the fault comes.
+// faultShare is the fraction of the spike before the fault is injected.
 const faultShare = 0.3
 
-// trial is one measurement: the same arrivals under each policy.
+// trial is one measurement: a run with the same arrivals for each policy.
 type trial struct {
 	options   Options
 	shape     shape
@@ -37,12 +37,12 @@
 	fleet     *bffleet.Fleet
 	// instances are the targets' names by service.
 	instances [][]string
-	// lost says that the fault has ended a target that is not mended yet.
+	// lost is set while the fault's target is killed and not restarted.
 	lost bool
 	out  io.Writer
 }
 
-// Run measures both policies and writes the report; it ends every process it started.
+// Run measures both policies and writes the report. It stops all processes that it started.
 func Run(options Options, out io.Writer) (err error) {
 	t := &trial{options: options, out: out, timetable: newTimetable(options.Spike)}
 	if t.shape, err = findShape(options.Shape); err != nil {
@@ -66,7 +66,7 @@
 }
 
 func (t *trial) measure() error {
-	// The naive callers come second: the queue that they leave behind would be in the way of the others.
+	// The naive policy runs last, since the queues that it leaves would distort other runs.
 	policies := []policy{mesh{t.callerAddresses()}, naive{t.targetAddresses()}}
 	var reports []Report
 	for _, p := range policies {
@@ -121,7 +121,7 @@
 	return err
 }
 
-// serviceSpread is the share by which service times vary.
+// serviceSpread is the relative variation of service times.
 const serviceSpread = 0.2
 
 func (t *trial) callerAddresses() []string {
@@ -144,8 +144,8 @@
 	return list
 }
 
-// leadOf is how long before its start a run is prepared; nodes need their configuration.
-func leadOf(p policy) time.Duration {
+// preparationTime returns the preparation time before a run. Mesh runs need more, to distribute the configuration.
+func preparationTime(p policy) time.Duration {
 	const short, long = 2 * time.Second, 5 * time.Second
 	if _, isNaive := p.(naive); isNaive {
 		return short
@@ -153,21 +153,21 @@
 	return long
 }
 
-// run sends the arrivals under one policy.
+// run sends the arrivals under one policy and evaluates the result.
 func (t *trial) run(p policy) (Report, error) {
-	// Events start at whole seconds, and the spike with them.
-	start := time.Now().Add(leadOf(p)).Truncate(time.Second)
+	// Events start at whole seconds, so the spike must as well.
+	start := time.Now().Add(preparationTime(p)).Truncate(time.Second)
 	if err := t.prepare(p, start); err != nil {
 		return Report{}, err
 	}
 	if time.Now().After(start) {
-		return Report{}, fmt.Errorf("%s: not prepared within %v", policyName(p), leadOf(p))
+		return Report{}, fmt.Errorf("%s: not prepared within %v", policyName(p), preparationTime(p))
 	}
 	l := newLoad(t.shape, p, start, t.timetable.begin(phases))
 	faultAt := t.timetable.begin(spike) + time.Duration(faultShare*float64(t.timetable[spike]))
-	l.group.Go("fault", t.at(start.Add(faultAt), t.begin))
-	machine := newMachine()
-	l.group.Go("machine", machine.watch(start, t.timetable))
+	l.group.Go("fault", t.runAt(start.Add(faultAt), t.injectFault))
+	monitor := newCPUMonitor()
+	l.group.Go("machine", monitor.watch(start, t.timetable))
 	samples, err := l.run(arrivals(seed, t.timetable, t.fullCapacity(), t.shape.services))
 	if err != nil {
 		return Report{}, err
@@ -177,35 +177,35 @@
 		return Report{}, err
 	}
 	f := figures{shape: t.shape, timetable: t.timetable, capacity: t.capacityOf(faultAt), samples: samples, runs: runs}
-	return f.report(policyName(p), machine.busy()), nil
+	return f.report(policyName(p), monitor.utilization()), nil
 }
 
-// fullCapacity is how many requests a second all slots serve.
+// fullCapacity returns the request rate that all slots can serve, per second.
 func (t *trial) fullCapacity() float64 {
 	return float64(t.shape.targets()*t.shape.slots) / t.options.ServiceTime.Seconds()
 }
 
 func (t *trial) capacityOf(faultAt time.Duration) capacity {
 	full := t.fullCapacity()
-	return capacity{faultAt: faultAt, before: full, after: full * (1 - t.fault.loss()/float64(t.shape.targets()))}
+	return capacity{faultAt: faultAt, before: full, after: full * (1 - t.fault.capacityLoss()/float64(t.shape.targets()))}
 }
 
 func (t *trial) prepare(p policy, start time.Time) error {
-	if err := t.mend(); err != nil {
+	if err := t.revertFault(); err != nil {
 		return err
 	}
 	if _, isNaive := p.(naive); isNaive {
-		return t.eachTarget(map[string]any{"queueAll": true})
+		return t.setBehaviours(map[string]any{"queueAll": true})
 	}
 	spikeStart := start.Add(t.timetable.begin(spike))
 	configuration := t.shape.configuration(spikeStart, spikeStart.Add(t.timetable[spike]))
 	for _, command := range []string{configuration, "confirm spike"} {
-		said, err := t.fleet.RunCommand(t.fleet.Nodes()[0], command)
+		result, err := t.fleet.RunCommand(t.fleet.Nodes()[0], command)
 		if err != nil {
 			return err
 		}
-		if said.Code != 0 {
-			return fmt.Errorf("bfctl %q: %s", command, said.Output)
+		if result.Code != 0 {
+			return fmt.Errorf("bfctl %q: %s", command, result.Output)
 		}
 	}
 	if err := t.fleet.AwaitVersion(1, startLimit); err != nil {
@@ -214,12 +214,12 @@
 	return t.awaitServing(p, start)
 }
 
-// awaitServing waits until every node finds targets of every service.
+// awaitServing waits until requests to every service succeed through every node.
 func (t *trial) awaitServing(p policy, until time.Time) error {
 	for _, node := range p.(mesh).nodes {
 		for service := range t.shape.services {
 			for {
-				response, err := t.fleetClient().Get("http://" + node + t.shape.path(service, read) + "?work=0")
+				response, err := t.httpClient().Get("http://" + node + t.shape.path(service, read) + "?work=0")
 				if err == nil {
 					response.Body.Close()
 					if response.Header.Get(bfheader.Outcome) == bfheader.OutcomeDone {
@@ -227,7 +227,7 @@
 					}
 				}
 				if time.Now().After(until) {
-					return fmt.Errorf("node at %s serves no %s: %w", node, t.shape.services[service].name, err)
+					return fmt.Errorf("node at %s does not serve %s: %w", node, t.shape.services[service].name, err)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (t *trial) eachTarget(behaviour map[string]any) error {
+func (t *trial) setBehaviours(behaviour map[string]any) error {
 	for _, names := range t.instances {
 		for _, name := range names {
 			if err := t.fleet.SetBehaviour(t.fleet.Target(name), behaviour); err != nil {
--- a/bftrial/internal/bfspike/shape.go
+++ b/bftrial/internal/bfspike/shape.go
@@ -12,14 +12,14 @@
 	targets int
 }
 
-// shape is one of the users' sites.
+// shape describes the fleet of one site.
 type shape struct {
 	name     string
 	domains  []string
 	services []service
-	// slots are of each target.
+	// slots is the number of slots of each target.
 	slots int
-	// write names the class that is not idempotent.
+	// write is the name of the non-idempotent request class.
 	write string
 }
 
@@ -34,12 +34,12 @@
 	},
 }
 
-// ShapeError reports a shape or fault that there is not.
+// ShapeError reports an unknown shape or fault.
 type ShapeError struct{ Field, Value, Allowed string }
 
-// Error names the field and what is allowed.
+// Error returns the field, its value and the allowed values.
 func (e *ShapeError) Error() string {
-	return fmt.Sprintf("%s %q: allowed: %s", e.Field, e.Value, e.Allowed)
+	return fmt.Sprintf("unknown %s %q; allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
 func findShape(name string) (shape, error) {
@@ -72,7 +72,7 @@
 	return readDeadline
 }
 
-// readClass names the idempotent class.
+// readClass is the name of the idempotent request class.
 const readClass = "lookup"
 
 func (s shape) className(c class) string {
@@ -82,10 +82,11 @@
 	return readClass
 }
 
-// eventWarmUp is how long before the event's start nodes open connections.
+// eventWarmUp is how long before the event's start nodes open connections in advance.
 const eventWarmUp = 3 * time.Second
 
-// configuration has an event from start to end that puts look-ups under a stricter policy.
+// configuration returns the stage command of a configuration with an event from start to end,
+// during which look-ups have a stricter policy.
 func (s shape) configuration(start, end time.Time) string {
 	var text, overrides strings.Builder
 	fmt.Fprintf(&text, "stage spike { create policy lookup class lookup idempotent deadline %v priority 1 queue 100 retry 10%%; ", readDeadline)
