--- a/bftrial/internal/bfdemo/demo.go
+++ b/bftrial/internal/bfdemo/demo.go
@@ -12,7 +12,7 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// instance is one slot of the demo's fleet.
+// instance is the name of a node with its target, their failure domain and service.
 type instance struct{ name, domain, service string }
 
 var instances = []instance{
@@ -32,14 +32,14 @@
 
 const convergeLimit = 10 * time.Second
 
-// Demo is one run.
+// Demo is one run of the demo.
 type Demo struct {
 	fleet *bffleet.Fleet
 	out   io.Writer
 	step  int
 }
 
-// Run starts the processes, shows each step on out and ends every process.
+// Run starts the processes, prints each step to out and stops all processes.
 func Run(binaries string, out io.Writer) (err error) {
 	fleet, err := bffleet.New(binaries)
 	if err != nil {
@@ -54,21 +54,21 @@
 			err = closeErr
 		}
 	}()
-	for _, part := range []func() error{d.start, d.configure, d.look, d.approve, d.stop} {
-		if err := part(); err != nil {
+	for _, step := range []func() error{d.start, d.configure, d.lookUp, d.approve, d.stop} {
+		if err := step(); err != nil {
 			return err
 		}
 	}
-	d.say("done: every process was stopped, nothing is left behind")
+	d.printStep("done: all nodes and targets have exited")
 	return nil
 }
 
-func (d *Demo) say(format string, values ...any) {
+func (d *Demo) printStep(format string, values ...any) {
 	d.step++
 	fmt.Fprintf(d.out, "%2d. %s\n", d.step, fmt.Sprintf(format, values...))
 }
 
-func (d *Demo) show(text string) {
+func (d *Demo) printOutput(text string) {
 	for line := range strings.Lines(strings.TrimRight(text, "\n")) {
 		fmt.Fprintf(d.out, "      %s", line)
 	}
@@ -79,7 +79,7 @@
 	if err := d.fleet.StartPlatform(bffleet.PlatformSettings{}); err != nil {
 		return err
 	}
-	d.say("the platform's stand-in runs at %s", d.fleet.PlatformURL())
+	d.printStep("the stand-in platform listens at %s", d.fleet.PlatformURL())
 	for _, i := range instances {
 		node, err := d.fleet.StartNode(bffleet.NodeSettings{
 			Instance: i.name, Region: "vienna", FailureDomain: i.domain, Service: i.service,
@@ -91,7 +91,7 @@
 			return err
 		}
 	}
-	d.say("three nodes run, each with a target beside it; they find each other through the platform's table")
+	d.printStep("three nodes are running, each with a target; they discover each other through the platform's table")
 	if err := d.fleet.AwaitNodes(); err != nil {
 		return err
 	}
@@ -101,50 +101,50 @@
 func (d *Demo) configure() error {
 	first := d.fleet.Nodes()[0]
 	for _, command := range []string{configuration, "diff opening", "confirm opening"} {
-		if err := d.command(first, command); err != nil {
+		if err := d.runCommand(first, command); err != nil {
 			return err
 		}
 	}
 	if err := d.fleet.AwaitVersion(1, convergeLimit); err != nil {
 		return err
 	}
-	d.say("version 1 is in force on every node")
+	d.printStep("version 1 is in force on every node")
 	last := d.fleet.Nodes()[len(instances)-1]
 	for _, command := range []string{"show routes", "in force everywhere"} {
-		if err := d.command(last, command); err != nil {
+		if err := d.runCommand(last, command); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Demo) command(node *bffleet.Node, command string) error {
-	said, err := d.fleet.RunCommand(node, command)
+func (d *Demo) runCommand(node *bffleet.Node, command string) error {
+	result, err := d.fleet.RunCommand(node, command)
 	if err != nil {
 		return err
 	}
-	d.say("an operator asks %s: bfctl '%s'", node.Name(), command)
-	d.show(said.Output)
-	if said.Code != 0 {
-		return fmt.Errorf("bfctl exited with %d", said.Code)
+	d.printStep("an operator runs a command on %s: bfctl '%s'", node.Name(), command)
+	d.printOutput(result.Output)
+	if result.Code != 0 {
+		return fmt.Errorf("bfctl exited with code %d", result.Code)
 	}
 	return nil
 }
 
-// reply is what a caller was told.
+// reply is the response that a caller received.
 type reply struct {
 	status  string
 	outcome string
 	body    string
 }
 
-// request sends a caller's request until a target has been found for it.
-func (d *Demo) request(node *bffleet.Node, method, path, key string) (reply, error) {
+// sendUntilRun sends a caller's request, and retries for up to convergeLimit while it is refused as not run.
+func (d *Demo) sendUntilRun(node *bffleet.Node, method, path, key string) (reply, error) {
 	deadline := time.Now().Add(convergeLimit)
 	for {
-		told, err := d.send(node, method, path, key)
-		if err != nil || told.outcome != bfheader.OutcomeNotRun || time.Now().After(deadline) {
-			return told, err
+		response, err := d.send(node, method, path, key)
+		if err != nil || response.outcome != bfheader.OutcomeNotRun || time.Now().After(deadline) {
+			return response, err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -169,24 +169,24 @@
 }
 
 func (d *Demo) exchange(node *bffleet.Node, method, path, key string) error {
-	told, err := d.request(node, method, path, key)
+	response, err := d.sendUntilRun(node, method, path, key)
 	if err != nil {
 		return err
 	}
-	d.say("a caller asks %s: %s %s", node.Name(), method, path)
-	d.show(fmt.Sprintf("%s, outcome %s\n%s", told.status, told.outcome, told.body))
-	if told.outcome != bfheader.OutcomeDone {
-		return fmt.Errorf("%s %s was not answered by its target", method, path)
+	d.printStep("a caller sends to %s: %s %s", node.Name(), method, path)
+	d.printOutput(fmt.Sprintf("%s, outcome %s\n%s", response.status, response.outcome, response.body))
+	if response.outcome != bfheader.OutcomeDone {
+		return fmt.Errorf("%s %s was not served by a target", method, path)
 	}
 	return nil
 }
 
-// look sends a look-up in at a node whose own target is of another service.
-func (d *Demo) look() error {
+// lookUp sends a look-up to a node whose own target has another service.
+func (d *Demo) lookUp() error {
 	return d.exchange(d.fleet.Nodes()[0], http.MethodGet, "/assets/logo-rules", "")
 }
 
-// approve sends an approval with one key through two nodes; it must run once.
+// approve sends an approval with the same idempotency key through two nodes; it must run once.
 func (d *Demo) approve() error {
 	const key = "approval-4711"
 	for _, node := range d.fleet.Nodes()[1:] {
@@ -207,9 +207,9 @@
 		}
 	}
 	if runs != 1 {
-		return fmt.Errorf("the approval ran %d times", runs)
+		return fmt.Errorf("the approval ran %d times, want 1", runs)
 	}
-	d.say("the same approval was sent through two nodes with one key; the targets' ledgers show it ran once")
+	d.printStep("the same approval was sent through two nodes with one idempotency key; the targets' ledgers show that it ran once")
 	return nil
 }
 
@@ -224,6 +224,6 @@
 			return fmt.Errorf("node %s stopped with code %d: %w", i.name, code, err)
 		}
 	}
-	d.say("targets and nodes stopped gracefully on %v", syscall.SIGTERM)
+	d.printStep("targets and nodes stopped gracefully on %v", syscall.SIGTERM)
 	return nil
 }
--- a/bftrial/internal/bfdemo/doc.go
+++ b/bftrial/internal/bfdemo/doc.go
@@ -1,3 +1,3 @@
-// Package bfdemo shows the whole path with separate processes: a change goes
-// from an operator to every node, and a request from a caller to a target.
+// Package bfdemo demonstrates the system with separate processes: a configuration
+// change by an operator reaches every node, and callers' requests reach targets.
 package bfdemo
--- a/bftrial/internal/bfmeasure/baseline.go
+++ b/bftrial/internal/bfmeasure/baseline.go
@@ -15,7 +15,7 @@
 	"bilberryflow.org/lib/bftable"
 )
 
-// baseline is a fleet in which every node polls the table for the whole state.
+// baseline simulates a fleet in which every node polls the table for the complete state.
 type baseline struct {
 	group   *bfgroup.Group
 	table   *bftable.Client
@@ -23,13 +23,13 @@
 	bytes   atomic.Int64
 	failed  atomic.Int64
 	mu      sync.Mutex
-	// reached holds when each node first held each version.
+	// reached holds the times at which the nodes first had each version.
 	reached map[bfconfig.Version][]time.Time
 }
 
 const baselineInterval = time.Second
 
-// startBaseline starts n pollers, spread over the interval.
+// startBaseline starts n pollers with random offsets within the polling interval.
 func startBaseline(platform string, n int) *baseline {
 	metrics := bfmetric.New()
 	b := &baseline{
@@ -44,7 +44,7 @@
 }
 
 func (b *baseline) poll(ctx context.Context) error {
-	held := bfconfig.Version(0)
+	current := bfconfig.Version(0)
 	wait := rand.N(baselineInterval)
 	for {
 		select {
@@ -53,24 +53,24 @@
 		case <-time.After(wait):
 		}
 		wait = baselineInterval
-		state, size, err := b.whole(ctx)
+		state, size, err := b.readState(ctx)
 		if err != nil {
 			b.failed.Add(1)
 			continue
 		}
 		b.bytes.Add(int64(size))
-		if state.Version() > held {
-			b.note(held, state.Version())
-			held = state.Version()
+		if state.Version() > current {
+			b.recordReached(current, state.Version())
+			current = state.Version()
 		}
 	}
 }
 
-// whole reads every version from the table and builds the state from nothing.
-func (b *baseline) whole(ctx context.Context) (*bfconfig.State, int, error) {
-	const most = 100_000
-	from, to := bfcommit.VersionRange(1, most)
-	rows, err := b.table.Range(ctx, from, to, most)
+// readState reads all versions from the table and rebuilds the state. It also returns the size of the rows in bytes.
+func (b *baseline) readState(ctx context.Context) (*bfconfig.State, int, error) {
+	const maxVersions = 100_000
+	from, to := bfcommit.VersionRange(1, maxVersions)
+	rows, err := b.table.Range(ctx, from, to, maxVersions)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -92,7 +92,7 @@
 	return state, size, nil
 }
 
-func (b *baseline) note(after, to bfconfig.Version) {
+func (b *baseline) recordReached(after, to bfconfig.Version) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,8 +101,8 @@
 	}
 }
 
-// times is when the nodes reached a version.
-func (b *baseline) times(v bfconfig.Version) []time.Time {
+// timesReached returns when each node reached a version.
+func (b *baseline) timesReached(v bfconfig.Version) []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]time.Time(nil), b.reached[v]...)
--- a/bftrial/internal/bfmeasure/measure.go
+++ b/bftrial/internal/bfmeasure/measure.go
@@ -15,48 +15,51 @@
 	"bilberryflow.org/lib/bftable"
 )
 
-// Options of one measurement.
+// Options configures one measurement.
 type Options struct {
 	Binaries string
 	Nodes    int
 	Profile  string
-	// Idle is how long the fleet is watched without a change.
+	// Idle is the length of the measurement without changes.
 	Idle time.Duration
-	// Changes is how many changes are committed, one after another.
+	// Changes is the number of changes committed one after another.
 	Changes int
-	// Objects is how many routes the configuration has before.
+	// Objects is the number of routes in the initial configuration.
 	Objects int
 }
 
-// Shape of the measured fleet: domains over regions.
+// Number of failure domains and regions of the measured fleet.
 const (
 	domains = 6
 	regions = 2
 )
 
-// Row is one fleet's figures.
+// Row holds the figures of one fleet.
 type Row struct {
 	Nodes   int
 	Profile string
-	// Converge are convergence times of the changes, from the confirm's answer to the last node.
+	// Converge are percentiles of the changes' convergence times, from the confirm's response to the last node.
 	ConvergeP50, ConvergeP99, ConvergeMax time.Duration
-	// IdleBytes is control bytes sent by a node a second without a change, by purpose.
+	// IdleBytes is the control traffic sent by a node while idle, in bytes per second: the mean in
+	// total and by purpose, and the maximum over nodes.
 	IdleBytes    float64
 	IdleMembers  float64
 	IdleRepair   float64
 	IdleWitness  float64
 	MaxIdleBytes float64
-	// ChangeBytes is version bytes received by a node for a change, and DeltaBytes the change's own size.
+	// ChangeBytes is the version traffic received by a node per change, WitnessBytes the witness
+	// traffic sent beyond the idle rate, and DeltaBytes the encoded size of a change.
 	ChangeBytes, WitnessBytes, DeltaBytes float64
-	// TableReads is reads of the fleet a second without a change.
+	// TableReads is the fleet's table reads per second while idle.
 	TableReads float64
-	// CPU is the share of one core a node uses without a change.
+	// CPU is the mean fraction of one core that a node uses while idle.
 	CPU float64
-	// Memory is a node's resident bytes, on average.
+	// Memory is the mean resident memory of a node, in bytes.
 	Memory float64
-	// Rejoin is how long half of a domain, killed and started at once, takes to be in force again.
+	// Rejoin is the time until half of a failure domain, killed and restarted at once, has the
+	// newest version in force again.
 	Rejoin time.Duration
-	// Baseline's figures from the same run.
+	// Figures of the baseline in the same run.
 	BaseConvergeMax time.Duration
 	BaseBytes       float64
 	BaseReads       float64
@@ -73,7 +76,7 @@
 	version  bfconfig.Version
 }
 
-// Run measures one fleet.
+// Run measures one fleet and stops all processes that it started.
 func Run(options Options, out io.Writer) (row Row, err error) {
 	fleet, err := bffleet.New(options.Binaries)
 	if err != nil {
@@ -85,8 +88,8 @@
 			err = closeErr
 		}
 	}()
-	for _, part := range []func() error{r.start, r.configure, r.idle, r.change, r.rejoin} {
-		if err := part(); err != nil {
+	for _, step := range []func() error{r.start, r.configure, r.measureIdle, r.measureChanges, r.measureRejoin} {
+		if err := step(); err != nil {
 			return Row{}, err
 		}
 	}
@@ -95,7 +98,7 @@
 
 const (
 	startLimit = 2 * time.Minute
-	// seedCount is how many nodes the others' settings name as seeds.
+	// seedCount is the number of nodes that serve as seeds for the others.
 	seedCount = 3
 )
 
@@ -103,7 +106,7 @@
 	if err := r.fleet.StartPlatform(bffleet.PlatformSettings{}); err != nil {
 		return err
 	}
-	// Each process is measured at what one core gives it: the fleet shares the machine.
+	// Limits the threads of each process, as the whole fleet shares one machine.
 	r.fleet.AddEnvironment("GOMAXPROCS=2")
 	var seeds []string
 	for i := range r.options.Nodes {
@@ -125,11 +128,11 @@
 	r.operator = newOperator(r.fleet.Nodes()[0])
 	started := time.Now()
 	err := r.fleet.AwaitMembers(startLimit)
-	fmt.Fprintf(r.out, "%d nodes know each other %v after the last one started\n", r.options.Nodes, time.Since(started).Round(time.Millisecond))
+	fmt.Fprintf(r.out, "%d nodes have complete member lists %v after the last start\n", r.options.Nodes, time.Since(started).Round(time.Millisecond))
 	return err
 }
 
-// configure commits a configuration of the wanted size.
+// configure commits the initial configuration with Options.Objects routes.
 func (r *run) configure() error {
 	var text strings.Builder
 	text.WriteString("create service core slots 12; create policy look class look idempotent deadline 2s queue 50; ")
@@ -144,7 +147,7 @@
 	return r.fleet.AwaitVersion(1, startLimit)
 }
 
-// sample is every node's counters at one moment.
+// sample holds the counters of all nodes at one time.
 type sample struct {
 	at      time.Time
 	metrics []map[string]any
@@ -170,22 +173,22 @@
 	return s, err
 }
 
-// grown is how much a counter grew on average a node, and at most.
-func (s sample) grown(before sample, names ...string) (mean, most float64) {
+// increaseSince returns the increase of the sum of counters since before: the mean and the maximum over nodes.
+func (s sample) increaseSince(before sample, names ...string) (mean, maximum float64) {
 	for i := range s.metrics {
 		sum := 0.0
 		for _, name := range names {
 			sum += bffleet.MetricValue(s.metrics[i], name) - bffleet.MetricValue(before.metrics[i], name)
 		}
 		mean += sum / float64(len(s.metrics))
-		most = max(most, sum)
+		maximum = max(maximum, sum)
 	}
-	return mean, most
+	return mean, maximum
 }
 
 var purposes = []string{"membership", "versions", "repair", "snapshots", "witness", "operators", "requests"}
 
-func sentBy(purposes ...string) []string {
+func sentBytesMetrics(purposes ...string) []string {
 	var names []string
 	for _, p := range purposes {
 		names = append(names, "control_sent_bytes_"+p)
@@ -193,7 +196,7 @@
 	return names
 }
 
-func (r *run) idle() error {
+func (r *run) measureIdle() error {
 	const settle = 10 * time.Second
 	time.Sleep(settle)
 	before, err := r.sample()
@@ -206,11 +209,11 @@
 		return err
 	}
 	seconds := after.at.Sub(before.at).Seconds()
-	mean, most := after.grown(before, sentBy(purposes...)...)
-	r.row.IdleBytes, r.row.MaxIdleBytes = mean/seconds, most/seconds
-	members, _ := after.grown(before, sentBy("membership")...)
-	repair, _ := after.grown(before, sentBy("repair")...)
-	witness, _ := after.grown(before, sentBy("witness")...)
+	mean, maximum := after.increaseSince(before, sentBytesMetrics(purposes...)...)
+	r.row.IdleBytes, r.row.MaxIdleBytes = mean/seconds, maximum/seconds
+	members, _ := after.increaseSince(before, sentBytesMetrics("membership")...)
+	repair, _ := after.increaseSince(before, sentBytesMetrics("repair")...)
+	witness, _ := after.increaseSince(before, sentBytesMetrics("witness")...)
 	r.row.IdleMembers, r.row.IdleRepair, r.row.IdleWitness = members/seconds, repair/seconds, witness/seconds
 	r.row.TableReads = (after.reads - before.reads) / seconds
 	for i := range after.usage {
@@ -220,14 +223,14 @@
 	return nil
 }
 
-func (r *run) change() error {
-	base := startBaseline(r.fleet.PlatformURL(), r.options.Nodes)
-	baseStart, readsBefore := time.Now(), base.metrics.Counter("table_reads").Value()
+func (r *run) measureChanges() error {
+	polling := startBaseline(r.fleet.PlatformURL(), r.options.Nodes)
+	pollingStart, readsBefore := time.Now(), polling.metrics.Counter("table_reads").Value()
 	before, err := r.sample()
 	if err != nil {
 		return err
 	}
-	var converge, baseConverge []time.Duration
+	var converge, pollingConverge []time.Duration
 	for i := range r.options.Changes {
 		policy := []string{"other", "look"}[i%2]
 		answered, err := r.operator.commit(fmt.Sprintf("c%d", i), fmt.Sprintf("change route r0 policy %s", policy))
@@ -242,33 +245,33 @@
 		if err != nil {
 			return err
 		}
-		converge = append(converge, longest(answered, times))
+		converge = append(converge, timeToLatest(answered, times))
 		time.Sleep(2 * baselineInterval)
-		baseConverge = append(baseConverge, longest(answered, base.times(r.version)))
+		pollingConverge = append(pollingConverge, timeToLatest(answered, polling.timesReached(r.version)))
 	}
 	after, err := r.sample()
 	if err != nil {
 		return err
 	}
-	if err := r.takeChange(before, after, converge); err != nil {
+	if err := r.recordChanges(before, after, converge); err != nil {
 		return err
 	}
-	seconds := time.Since(baseStart).Seconds()
-	r.row.BaseConvergeMax = slices.Max(baseConverge)
-	r.row.BaseBytes = float64(base.bytes.Load()) / seconds / float64(r.options.Nodes)
-	r.row.BaseReads = float64(base.metrics.Counter("table_reads").Value()-readsBefore) / seconds
-	r.row.BaseFailed = base.failed.Load()
-	return base.stop()
+	seconds := time.Since(pollingStart).Seconds()
+	r.row.BaseConvergeMax = slices.Max(pollingConverge)
+	r.row.BaseBytes = float64(polling.bytes.Load()) / seconds / float64(r.options.Nodes)
+	r.row.BaseReads = float64(polling.metrics.Counter("table_reads").Value()-readsBefore) / seconds
+	r.row.BaseFailed = polling.failed.Load()
+	return polling.stop()
 }
 
-func (r *run) takeChange(before, after sample, converge []time.Duration) error {
+func (r *run) recordChanges(before, after sample, converge []time.Duration) error {
 	slices.Sort(converge)
 	r.row.ConvergeP50 = converge[len(converge)/2]
 	r.row.ConvergeP99 = converge[len(converge)*99/100]
 	r.row.ConvergeMax = converge[len(converge)-1]
 	changes := float64(r.options.Changes)
-	received, _ := after.grown(before, "control_received_bytes_versions")
-	witness, _ := after.grown(before, sentBy("witness")...)
+	received, _ := after.increaseSince(before, "control_received_bytes_versions")
+	witness, _ := after.increaseSince(before, sentBytesMetrics("witness")...)
 	r.row.ChangeBytes = received / changes
 	r.row.WitnessBytes = witness/changes - r.row.IdleWitness*after.at.Sub(before.at).Seconds()/changes
 	var err error
@@ -276,7 +279,7 @@
 	return err
 }
 
-// deltaBytes is the mean encoded size of the measured changes, as the table has them.
+// deltaBytes returns the mean encoded size of the measured changes in the table.
 func (r *run) deltaBytes() (float64, error) {
 	const timeout = 5 * time.Second
 	table := bftable.New(r.fleet.PlatformURL(), timeout, bfmetric.New())
@@ -305,30 +308,30 @@
 	return times, nil
 }
 
-// longest is how long after start the last time is, 0 where all came before.
-func longest(start time.Time, times []time.Time) time.Duration {
-	var most time.Duration
+// timeToLatest returns the duration from start to the latest time, or 0 if all are earlier.
+func timeToLatest(start time.Time, times []time.Time) time.Duration {
+	var longest time.Duration
 	for _, t := range times {
-		most = max(most, t.Sub(start))
+		longest = max(longest, t.Sub(start))
 	}
-	return most
+	return longest
 }
 
-// rejoin kills half of a domain at once and starts it again at once.
-func (r *run) rejoin() error {
-	var herd []*bffleet.Node
+// measureRejoin kills and restarts half of a failure domain at once, and measures the time to the newest version.
+func (r *run) measureRejoin() error {
+	var group []*bffleet.Node
 	for i, node := range r.fleet.Nodes() {
 		if i%domains == 1 && (i/domains)%2 == 0 {
-			herd = append(herd, node)
+			group = append(group, node)
 		}
 	}
-	for _, node := range herd {
+	for _, node := range group {
 		if err := node.Kill(); err != nil {
 			return err
 		}
 	}
 	start := time.Now()
-	for _, node := range herd {
+	for _, node := range group {
 		if err := r.fleet.RestartNode(node); err != nil {
 			return err
 		}
@@ -343,6 +346,6 @@
 	if err != nil {
 		return err
 	}
-	r.row.Rejoin = longest(start, times)
+	r.row.Rejoin = timeToLatest(start, times)
 	return nil
 }
--- a/bftrial/internal/bfmeasure/operator.go
+++ b/bftrial/internal/bfmeasure/operator.go
@@ -15,7 +15,7 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// operator sends commands to one node.
+// operator sends operator commands to one node.
 type operator struct {
 	client *http.Client
 	url    string
@@ -29,7 +29,7 @@
 	}
 }
 
-// run sends one command and returns when its last result came.
+// run sends one command and returns the time of its final result.
 func (o *operator) run(command string) (time.Time, error) {
 	body, err := json.Marshal(bfresult.CommandRequest{Commands: command, ChangeIDs: []string{ulid.Make().String()}})
 	if err != nil {
@@ -46,26 +46,26 @@
 	}
 	defer response.Body.Close()
 	decoder := json.NewDecoder(response.Body)
-	var said []string
+	var messages []string
 	for {
 		var message bfresult.ResultMessage
 		if err := decoder.Decode(&message); err != nil {
-			return time.Time{}, fmt.Errorf("%q: answer cut: %w", command, err)
+			return time.Time{}, fmt.Errorf("%q: incomplete response: %w", command, err)
 		}
 		switch {
 		case message.Error != nil:
-			said = append(said, message.Error.Message)
+			messages = append(messages, message.Error.Message)
 		case message.Outcome != nil:
-			said = append(said, message.Outcome.Summary)
+			messages = append(messages, message.Outcome.Summary)
 		case message.End != nil && message.End.Status == bfresult.StatusDone:
 			return time.Now(), nil
 		case message.End != nil:
-			return time.Time{}, errors.New(command + ": " + fmt.Sprint(said))
+			return time.Time{}, errors.New(command + ": " + fmt.Sprint(messages))
 		}
 	}
 }
 
-// commit stages and confirms a change and returns when the confirm was answered.
+// commit stages and confirms a change and returns the time of the confirm's response.
 func (o *operator) commit(name, change string) (time.Time, error) {
 	if _, err := o.run(fmt.Sprintf("stage %s { %s }", name, change)); err != nil {
 		return time.Time{}, err
--- a/bftrial/internal/bfmeasure/process.go
+++ b/bftrial/internal/bfmeasure/process.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// usage is what a process has used so far.
+// usage is the cumulative CPU time and the resident memory of a process.
 type usage struct {
 	cpu    time.Duration
 	memory int64 // resident bytes
 }
 
-// clockTick is the unit of processor time in /proc: a hundredth of a second on Linux.
+// clockTick is the unit of CPU time in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
 func usageOf(pid int) (usage, error) {
@@ -21,7 +21,7 @@
 	if err != nil {
 		return usage{}, err
 	}
-	// The program's name, in parentheses, may hold spaces.
+	// The program name, in parentheses, may contain spaces.
 	_, rest, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
 	const userField, systemField = 11, 12
--- a/bftrial/internal/bfmeasure/report.go
+++ b/bftrial/internal/bfmeasure/report.go
@@ -16,39 +16,39 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// column is one figure of a Row.
+// column is one column of the CSV file.
 type column struct {
 	name  string
 	value func(Row) string
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'f', 2, 64) }
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'f', 2, 64) }
 
 var columns = []column{
 	{"nodes", func(r Row) string { return strconv.Itoa(r.Nodes) }},
 	{"profile", func(r Row) string { return r.Profile }},
-	{"converge_p50_ms", func(r Row) string { return number(r.ConvergeP50.Seconds() * 1000) }},
-	{"converge_p99_ms", func(r Row) string { return number(r.ConvergeP99.Seconds() * 1000) }},
-	{"converge_max_ms", func(r Row) string { return number(r.ConvergeMax.Seconds() * 1000) }},
-	{"idle_bytes_per_s", func(r Row) string { return number(r.IdleBytes) }},
-	{"idle_members_per_s", func(r Row) string { return number(r.IdleMembers) }},
-	{"idle_repair_per_s", func(r Row) string { return number(r.IdleRepair) }},
-	{"idle_witness_per_s", func(r Row) string { return number(r.IdleWitness) }},
-	{"idle_max_bytes_per_s", func(r Row) string { return number(r.MaxIdleBytes) }},
-	{"change_bytes_received", func(r Row) string { return number(r.ChangeBytes) }},
-	{"change_bytes_witness", func(r Row) string { return number(r.WitnessBytes) }},
-	{"delta_bytes", func(r Row) string { return number(r.DeltaBytes) }},
-	{"table_reads_per_s", func(r Row) string { return number(r.TableReads) }},
-	{"cpu_percent_of_core", func(r Row) string { return number(r.CPU * 100) }},
-	{"memory_mb", func(r Row) string { return number(r.Memory / (1 << 20)) }},
-	{"rejoin_ms", func(r Row) string { return number(r.Rejoin.Seconds() * 1000) }},
-	{"baseline_converge_max_ms", func(r Row) string { return number(r.BaseConvergeMax.Seconds() * 1000) }},
-	{"baseline_bytes_per_s", func(r Row) string { return number(r.BaseBytes) }},
-	{"baseline_reads_per_s", func(r Row) string { return number(r.BaseReads) }},
+	{"converge_p50_ms", func(r Row) string { return formatNumber(r.ConvergeP50.Seconds() * 1000) }},
+	{"converge_p99_ms", func(r Row) string { return formatNumber(r.ConvergeP99.Seconds() * 1000) }},
+	{"converge_max_ms", func(r Row) string { return formatNumber(r.ConvergeMax.Seconds() * 1000) }},
+	{"idle_bytes_per_s", func(r Row) string { return formatNumber(r.IdleBytes) }},
+	{"idle_members_per_s", func(r Row) string { return formatNumber(r.IdleMembers) }},
+	{"idle_repair_per_s", func(r Row) string { return formatNumber(r.IdleRepair) }},
+	{"idle_witness_per_s", func(r Row) string { return formatNumber(r.IdleWitness) }},
+	{"idle_max_bytes_per_s", func(r Row) string { return formatNumber(r.MaxIdleBytes) }},
+	{"change_bytes_received", func(r Row) string { return formatNumber(r.ChangeBytes) }},
+	{"change_bytes_witness", func(r Row) string { return formatNumber(r.WitnessBytes) }},
+	{"delta_bytes", func(r Row) string { return formatNumber(r.DeltaBytes) }},
+	{"table_reads_per_s", func(r Row) string { return formatNumber(r.TableReads) }},
+	{"cpu_percent_of_core", func(r Row) string { return formatNumber(r.CPU * 100) }},
+	{"memory_mb", func(r Row) string { return formatNumber(r.Memory / (1 << 20)) }},
+	{"rejoin_ms", func(r Row) string { return formatNumber(r.Rejoin.Seconds() * 1000) }},
+	{"baseline_converge_max_ms", func(r Row) string { return formatNumber(r.BaseConvergeMax.Seconds() * 1000) }},
+	{"baseline_bytes_per_s", func(r Row) string { return formatNumber(r.BaseBytes) }},
+	{"baseline_reads_per_s", func(r Row) string { return formatNumber(r.BaseReads) }},
 	{"baseline_failed_polls", func(r Row) string { return strconv.FormatInt(r.BaseFailed, 10) }},
 }
 
-// WriteCSV writes the rows with a header.
+// WriteCSV writes a header and the rows as CSV.
 func WriteCSV(w io.Writer, rows []Row) error {
 	out := csv.NewWriter(w)
 	var header []string
@@ -71,22 +71,22 @@
 	return out.Error()
 }
 
-// Report writes the rows as CSV and plots into a directory.
+// Report writes the rows as control.csv and as plots to a directory.
 func Report(directory string, rows []Row) error {
-	if err := writeFile(filepath.Join(directory, "control.csv"), rows); err != nil {
+	if err := writeCSVFile(filepath.Join(directory, "control.csv"), rows); err != nil {
 		return err
 	}
-	err := draws(filepath.Join(directory, "convergence.png"), "Convergence time, last node", "ms", rows,
+	err := savePlot(filepath.Join(directory, "convergence.png"), "Convergence time, last node", "ms", rows,
 		func(r Row) float64 { return r.ConvergeMax.Seconds() * 1000 },
 		func(r Row) float64 { return r.BaseConvergeMax.Seconds() * 1000 })
 	if err != nil {
 		return err
 	}
-	return draws(filepath.Join(directory, "bytes.png"), "Control bytes sent by a node, idle", "B/s", rows,
+	return savePlot(filepath.Join(directory, "bytes.png"), "Control bytes sent by a node, idle", "B/s", rows,
 		func(r Row) float64 { return r.IdleBytes }, func(r Row) float64 { return r.BaseBytes })
 }
 
-func writeFile(path string, rows []Row) error {
+func writeCSVFile(path string, rows []Row) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
@@ -94,8 +94,8 @@
 	return errors.Join(WriteCSV(file, rows), file.Close())
 }
 
-// draws plots one figure of each profile and of the baseline over the fleet's size.
-func draws(path, title, unit string, rows []Row, ours, baseline func(Row) float64) error {
+// savePlot plots one figure over the fleet size, for each profile and its baseline.
+func savePlot(path, title, unit string, rows []Row, measured, baseline func(Row) float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "nodes", unit
 	p.Legend.Top, p.Legend.Left = true, true
@@ -108,7 +108,7 @@
 		series[name] = append(series[name], plotter.XY{X: float64(row.Nodes), Y: y})
 	}
 	for _, row := range rows {
-		add(row.Profile, row, ours(row))
+		add(row.Profile, row, measured(row))
 		add("baseline beside "+row.Profile, row, baseline(row))
 	}
 	colors := []color.Color{color.RGBA{B: 200, A: 255}, color.RGBA{R: 200, A: 255}, color.RGBA{G: 140, A: 255}, color.Gray{Y: 120}}
@@ -121,7 +121,7 @@
 		p.Add(line, points)
 		p.Legend.Add(name, line, points)
 	}
-	// Room for the legend above the highest line.
+	// Leaves space for the legend above the highest line.
 	const headroom = 1.3
 	p.Y.Min, p.Y.Max = 0, p.Y.Max*headroom
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
--- a/bftrial/internal/bfspike/policy.go
+++ b/bftrial/internal/bfspike/policy.go
@@ -66,10 +66,10 @@
 
 func (l *load) sendMesh(ctx context.Context, p mesh, a arrival) (r result) {
 	for range maxConnectTries {
-		answered := time.Now()
+		tryStart := time.Now()
 		var err error
 		r, err = l.sendOnce(ctx, p.nodes[rand.IntN(len(p.nodes))], a)
-		r.lastTry = answered
+		r.lastTry = tryStart
 		var op *net.OpError
 		if !errors.As(err, &op) || op.Op != "dial" {
 			break
@@ -81,11 +81,11 @@
 func (l *load) sendNaive(ctx context.Context, p naive, a arrival, timeout time.Duration) (r result) {
 	targets := p.targets[a.service]
 	for range 1 + naiveRetries {
-		answered := time.Now()
+		tryStart := time.Now()
 		try, cancel := context.WithTimeout(ctx, timeout)
 		r, _ = l.sendOnce(try, targets[rand.IntN(len(targets))], a)
 		cancel()
-		r.lastTry = answered
+		r.lastTry = tryStart
 		if r.outcome == served {
 			break
 		}
