--- a/lib/bffleet/cost.go
+++ b/lib/bffleet/cost.go
@@ -15,13 +15,14 @@
 	UsualTime time.Duration
 	// RunTime is the run time at a target of average speed, 0 if unknown.
 	RunTime time.Duration
-	// Objective is the time in which the request should be answered, Left the rest of it.
+	// Objective is the time in which the request should be answered, Left the part of it
+	// that remains.
 	Objective, Left time.Duration
 	// SameDomain restricts the choice to targets in the node's own failure domain.
 	SameDomain bool
 }
 
-// The costs of a target, where 1 is the value of one answer.
+// The costs of a target, in units of the value of one answer.
 const (
 	// lateCost is the cost of a late answer.
 	lateCost = 1.0
@@ -36,12 +37,12 @@
 	loadCost = 0.15
 	// jitter keeps nodes with the same load reports from choosing the same target.
 	jitter = 0.05
-	// hopCost is the fixed cost of a request to another failure domain, and bytesOfAnswer
-	// the number of bytes sent there that cost 1. The fixed part covers headers and
-	// refusals, about 500 bytes. Lower values send more bytes between domains for little
-	// gain; higher ones serve an overloaded domain worse.
-	hopCost       = 0.1
-	bytesOfAnswer = 20_000
+	// hopCost is the fixed cost of a request to another failure domain, and bytesPerUnitCost
+	// the number of bytes sent there at a cost of 1. The fixed part covers headers and
+	// refusals, about 500 bytes. A lower cost sends more bytes between domains for little
+	// gain; a higher one keeps requests in an overloaded domain.
+	hopCost          = 0.1
+	bytesPerUnitCost = 20_000
 	// linkCost is the cost of using the node's own link for a second. It keeps downloads
 	// at the node's own target, where they use a slow link once instead of twice.
 	linkCost = 10
@@ -50,19 +51,19 @@
 	linkWaitCost = 8
 	// longAnswer is the size in bytes from which an answer waits for its node's link.
 	longAnswer = 16 << 10
-	// probeInterval is how often a target without any report is chosen without hopCost;
-	// a new one in another domain would otherwise get no requests.
-	probeInterval = time.Second
+	// firstReportInterval is how often a target without a load report is chosen without
+	// hopCost; a new one in another domain would otherwise get no requests.
+	firstReportInterval = time.Second
 )
 
 // cost returns the expected cost of sending a request to the target, and whether all its
-// slots are likely in use. Chance is a random number from 0 to 1.
-func (t *Target) cost(place Place, demand Demand, now time.Time, chance float64) (cost float64, full bool) {
+// slots are likely in use; random is from 0 to 1.
+func (t *Target) cost(place Place, demand Demand, now time.Time, random float64) (cost float64, full bool) {
 	load := t.load(now)
-	run := time.Duration(float64(demand.running()) * t.relativeRunTime())
+	run := time.Duration(float64(demand.expectedRunTime()) * t.relativeRunTime())
 	wait := time.Duration(max(load-1, 0) * float64(run))
 	cost = lateCost*demand.lateness(wait*waitWeight, run) + failingCost*t.failureRate(now)
-	cost += loadCost*min(load, 1) + jitter*chance
+	cost += loadCost*min(load, 1) + jitter*random
 	return cost + t.networkCost(place, demand, now), load > 1
 }
 
@@ -73,8 +74,8 @@
 	}
 	cost := 0.0
 	if t.member.Domain != place.Domain {
-		cost += float64(demand.Bytes) / bytesOfAnswer
-		if !t.wantsProbe(now) {
+		cost += float64(demand.Bytes) / bytesPerUnitCost
+		if !t.needsFirstReport(now) {
 			cost += hopCost
 		}
 	}
@@ -87,13 +88,13 @@
 	return cost
 }
 
-// wantsProbe reports whether the target has no load report yet and was not chosen lately.
-func (t *Target) wantsProbe(now time.Time) bool {
-	return t.lastLoad.Load() == nil && now.UnixNano()-t.chosenAt.Load() > int64(probeInterval)
+// needsFirstReport reports whether the target has no load report yet and was not chosen lately.
+func (t *Target) needsFirstReport(now time.Time) bool {
+	return t.lastLoad.Load() == nil && now.UnixNano()-t.chosenAt.Load() > int64(firstReportInterval)
 }
 
-// running returns the run time at a target of average speed.
-func (d Demand) running() time.Duration {
+// expectedRunTime returns the run time at a target of average speed.
+func (d Demand) expectedRunTime() time.Duration {
 	if d.RunTime > 0 {
 		return d.RunTime
 	}
--- a/lib/bffleet/fleet.go
+++ b/lib/bffleet/fleet.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Fleet holds the members that a node knows. It is safe for concurrent use.
+// Fleet is one node's view of the members, with the state of their targets. It is safe for concurrent use.
 type Fleet struct {
 	place Place
-	// chance returns random numbers from 0 to 1.
-	chance func() float64
+	// random returns random numbers from 0 to 1.
+	random func() float64
 
 	mu   sync.Mutex
 	view atomic.Pointer[view]
@@ -32,17 +32,17 @@
 	Inbound string
 	// Domain is the node's failure domain.
 	Domain string
-	// LinkBytes is the bandwidth of the node's link in bytes per second, 0 for a fast one.
+	// LinkBytes is the bandwidth of the node's link in bytes per second, 0 if it is no bottleneck.
 	LinkBytes float64
 }
 
-// New returns the empty fleet of a node.
+// New returns the fleet of a node, without members.
 func New(place Place) *Fleet { return NewWithRandom(place, rand.Float64) }
 
 // NewWithRandom is New with a source of random numbers from 0 to 1, for deterministic
 // simulations.
-func NewWithRandom(place Place, chance func() float64) *Fleet {
-	f := &Fleet{place: place, chance: chance}
+func NewWithRandom(place Place, random func() float64) *Fleet {
+	f := &Fleet{place: place, random: random}
 	f.view.Store(&view{})
 	return f
 }
@@ -171,7 +171,7 @@
 // pick chooses the candidate of the lowest cost; withSuspended includes suspended targets.
 func (f *Fleet) pick(demand Demand, now time.Time, tried []*Target, withSuspended bool) Choice {
 	var best Choice
-	bestCost, near := 0.0, 0
+	bestCost, inDomain := 0.0, 0
 	for _, t := range f.view.Load().services[demand.Service] {
 		if t.probing.Load() || slices.Contains(tried, t) {
 			continue
@@ -180,14 +180,14 @@
 			continue
 		}
 		if !f.IsInOtherDomain(t) {
-			near++
+			inDomain++
 		}
-		cost, full := t.cost(f.place, demand, now, f.chance())
+		cost, full := t.cost(f.place, demand, now, f.random())
 		if best.target == nil || cost < bestCost {
 			best, bestCost = Choice{target: t, full: full}, cost
 		}
 	}
-	best.others = near
+	best.others = inDomain
 	if best.target != nil && !f.IsInOtherDomain(best.target) {
 		best.others--
 	}
--- a/lib/bffleet/fleet_test.go
+++ b/lib/bffleet/fleet_test.go
@@ -37,23 +37,23 @@
 
 // Guards against requests leaving their failure domain while it has free slots or a short
 // wait, and against staying there when they would be late or the other domain is idle.
-func TestOwnDomainIsPreferredWithinReason(t *testing.T) {
+func TestOwnDomainIsPreferredUnlessOverloaded(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.1:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "sued")})
 	picks(f, start, picksUntilBoth) // so that neither is chosen for its missing report
 	is.Equal(picks(f, start, 20)["10.0.0.1:1"], 20)
 	own := f.view.Load().members["10.0.0.1:1"]
-	look := Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
+	demand := Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
 	other := f.view.Load().members["10.0.0.2:1"]
 	other.ReportLoad(8, 10, start)
 	own.ReportLoad(10, 10, start) // a wait of 10 ms
-	is.Equal(picksOf(f, look, start, 20)["10.0.0.1:1"], 20)
+	is.Equal(picksOf(f, demand, start, 20)["10.0.0.1:1"], 20)
 	own.ReportLoad(25, 10, start) // of 160 ms
-	is.Equal(picksOf(f, look, start, 20)["10.0.0.2:1"], 20)
+	is.Equal(picksOf(f, demand, start, 20)["10.0.0.2:1"], 20)
 	other.ReportLoad(0, 10, start)
-	own.ReportLoad(12, 10, start) // a hop costs less than the last slots of a domain
-	is.Equal(picksOf(f, look, start, 20)["10.0.0.2:1"], 20)
+	own.ReportLoad(12, 10, start) // hopCost is below the cost of waiting for a slot
+	is.Equal(picksOf(f, demand, start, 20)["10.0.0.2:1"], 20)
 }
 
 // Guards against a new target in another domain never being chosen, and so never
@@ -272,21 +272,21 @@
 	is.Equal(picks(f, start, picksUntilBoth)["10.0.0.2:1"], 1)
 }
 
-// Guards against SameDomain choices in another domain, even when its target costs less or no
-// other is left.
-func TestNearChoiceStaysInDomain(t *testing.T) {
+// Guards against a SameDomain request leaving the domain because another domain's target costs
+// less or because no target in its own is left.
+func TestSameDomainRestrictsChoice(t *testing.T) {
 	is := is.New(t)
 	f := New(Place{Inbound: "10.0.0.9:1", Domain: "nord"})
 	f.Replace([]Member{member(1, "nord"), member(2, "nord"), member(3, "sued")})
 	for _, inbound := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		f.view.Load().members[inbound].ReportLoad(25, 10, start)
 	}
-	look := Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
-	is.Equal(picksOf(f, look, start, 20)["10.0.0.3:1"], 20)
-	look.SameDomain = true
-	first := f.Pick(look, start, nil).Target()
-	second := f.Pick(look, start, []*Target{first}).Target()
+	demand := Demand{Service: "portal", RunTime: 100 * time.Millisecond, Objective: 300 * time.Millisecond, Left: 300 * time.Millisecond}
+	is.Equal(picksOf(f, demand, start, 20)["10.0.0.3:1"], 20)
+	demand.SameDomain = true
+	first := f.Pick(demand, start, nil).Target()
+	second := f.Pick(demand, start, []*Target{first}).Target()
 	is.Equal(first.Member().Domain, "nord")
 	is.Equal(second.Member().Domain, "nord")
-	is.Equal(f.Pick(look, start, []*Target{first, second}).Target(), nil)
+	is.Equal(f.Pick(demand, start, []*Target{first, second}).Target(), nil)
 }
--- a/lib/bffleet/target.go
+++ b/lib/bffleet/target.go
@@ -84,7 +84,7 @@
 // Begin counts a request sent to the target. End must follow.
 func (t *Target) Begin() { t.inFlight.Add(1) }
 
-// End reverts one Begin.
+// End counts a request of Begin as finished.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
 // ReportLoad records the load as reported with an answer.
@@ -122,14 +122,14 @@
 	}
 }
 
-// StartProbing excludes the target from requests until StopProbing. It reports whether the caller
-// should start probing, which is false if probing is in progress.
+// StartProbing excludes the target from requests until StopProbing. It reports whether the
+// caller should start to probe the target's node, which is false if probing is in progress.
 //
 // Probes replace requests here, since a request to an unreachable machine waits for its
 // connection until it is late, and a late nested call fails its parent.
 func (t *Target) StartProbing() bool { return t.probing.CompareAndSwap(false, true) }
 
-// StopProbing ends StartProbing, after the target's node accepted a connection.
+// StopProbing makes the target eligible again, after its node accepted a connection.
 func (t *Target) StopProbing() {
 	t.Resume()
 	t.probing.Store(false)
@@ -137,11 +137,11 @@
 
 // isSuspended reports whether the target is suspended.
 func (t *Target) isSuspended(now time.Time) bool {
-	away := t.suspended.Load()
-	return away != nil && now.Before(away.until)
+	current := t.suspended.Load()
+	return current != nil && now.Before(current.until)
 }
 
-// slownessUnit is a slowness of 1.
+// slownessUnit is the fixed-point representation of a slowness of 1.
 const slownessUnit = 1 << 16
 
 // RecordResult counts an answer as a success or a failure of the target.
