--- a/lib/bfwalk/acceptrates.go
+++ b/lib/bfwalk/acceptrates.go
@@ -15,15 +15,15 @@
 type AcceptRates struct{ byService sync.Map }
 
 // Note counts a send to a target of the service, and whether the target accepted it.
-func (o *AcceptRates) Note(service string, accepted bool) { o.share(service).Note(accepted) }
+func (r *AcceptRates) Note(service string, accepted bool) { r.share(service).Note(accepted) }
 
 // Of returns the acceptance rate of the service, from 0 to 1; it is 1 before the first send.
-func (o *AcceptRates) Of(service string) float64 { return o.share(service).Value() }
+func (r *AcceptRates) Of(service string) float64 { return r.share(service).Value() }
 
-func (o *AcceptRates) share(service string) *bfshare.Share {
-	held, found := o.byService.Load(service)
+func (r *AcceptRates) share(service string) *bfshare.Share {
+	held, found := r.byService.Load(service)
 	if !found {
-		held, _ = o.byService.LoadOrStore(service, bfshare.NewFull())
+		held, _ = r.byService.LoadOrStore(service, bfshare.NewFull())
 	}
 	return held.(*bfshare.Share)
 }
--- a/lib/bfwalk/walk.go
+++ b/lib/bfwalk/walk.go
@@ -4,8 +4,8 @@
 
 const (
 	// minSearchShare is the part of its objective for which a request goes from one full
-	// target to the next at an acceptance rate of 0. A longer search ends in slots held
-	// by requests that are already late, and keeps the fleet overloaded.
+	// target to the next at an acceptance rate of 0. A longer search gives slots to
+	// requests that are already late, which keeps the fleet overloaded.
 	minSearchShare = 0.1
 	// extraSearchShare is added to it at an acceptance rate of 1, since the next target
 	// is then likely to accept.
@@ -18,14 +18,16 @@
 	return time.Duration((minSearchShare + extraSearchShare*acceptRate) * float64(objective))
 }
 
-// minFarShare is the least share of refused requests that go to other failure domains.
-// Without it, an entry wouldn't notice that they have capacity again.
-const minFarShare = 0.1
+// minRemoteShare is the least share of refused requests that go to other failure domains.
+// Without it, an entry would not detect that they have capacity again.
+const minRemoteShare = 0.1
 
-// TriesOtherDomain reports whether a refused request goes on to another failure domain: with a
-// probability of the acceptance rate there, since each attempt costs traffic between
-// domains. Chance is a random number from 0 to 1.
-func TriesOtherDomain(acceptRate, chance float64) bool { return chance <= max(acceptRate, minFarShare) }
+// TriesOtherDomain reports whether a refused request is sent to another failure domain. The
+// probability equals the acceptance rate there, since each attempt costs traffic between
+// domains. random is from 0 to 1.
+func TriesOtherDomain(acceptRate, random float64) bool {
+	return random <= max(acceptRate, minRemoteShare)
+}
 
 // maxWaitShare is the part of its slack for which a request queues at its target. The
 // rest covers run times above the mean.
@@ -35,8 +37,8 @@
 // instead of queueing at a full one: an attempt takes less time than the next free slot.
 const minAcceptRate = 0.2
 
-// QueuesAtTarget reports whether a request queues at a full target of which others targets are
-// left in the same domain.
+// QueuesAtTarget reports whether a request queues at a full target. others is the number of
+// untried targets in the same domain.
 func QueuesAtTarget(others int, acceptRate float64) bool {
 	return others <= 0 || acceptRate < minAcceptRate
 }
@@ -51,7 +53,7 @@
 const (
 	// retryShare and retrySpread are the minimum and the random part of the first retry
 	// delay, as shares of the objective, at an acceptance rate of 0. The retry can still
-	// meet the objective, and callers that were refused together don't return together.
+	// meet the objective, and callers that were refused together don't retry together.
 	retryShare  = 0.15
 	retrySpread = 0.25
 	// minRetryFactor scales that delay at an acceptance rate of 1.
@@ -59,11 +61,11 @@
 	// retriedShare is the part of its objective that a request must have used to count as
 	// a retry; a first attempt has used only the time on the way from its caller.
 	retriedShare = 0.1
-	// lateShare and lateSpread are the minimum and the random part of the delay of a
-	// further retry, as shares of the time left: the burst should have passed by then.
+	// laterRetryShare and laterRetrySpread are the minimum and the random part of the delay of a
+	// further retry, as shares of the time left: a short overload has usually ended by then.
 	// Callers wait for at most a third of the time that they have left.
-	lateShare  = 0.2
-	lateSpread = 0.13
+	laterRetryShare  = 0.2
+	laterRetrySpread = 0.13
 )
 
 // Refused describes a refused request whose caller receives a retry delay.
@@ -76,13 +78,13 @@
 }
 
 // RetryAfter returns the delay after which the caller should retry, at an acceptance rate
-// of acceptRate. Chance is a random number from 0 to 1.
-func (r Refused) RetryAfter(acceptRate, chance float64) time.Duration {
+// of acceptRate. random is from 0 to 1.
+func (r Refused) RetryAfter(acceptRate, random float64) time.Duration {
 	if float64(r.Used) < retriedShare*float64(r.Objective) {
 		factor := 1 - (1-minRetryFactor)*acceptRate
-		return time.Duration(float64(r.Objective) * factor * (retryShare + retrySpread*chance))
+		return time.Duration(float64(r.Objective) * factor * (retryShare + retrySpread*random))
 	}
-	return time.Duration(float64(r.Left) * (lateShare + lateSpread*chance))
+	return time.Duration(float64(r.Left) * (laterRetryShare + laterRetrySpread*random))
 }
 
 // tailFactor is the 99th percentile of run times over their mean, for a log-normal
--- a/lib/bfwalk/walk_test.go
+++ b/lib/bfwalk/walk_test.go
@@ -12,24 +12,24 @@
 func TestDecisionsFollowAcceptanceRate(t *testing.T) {
 	const objective = 500 * time.Millisecond
 	is := is.New(t)
-	var odds AcceptRates
-	is.Equal(odds.Of("portal"), 1.0)
-	is.Equal(MaxSearch(objective, odds.Of("portal")), 200*time.Millisecond)
+	var rates AcceptRates
+	is.Equal(rates.Of("portal"), 1.0)
+	is.Equal(MaxSearch(objective, rates.Of("portal")), 200*time.Millisecond)
 	for range 64 {
-		odds.Note("portal", false)
+		rates.Note("portal", false)
 	}
-	is.True(odds.Of("portal") < 0.05)
-	is.Equal(odds.Of("vault"), 1.0)
-	is.True(MaxSearch(objective, odds.Of("portal")) < 60*time.Millisecond)
-	is.True(QueuesAtTarget(3, odds.Of("portal")))
-	is.True(TriesOtherDomain(odds.Of("portal"), 0.09)) // minFarShare of the requests
-	is.True(!TriesOtherDomain(odds.Of("portal"), 0.2))
+	is.True(rates.Of("portal") < 0.05)
+	is.Equal(rates.Of("vault"), 1.0)
+	is.True(MaxSearch(objective, rates.Of("portal")) < 60*time.Millisecond)
+	is.True(QueuesAtTarget(3, rates.Of("portal")))
+	is.True(TriesOtherDomain(rates.Of("portal"), 0.09)) // minRemoteShare of the requests
+	is.True(!TriesOtherDomain(rates.Of("portal"), 0.2))
 	for range 64 {
-		odds.Note("portal", true)
+		rates.Note("portal", true)
 	}
-	is.True(!QueuesAtTarget(3, odds.Of("portal")))
-	is.True(QueuesAtTarget(0, odds.Of("portal"))) // no other target left
-	is.True(TriesOtherDomain(odds.Of("portal"), 0.9))
+	is.True(!QueuesAtTarget(3, rates.Of("portal")))
+	is.True(QueuesAtTarget(0, rates.Of("portal"))) // no other target left
+	is.True(TriesOtherDomain(rates.Of("portal"), 0.9))
 }
 
 // Guards against retry delays that are not spread, that make a first retry miss its
