--- a/lib/bfentry/attempts.go
+++ b/lib/bfentry/attempts.go
@@ -20,7 +20,7 @@
 type attempt struct {
 	// firstArrival is when the caller's first attempt arrived.
 	firstArrival time.Time
-	// retryAt is when the caller was asked to retry, according to Retry-After.
+	// retryAt is the time from which the caller may retry, according to Retry-After.
 	retryAt time.Time
 	// deadline is the end of the caller's own timeout.
 	deadline time.Time
@@ -73,13 +73,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	recorded := s.byRoute[route]
-	best, apart := -1, deadlineLateTolerance
+	best, bestDifference := -1, deadlineLateTolerance
 	for at, a := range recorded {
 		later := deadline.Sub(a.deadline)
-		if now.Before(a.retryAt) || later < -deadlineEarlyTolerance || later > apart {
+		if now.Before(a.retryAt) || later < -deadlineEarlyTolerance || later > bestDifference {
 			continue
 		}
-		best, apart = at, max(later, 0)
+		best, bestDifference = at, max(later, 0)
 	}
 	if best < 0 {
 		return attempt{}, false
--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -40,7 +40,8 @@
 	earlierResult bfhost.Result
 	// wasShed is set once a target has shed this nested call.
 	wasShed bool
-	// retryGranted is set while a retry has been paid for but has not reached a target.
+	// retryGranted is set while a retry has been taken from the budget and has not reached a
+	// target; if it never does, it is returned to the budget.
 	retryGranted bool
 	// lastSendDuration is the duration of the latest send.
 	lastSendDuration time.Duration
@@ -94,7 +95,7 @@
 		}
 		c.tried = append(c.tried, target)
 		c.isLastTarget = c.isLastTarget || c.route.Kind() == bftraffic.Download && choice.Full()
-		c.mayQueue = c.isLastTarget || bfwalk.QueuesAtTarget(choice.Others(), c.handler.localOdds.Of(c.service))
+		c.mayQueue = c.isLastTarget || bfwalk.QueuesAtTarget(choice.Others(), c.handler.localAcceptRates.Of(c.service))
 		result := c.sendTo(ctx, target)
 		if refused, ok := result.(bfhost.Refused); ok {
 			refusal = preferFull(refusal, refused)
@@ -287,15 +288,15 @@
 		return
 	}
 	c.handler.metrics.countAcceptance(c.handler.parts.Fleet.IsInOtherDomain(target), isRefused)
-	c.oddsOf(target).Note(c.service, !isRefused)
+	c.acceptRatesOf(target).Note(c.service, !isRefused)
 }
 
-// oddsOf returns the acceptance odds of the target's failure domain, local or remote.
-func (c *call) oddsOf(target *bffleet.Target) *bfwalk.AcceptRates {
+// acceptRatesOf returns the acceptance rates of the target's failure domain, local or remote.
+func (c *call) acceptRatesOf(target *bffleet.Target) *bfwalk.AcceptRates {
 	if c.handler.parts.Fleet.IsInOtherDomain(target) {
-		return &c.handler.remoteOdds
+		return &c.handler.remoteAcceptRates
 	}
-	return &c.handler.localOdds
+	return &c.handler.localAcceptRates
 }
 
 // recordOutcome updates the target's health with the result of a send.
@@ -303,9 +304,9 @@
 	now := c.handler.parts.Timer.Now()
 	switch result := result.(type) {
 	case bfhost.Refused:
-		if blamesTarget(result.Reason) {
+		if suspendsTarget(result.Reason) {
 			if length := target.Suspend(now); length > 0 {
-				c.handler.reportSetAside(target, result, length)
+				c.handler.reportSuspended(target, result, length)
 			}
 			if result.Err != nil {
 				c.handler.startProbe(target)
@@ -339,11 +340,11 @@
 // updateHealth applies the health that a target's node reported.
 func (c *call) updateHealth(target *bffleet.Target, health bfhost.Health) {
 	slowness := 0.0
-	if health.Running > 0 {
+	if health.MeanRunTime > 0 {
 		if usual := c.handler.runTimes.get(c.route.Name()); usual > 0 {
-			slowness = float64(health.Running) / float64(usual)
+			slowness = float64(health.MeanRunTime) / float64(usual)
 		}
-		c.handler.runTimes.add(c.route.Name(), health.Running.Nanoseconds())
+		c.handler.runTimes.add(c.route.Name(), health.MeanRunTime.Nanoseconds())
 	}
-	target.ReportHealth(health.Failing, slowness, c.handler.parts.Timer.Now())
+	target.ReportHealth(health.FailureRate, slowness, c.handler.parts.Timer.Now())
 }
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -189,7 +189,7 @@
 	m.True(strings.HasPrefix(answer, "404"))
 	m.entry.parts.Traffic = bftraffic.NewHolder(nil)
 	answer, header := m.send(http.MethodGet, "/look/1", nil)
-	m.Equal(answer, "503 ") // without a configuration it can't tell that the route is missing
+	m.Equal(answer, "503 ") // without a configuration the route may exist
 	m.True(header.Get("Retry-After") != "")
 }
 
@@ -277,7 +277,7 @@
 	m.True(header.Get("Retry-After") != "")
 	// Without earlier samples: two fifths of 400 ms, and the send in progress.
 	m.True(received.Load() <= 9)
-	for m.entry.localOdds.Of("portal") > 0.05 {
+	for m.entry.localAcceptRates.Of("portal") > 0.05 {
 		m.send(http.MethodGet, "/look/1", nil)
 	}
 	received.Store(0)
@@ -336,7 +336,7 @@
 }
 
 // An answer that breaks off after its first bytes were relayed must look incomplete to the caller.
-func TestCutDownloadStaysCut(t *testing.T) {
+func TestTruncatedAnswerIsNotCompleted(t *testing.T) {
 	m := newMesh(t, generous, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, strings.Repeat("x", 1<<20))
 		panic(http.ErrAbortHandler)
@@ -387,11 +387,11 @@
 
 // A caller's disconnect cancels its idempotent request at the target, through both nodes.
 func TestDisconnectCancelsAtTheTarget(t *testing.T) {
-	began, left := make(chan struct{}), make(chan time.Time, 1)
+	began, cancelled := make(chan struct{}), make(chan time.Time, 1)
 	m := newMesh(t, generous, func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
-		left <- time.Now()
+		cancelled <- time.Now()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, m.front.URL+"/look/1", nil)
@@ -405,7 +405,7 @@
 	}
 	m.True(err != nil)
 	select {
-	case <-left:
+	case <-cancelled:
 	case <-time.After(500 * time.Millisecond):
 		t.Fatal("the target was not cancelled")
 	}
@@ -481,8 +481,8 @@
 	m.Equal(m.lost.Load().Inbound, lost.address())
 }
 
-// A node that can't reach most members reports none of them as lost.
-func TestNodeThatIsCutOffForgetsNobody(t *testing.T) {
+// A node that can't reach most members is presumably partitioned and reports none as lost.
+func TestPartitionedNodeReportsNoLostMember(t *testing.T) {
 	m := newMesh(t, generous, hello, hello, hello)
 	for _, n := range m.nodes[:2] {
 		n.inbound.CloseClientConnections()
@@ -497,7 +497,7 @@
 }
 
 // A node that restarts is used again soon after it accepts connections.
-func TestNodeThatReturnsIsFound(t *testing.T) {
+func TestRestartedNodeIsUsedAgain(t *testing.T) {
 	m := newMesh(t, generous, hello, hello)
 	lost := m.nodes[0]
 	address := lost.address()
@@ -561,8 +561,8 @@
 	m.Equal(answer, "500 broken")
 }
 
-// Only idempotent requests may run concurrently on one connection: others must not be cut
-// off by a failure of their neighbours.
+// Only idempotent requests may run concurrently on one connection: any other would be
+// cut off if a request on the same connection failed.
 func TestOnlyIdempotentRequestsRunConcurrently(t *testing.T) {
 	m := newMesh(t, bfbudget.Terms{}, http.NotFound)
 	for path, concurrent := range map[string]bool{"/look/1?a=/b": true, "/approve/1": false, "/nowhere": false} {
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -57,9 +57,9 @@
 	// sizes, latencies and runTimes are averages per route: bytes of a request and its
 	// answer, nanoseconds from a send to its answer, and nanoseconds that targets run it.
 	sizes, latencies, runTimes routeMeans
-	// localOdds and remoteOdds are the acceptance odds of targets in this node's failure
+	// localAcceptRates and remoteAcceptRates are the acceptance rates of targets in this node's failure
 	// domain and in other domains.
-	localOdds, remoteOdds bfwalk.AcceptRates
+	localAcceptRates, remoteAcceptRates bfwalk.AcceptRates
 	// attempts are unserved requests that callers may retry.
 	attempts attempts
 	metrics  metrics
@@ -145,17 +145,17 @@
 		http.Error(w, "unreadable request: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if c.outlasts(now) {
+	if c.mayOutlastExit(now) {
 		refuse(w, leavingRetryAfter)
 		return
 	}
 	h.serve(w, r, c)
 }
 
-// outlasts reports whether the request may run past the exit of a stopping node. Such a
+// mayOutlastExit reports whether the request may run past the exit of a stopping node. Such a
 // request is refused at once, so that the caller retries at another node; accepted, it
 // would be cut off at its target when the process exits.
-func (c *call) outlasts(now time.Time) bool {
+func (c *call) mayOutlastExit(now time.Time) bool {
 	exitTime := c.handler.exitTime.Load()
 	return exitTime != nil && c.parent == nil && !bfwalk.LikelyInTime(exitTime.Sub(now), c.usualDuration())
 }
@@ -249,7 +249,7 @@
 	h.report(bflog.RequestRefused, c, attributes...)
 }
 
-func (h *Handler) reportSetAside(target *bffleet.Target, result bfhost.Refused, length time.Duration) {
+func (h *Handler) reportSuspended(target *bffleet.Target, result bfhost.Refused, length time.Duration) {
 	attributes := []slog.Attr{
 		slog.String("node", target.Member().Inbound), slog.String("service", target.Member().Service),
 		slog.String("reason", string(result.Reason)), slog.Duration("for", length),
--- a/lib/bfentry/policy.go
+++ b/lib/bfentry/policy.go
@@ -30,16 +30,16 @@
 	return time.Duration(linkWaitShare * float64(c.route.Objective()))
 }
 
-// freshShare is the share of its objective within which a request never counts as late.
+// neverLateShare is the part of its objective during which a request never counts as late.
 // Without it, all requests would count as late and lose their slots to each other once
 // targets are too slow for any of them to be in time.
-const freshShare = 0.3
+const neverLateShare = 0.3
 
 // late reports whether the request is expected to miss its objective. Nested calls never
 // count as late: the objective of the outermost request applies.
 func (c *call) late() bool {
 	objective, left := c.route.Objective(), c.timeLeft()
-	return c.parent == nil && float64(objective-left) > freshShare*float64(objective) && c.usualDuration() > left
+	return c.parent == nil && float64(objective-left) > neverLateShare*float64(objective) && c.usualDuration() > left
 }
 
 // nestedWaitShare is the share of its objective that a nested call waits for a slot. It
--- a/lib/bfentry/quarantine_test.go
+++ b/lib/bfentry/quarantine_test.go
@@ -17,9 +17,9 @@
 	return bfquarantine.KeyOf(bfquarantine.Request{Method: http.MethodGet, Host: "h.example", Target: path, Caller: "vault"})
 }
 
-// crashTargets records that the request for path crashed so many targets.
-func crashTargets(b *bfquarantine.Book, path string, ends int) {
-	for i := range ends {
+// crashTargets records that the request for path crashed count targets.
+func crashTargets(b *bfquarantine.Book, path string, count int) {
+	for i := range count {
 		b.Crashed(bfquarantine.CrashOf(fmt.Sprint(path, i)), []bfquarantine.Key{keyOf(path)}, time.Now())
 	}
 }
@@ -39,8 +39,8 @@
 	m.Equal(answer, "200 hello")
 }
 
-// Guards against a quarantined request being tried at one node after another, and their
-// targets being set aside for it.
+// Guards against a quarantined request being sent to one node after another, and against
+// suspending their targets because they refuse it.
 func TestQuarantineRefusalIsFinal(t *testing.T) {
 	m := newMesh(t, generous, hello, hello, hello)
 	var received atomic.Int32
@@ -61,7 +61,7 @@
 	m.Equal(answer, "503 ")
 	m.True(len(header.Get("Retry-After")) >= len("300"))
 	m.Equal(received.Load(), int32(1))
-	for range m.nodes { // no target is set aside for the refusal
+	for range m.nodes { // the refusal suspended no target
 		_, _ = m.send(http.MethodGet, "/look/bad", nil)
 	}
 	m.Equal(received.Load(), int32(1+len(m.nodes)))
--- a/lib/bfentry/refusal.go
+++ b/lib/bfentry/refusal.go
@@ -15,17 +15,17 @@
 	if c.parent != nil || c.isLastTarget || refusal.Reason != bfhost.Full {
 		return false
 	}
-	return now.Sub(c.arrived) > bfwalk.MaxSearch(c.route.Objective(), c.handler.localOdds.Of(c.service))
+	return now.Sub(c.arrived) > bfwalk.MaxSearch(c.route.Objective(), c.handler.localAcceptRates.Of(c.service))
 }
 
 // staysInDomain reports whether a refused request is sent only to targets of its own
 // failure domain. Untried targets there are preferred, even if a target of another domain
-// scores better, since they cost no traffic between domains.
+// has a lower cost, since they cost no traffic between domains.
 func (c *call) staysInDomain(refusal bfhost.Refused) bool {
 	if c.parent != nil || refusal.Reason != bfhost.Full {
 		return false
 	}
-	return !bfwalk.TriesOtherDomain(c.handler.remoteOdds.Of(c.service), rand.Float64())
+	return !bfwalk.TriesOtherDomain(c.handler.remoteAcceptRates.Of(c.service), rand.Float64())
 }
 
 // preferFull returns the refusal that is reported to the caller: a refusal by a full target
@@ -48,7 +48,7 @@
 	refused := bfwalk.Refused{
 		Objective: c.route.Objective(), Used: c.usedBefore, Left: c.callerDeadline.Sub(c.handler.parts.Timer.Now()),
 	}
-	return refused.RetryAfter(c.handler.localOdds.Of(c.service), rand.Float64())
+	return refused.RetryAfter(c.handler.localAcceptRates.Of(c.service), rand.Float64())
 }
 
 // recordUnserved records a request that was not served, so that its retry is recognized.
@@ -72,9 +72,9 @@
 	c.handler.attempts.record(c.route.Name(), attempt{firstArrival: c.arrived.Add(-c.usedBefore), retryAt: retryAt, deadline: c.callerDeadline}, now)
 }
 
-// blamesTarget reports whether a refusal means that the target accepts no requests at
-// all, rather than not this request now.
-func blamesTarget(reason bfhost.Reason) bool {
+// suspendsTarget reports whether a refusal suspends the target, because its reason applies to
+// all requests and not only to this one or to the current load.
+func suspendsTarget(reason bfhost.Reason) bool {
 	switch reason {
 	case bfhost.Full, bfhost.OverBudget, bfhost.Quarantined:
 		return false
--- a/lib/bfhost/crash_test.go
+++ b/lib/bfhost/crash_test.go
@@ -23,7 +23,7 @@
 	c.all = append(c.all, crash)
 }
 
-func (c *crashes) take() []bfflight.Crash {
+func (c *crashes) list() []bfflight.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.all
@@ -32,7 +32,7 @@
 // onCrash registers fn for crashes of the target.
 func (r *fixture) onCrash(fn func(bfflight.Crash)) {
 	r.host.parts.Crashed = fn
-	r.host.flights = r.host.newFlights()
+	r.host.flights = r.host.newFlightTracker()
 }
 
 // crash simulates a crash of the target's process.
@@ -61,8 +61,8 @@
 	r.crash()
 	r.Equal(<-ends, "lost")
 	r.Equal(<-ends, "lost")
-	r.Equal(len(seen.take()), 1)
-	crash := seen.take()[0]
+	r.Equal(len(seen.list()), 1)
+	crash := seen.list()[0]
 	r.Equal(strings.Fields(crash.Target.Name())[1], "a")
 	r.Equal(len(crash.Runs), 2)
 	r.Equal(crash.Runs[0].ID, "2") // the newest comes first
@@ -76,7 +76,7 @@
 	r.onCrash(seen.add)
 	r.heartbeat("a", 1, Ready)
 	r.Equal(r.run(job("1")), "lost")
-	r.Equal(len(seen.take()), 0)
+	r.Equal(len(seen.list()), 0)
 }
 
 // Guards against suspecting requests that a draining target cuts off.
@@ -95,7 +95,7 @@
 	r.heartbeat("a", 2, Draining)
 	r.crash()
 	r.Equal(<-end, "lost")
-	r.Equal(len(seen.take()), 0)
+	r.Equal(len(seen.list()), 0)
 }
 
 // Guards against a restarted target getting no requests for takeoverDelay after the crash
@@ -113,7 +113,7 @@
 	r.host.crashed(bfflight.Crash{Target: flightTarget{r.host, r.host.Target()}})
 	r.heartbeat("a", 1, Ready) // a delayed heartbeat of a start that crashed
 	r.Equal(r.host.Target().Incarnation(), "b")
-	r.heartbeat("b", 3, Ready) // b is alive, so c must wait
+	r.heartbeat("b", 3, Ready) // b is running, so c does not replace it
 	r.heartbeat("c", 1, Ready)
 	r.Equal(r.host.Target().Incarnation(), "b")
 }
--- a/lib/bfhost/flight.go
+++ b/lib/bfhost/flight.go
@@ -9,8 +9,8 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// NewQuarantineRequest describes a request to the quarantine; callerHeader is the header with
-// the caller's service.
+// NewQuarantineRequest returns what the quarantine identifies a request by; callerHeader is the
+// header with the caller's service.
 //
 // The stated length is ignored, since a caller may send the same body with a
 // Content-Length or chunked.
@@ -30,8 +30,8 @@
 	return NewQuarantineRequest(job.Request, h.parts.Names.CallerService)
 }
 
-// newFlights makes the register of the requests in flight at the target.
-func (h *Host) newFlights() *bfflight.Tracker {
+// newFlightTracker makes the tracker of the requests in flight at the target.
+func (h *Host) newFlightTracker() *bfflight.Tracker {
 	return bfflight.New(bfflight.Options{
 		Book: h.parts.Quarantine, Now: h.parts.Timer.Now, Crashed: h.crashed,
 		// A successful dial leaves an idle connection, which replaces the broken one.
@@ -49,7 +49,7 @@
 	}
 }
 
-// flightTarget is a start of the target in the register of flights.
+// flightTarget is one start of the target, for the tracker of requests in flight.
 type flightTarget struct {
 	host *Host
 	*Target
@@ -65,7 +65,7 @@
 	f.host.mu.Lock()
 	defer f.host.mu.Unlock()
 	current := f.host.tracker.current
-	same := current != nil && current.isStart(f.heartbeat)
+	same := current != nil && current.isSameStart(f.heartbeat)
 	switch {
 	case f.host.tracker.hasLeft(f.heartbeat), same && !current.acceptsWork:
 		return bfflight.Left
@@ -75,7 +75,7 @@
 	return bfflight.Running
 }
 
-// flightRefusal is the refusal of a request that the register of flights rejected.
+// flightRefusal is the refusal of a request that the tracker of requests in flight rejected.
 func flightRefusal(err error) Result {
 	var quarantined *bfflight.HeldError
 	if errors.As(err, &quarantined) {
--- a/lib/bfhost/health.go
+++ b/lib/bfhost/health.go
@@ -12,10 +12,10 @@
 
 // Health is the recent performance of a target, as measured by its node.
 type Health struct {
-	// Failing is the share of requests that the target shed, failed or did not answer.
-	Failing float64
-	// Running is the average run time of one class of requests, 0 if none has run.
-	Running time.Duration
+	// FailureRate is the share of requests that the target shed, failed or did not answer.
+	FailureRate float64
+	// MeanRunTime is the average run time of one class of requests, 0 if none has run.
+	MeanRunTime time.Duration
 }
 
 // failureShare is the share of recent requests that failed; the zero value is 0.
@@ -34,7 +34,7 @@
 
 // Health is the target's health, with the run time of a class.
 func (h *Host) Health(class string) Health {
-	return Health{Failing: h.failures.Value(), Running: h.gate.MeanHold(class)}
+	return Health{FailureRate: h.failures.Value(), MeanRunTime: h.gate.MeanHold(class)}
 }
 
 // WriteHealth writes the target's health to the header of an answer between nodes.
@@ -42,7 +42,7 @@
 // In a large fleet each entry rarely sends to a given target, so its own samples would be
 // late; the target's node has them all.
 func WriteHealth(h http.Header, t Health) {
-	h[bfheader.Track] = []string{strconv.FormatFloat(t.Failing, 'f', 2, 64) + "/" + strconv.FormatInt(t.Running.Microseconds(), 10)}
+	h[bfheader.Track] = []string{strconv.FormatFloat(t.FailureRate, 'f', 2, 64) + "/" + strconv.FormatInt(t.MeanRunTime.Microseconds(), 10)}
 }
 
 // ReadHealth parses what WriteHealth wrote; ok is false if the header is missing or malformed.
@@ -53,5 +53,5 @@
 	if !found || errShare != nil || errRunning != nil {
 		return Health{}, false
 	}
-	return Health{Failing: share, Running: time.Duration(running) * time.Microsecond}, true
+	return Health{FailureRate: share, MeanRunTime: time.Duration(running) * time.Microsecond}, true
 }
--- a/lib/bfhost/health_test.go
+++ b/lib/bfhost/health_test.go
@@ -31,22 +31,22 @@
 		return r.host.Health("r")
 	}
 	health := run(10)
-	r.Equal(health.Failing, 0.0)
-	r.True(health.Running >= 5*time.Millisecond)
+	r.Equal(health.FailureRate, 0.0)
+	r.True(health.MeanRunTime >= 5*time.Millisecond)
 	sheds.Store(true)
-	r.True(run(20).Failing > 0.6)
+	r.True(run(20).FailureRate > 0.6)
 	sheds.Store(false)
-	r.True(run(40).Failing < 0.15)
-	r.Equal(r.host.Health("unknown").Running, time.Duration(0))
+	r.True(run(40).FailureRate < 0.15)
+	r.Equal(r.host.Health("unknown").MeanRunTime, time.Duration(0))
 }
 
 func TestHealthHeader(t *testing.T) {
 	is := is.New(t)
 	h := http.Header{}
-	WriteHealth(h, Health{Failing: 0.25, Running: 43 * time.Millisecond})
+	WriteHealth(h, Health{FailureRate: 0.25, MeanRunTime: 43 * time.Millisecond})
 	health, ok := ReadHealth(h)
 	is.True(ok)
-	is.Equal(health, Health{Failing: 0.25, Running: 43 * time.Millisecond})
+	is.Equal(health, Health{FailureRate: 0.25, MeanRunTime: 43 * time.Millisecond})
 	for _, text := range []string{"", "0.25", "x/1", "0.25/x"} {
 		_, ok = ReadHealth(http.Header{http.CanonicalHeaderKey("Bilberry-Track"): {text}})
 		is.True(!ok) // text
--- a/lib/bfhost/heartbeat.go
+++ b/lib/bfhost/heartbeat.go
@@ -26,8 +26,8 @@
 
 // Heartbeat is a target's report of its own state.
 type Heartbeat struct {
-	// Incarnation is the name that the target gives itself. A restarted target may reuse
-	// its name.
+	// Incarnation is a name that the target chooses at its start. A restarted target may
+	// reuse it.
 	Incarnation string
 	// Started is the target's start time by its own clock, zero if not reported. It
 	// distinguishes starts with the same name.
@@ -66,7 +66,7 @@
 // Started is the target's start time by its own clock, zero if not reported.
 func (t *Target) Started() time.Time { return t.heartbeat.Started }
 
-// Incarnation is the name that the target gave itself.
+// Incarnation is the name that the target chose at its start.
 func (t *Target) Incarnation() string { return t.heartbeat.Incarnation }
 
 // Address is the host and port at which the target accepts requests.
@@ -81,7 +81,7 @@
 // AcceptsWork reports whether the target receives new requests.
 func (t *Target) AcceptsWork() bool { return t.acceptsWork }
 
-// Departure is a target's announcement that it exits.
+// Departure is a target's message that it exits.
 type Departure struct {
 	Incarnation string
 	// Started identifies the start that exits, zero if not reported.
@@ -127,7 +127,7 @@
 	b.receivedAny = true
 	before := b.current
 	// Draining does not carry over to a later start with the same name.
-	same := before != nil && before.isStart(h)
+	same := before != nil && before.isSameStart(h)
 	if same && before.heartbeat.State == Draining {
 		h.State = Draining
 	}
@@ -135,8 +135,8 @@
 	return !same || before.acceptsWork != b.current.acceptsWork || before.Slots() != h.Slots
 }
 
-// isStart reports whether a heartbeat belongs to this start of the target.
-func (t *Target) isStart(h Heartbeat) bool {
+// isSameStart reports whether a heartbeat belongs to this start of the target.
+func (t *Target) isSameStart(h Heartbeat) bool {
 	return t.Incarnation() == h.Incarnation && t.heartbeat.Started.Equal(h.Started)
 }
 
@@ -145,7 +145,7 @@
 	switch {
 	case b.current == nil || b.current.restored:
 		return true
-	case b.current.isStart(h):
+	case b.current.isSameStart(h):
 		return h.Sequence > b.current.heartbeat.Sequence
 	case b.current.Incarnation() == h.Incarnation:
 		return h.Started.After(b.current.heartbeat.Started)
@@ -170,7 +170,7 @@
 	})
 }
 
-// takeoverDelay is how long a target must have been silent before another incarnation
+// takeoverDelay is how long a target must have sent no heartbeat before another incarnation
 // replaces it. It is longer than the heartbeat interval, so that a delayed heartbeat of
 // a crashed target does not replace the running one.
 const takeoverDelay = 3 * time.Second
@@ -188,10 +188,10 @@
 	if b.current == nil || !b.current.acceptsWork || !d.covers(b.current.heartbeat) {
 		return false
 	}
-	left := *b.current
-	left.acceptsWork = false
-	left.heartbeat.State = Draining
-	b.current = &left
+	draining := *b.current
+	draining.acceptsWork = false
+	draining.heartbeat.State = Draining
+	b.current = &draining
 	return true
 }
 
@@ -212,9 +212,9 @@
 	return d.Incarnation == h.Incarnation && !h.Started.After(d.Started)
 }
 
-// misdirected handles a request that the target refused because it is another incarnation,
+// applyMisdirected handles a request that the target refused because it is another incarnation,
 // and reports whether the view changed.
-func (b *targetTracker) misdirected(incarnation string, now time.Time) bool {
+func (b *targetTracker) applyMisdirected(incarnation string, now time.Time) bool {
 	if b.current == nil || b.current.Incarnation() != incarnation {
 		return false
 	}
--- a/lib/bfhost/hop.go
+++ b/lib/bfhost/hop.go
@@ -56,18 +56,18 @@
 	if err != nil {
 		return Policy{}, &PolicyError{text}
 	}
-	patience, err := strconv.Atoi(fields[7])
+	slotWait, err := strconv.Atoi(fields[7])
 	if err != nil {
 		return Policy{}, &PolicyError{text}
 	}
-	linkPatience, err := strconv.Atoi(fields[8])
+	linkWait, err := strconv.Atoi(fields[8])
 	if err != nil {
 		return Policy{}, &PolicyError{text}
 	}
 	return Policy{
 		Service: fields[0], Rank: rank, Nested: fields[2] == flagNested, Repeatable: fields[3] == flagRepeatable,
 		Repeat: fields[4] == flagRepeat, Inherited: fields[5] == flagInherited, Late: fields[6] == flagLate,
-		MaxSlotWait: time.Duration(patience) * time.Millisecond, MaxLinkWait: time.Duration(linkPatience) * time.Millisecond,
+		MaxSlotWait: time.Duration(slotWait) * time.Millisecond, MaxLinkWait: time.Duration(linkWait) * time.Millisecond,
 		Class: fields[9],
 	}, nil
 }
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -64,7 +64,7 @@
 		gate:    bfslot.New(parts.Timer),
 		tracker: targetTracker{service: parts.Service},
 	}
-	h.flights = h.newFlights()
+	h.flights = h.newFlightTracker()
 	return h
 }
 
@@ -184,7 +184,7 @@
 		return Refused{Reason: OverBudget}
 	}
 	h.beginRun(job, run)
-	result := h.sendToTarget(ctx, job, handover{target, flight}, func() {
+	result := h.sendToTarget(ctx, job, dispatch{target, flight}, func() {
 		h.endRun(job, run)
 		flight.End()
 		slot.Release()
@@ -225,8 +225,8 @@
 	h.inProgress.Add(-1)
 }
 
-// handover is a request sent to a target.
-type handover struct {
+// dispatch holds the target to which a request is sent and its entry among the requests in flight.
+type dispatch struct {
 	target *Target
 	flight *bfflight.Flight
 }
@@ -237,7 +237,7 @@
 
 // sendToTarget sends the job to the target; done is called when the request no longer
 // occupies it.
-func (h *Host) sendToTarget(ctx context.Context, job Job, to handover, done func()) Result {
+func (h *Host) sendToTarget(ctx context.Context, job Job, to dispatch, done func()) Result {
 	left := job.Deadline.Sub(h.parts.Timer.Now())
 	if left <= 0 {
 		done()
@@ -274,7 +274,7 @@
 }
 
 // lost is the result of a request whose answer did not arrive.
-func (h *Host) lost(ctx context.Context, err error, job Job, to handover) Result {
+func (h *Host) lost(ctx context.Context, err error, job Job, to dispatch) Result {
 	if !h.parts.Timer.Now().Before(job.Deadline) {
 		return Expired{Sent: true}
 	}
@@ -283,13 +283,13 @@
 }
 
 // readResponse reads the answer, or the target's statement that it did not run the request.
-func (h *Host) readResponse(ctx context.Context, from *bfexchange.Answer, to handover, finish func(), job Job) Result {
+func (h *Host) readResponse(ctx context.Context, from *bfexchange.Answer, to dispatch, finish func(), job Job) Result {
 	if from.Status() == http.StatusMisdirectedRequest {
 		// The address belongs to another incarnation; refuse requests until its first heartbeat.
 		from.Close()
 		finish()
 		now := h.parts.Timer.Now()
-		h.change(func(b *targetTracker) bool { return b.misdirected(to.target.Incarnation(), now) })
+		h.change(func(b *targetTracker) bool { return b.applyMisdirected(to.target.Incarnation(), now) })
 		return Refused{Reason: NoTarget}
 	}
 	if from.Header().Get(h.parts.Names.NotRun) != "" {
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -332,16 +332,16 @@
 // The parent of a nested call is found by ID among the requests in progress.
 func TestParentOfANestedCall(t *testing.T) {
 	var r *fixture
-	var nested, repeat, stranger bool
+	var nested, repeat, unrelated bool
 	r = newFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		parent := r.host.Parent(q.Header.Get(names.RequestID) + ".call")
-		nested, stranger = parent != nil, r.host.Parent("other.call") != nil
+		nested, unrelated = parent != nil, r.host.Parent("other.call") != nil
 		repeat = parent != nil && parent.IsRepeat()
 		hello(w, q)
 	})
 	r.heartbeat("a", 1, Ready)
 	r.Equal(r.run(job("1")), "200 hello")
-	r.True(nested && !repeat && !stranger)
+	r.True(nested && !repeat && !unrelated)
 	again := job("2")
 	again.Policy.Repeat = true
 	r.Equal(r.run(again), "200 hello")
@@ -429,7 +429,7 @@
 	r.NoErr(err)
 	r.Equal(string(body), "POST /x/..//y?z body")
 	_, typed := answer.Header()["Content-Type"]
-	r.True(!typed) // net/http guessed none
+	r.True(!typed) // net/http added none
 	answer.Close()
 	delete(request.Header, policyHeader)
 	answer, err = client.Send(context.Background(), strings.TrimPrefix(inbound.URL, "http://"), request)
--- a/lib/bfhost/inbound.go
+++ b/lib/bfhost/inbound.go
@@ -28,7 +28,7 @@
 	defer i.host.inProgress.Add(-1)
 	job, err := i.read(r)
 	if err != nil {
-		// Nodes of different versions may not understand each other's policies. Without the
+		// A node of another version may send a policy that can't be parsed. Without the
 		// outcome the entry would treat this as the target's own answer.
 		w.Header().Set(bfheader.Outcome, outcomeRefused)
 		w.Header().Set(bfheader.Reason, string(Unreadable))
@@ -120,7 +120,7 @@
 		header[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		// Keep net/http from guessing one.
+		// Prevents net/http from detecting a type from the body.
 		header["Content-Type"] = nil
 	}
 	if answer.Length >= 0 && r.Method != http.MethodHead {
--- a/lib/bfhost/inbound_test.go
+++ b/lib/bfhost/inbound_test.go
@@ -47,12 +47,12 @@
 	pacer := bfpacer.New(r.host.parts.Timer, 5)
 	busy := pacer.Begin(1 << 20)
 	inbound := NewInbound(r.host, pacer)
-	send := func(patience time.Duration) *httptest.ResponseRecorder {
+	send := func(linkWait time.Duration) *httptest.ResponseRecorder {
 		request := httptest.NewRequest(http.MethodGet, "/x", nil)
 		request.Header.Set(names.RequestID, "1")
 		request.Header.Set(names.Deadline, "2000")
 		policy := job("1").Policy
-		policy.MaxLinkWait = patience
+		policy.MaxLinkWait = linkWait
 		WritePolicy(request.Header, policy)
 		answer := httptest.NewRecorder()
 		inbound.ServeHTTP(answer, request)
--- a/lib/bfhost/job.go
+++ b/lib/bfhost/job.go
@@ -10,14 +10,15 @@
 	"bilberryflow.org/lib/bfexchange"
 )
 
-// Job is one request for the target.
+// Job is one request for the target, with its deadline and policy.
 type Job struct {
 	Request  *bfexchange.Request
 	Deadline time.Time
 	Policy   Policy
 }
 
-// Policy is how the entry decided that a request is treated.
+// Policy states how the target's node handles a request: its statistics, priority, retry budget
+// and maximum waits. The entry sends it with the request.
 type Policy struct {
 	// Service is the destination service.
 	Service string
@@ -152,11 +153,11 @@
 	EntryBufferBytes = 16 << 10
 )
 
-// ReadAnswer reads the first hold bytes of an answer, or all of it. done is called at the
+// ReadAnswer reads the first limit bytes of an answer, or all of it. done is called at the
 // end of the answer; if ReadAnswer returns an error, done is not called.
-func ReadAnswer(from *bfexchange.Answer, hold int, done func()) (*Answer, error) {
+func ReadAnswer(from *bfexchange.Answer, limit int, done func()) (*Answer, error) {
 	answer := &Answer{Status: from.Status(), Header: from.Header(), Length: from.Length()}
-	head, complete, err := readHead(from, hold)
+	head, complete, err := readHead(from, limit)
 	if err != nil {
 		from.Close()
 		return nil, err
@@ -176,15 +177,15 @@
 	return answer, nil
 }
 
-// readHead reads up to hold bytes; complete is set if the body has ended.
-func readHead(from *bfexchange.Answer, hold int) (head []byte, complete bool, err error) {
+// readHead reads up to limit bytes; complete is set if the body has ended.
+func readHead(from *bfexchange.Answer, limit int) (head []byte, complete bool, err error) {
 	size := int64(512)
 	if from.Length() >= 0 {
 		// One byte more than the body, so that EOF is reached without growing the buffer.
-		size = min(from.Length(), int64(hold)) + 1
+		size = min(from.Length(), int64(limit)) + 1
 	}
 	head = make([]byte, 0, size)
-	for len(head) < hold {
+	for len(head) < limit {
 		if len(head) == cap(head) {
 			head = append(head, 0)[:len(head)]
 		}
--- a/lib/bfhost/quarantine_test.go
+++ b/lib/bfhost/quarantine_test.go
@@ -15,10 +15,10 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// suspect records that a job's request crashed so many targets.
-func (r *fixture) suspect(j Job, ends int) {
+// suspect records that a job's request caused a number of crashes.
+func (r *fixture) suspect(j Job, crashes int) {
 	key := bfquarantine.KeyOf(NewQuarantineRequest(j.Request, names.CallerService))
-	for i := range ends {
+	for i := range crashes {
 		r.host.parts.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
 	}
 }
@@ -74,11 +74,11 @@
 		hello(w, q)
 	})
 	r.heartbeat("a", 1, Ready)
-	popular := job("1")
+	suspected := job("1")
 	end := make(chan string, 1)
-	r.group.Go("run", func(context.Context) error { end <- r.run(popular); return nil })
+	r.group.Go("run", func(context.Context) error { end <- r.run(suspected); return nil })
 	<-begun
-	r.suspect(popular, 3)
+	r.suspect(suspected, 3)
 	r.True(r.host.parts.Quarantine.View().HasHeld())
 	close(finish)
 	r.Equal(<-end, "200 hello")
