--- a/lib/bfnews/members.go
+++ b/lib/bfnews/members.go
@@ -26,17 +26,17 @@
 // revision, so it counts as changed even if its contents are the same.
 func membersDelta(from, to Roster) MembersDelta {
 	d := MembersDelta{Base: from.Revision, Revision: to.Revision}
-	left := make(map[string]bffleet.Member, len(from.Members))
+	unmatched := make(map[string]bffleet.Member, len(from.Members))
 	for _, m := range from.Members {
-		left[m.Inbound] = m
+		unmatched[m.Inbound] = m
 	}
 	for _, m := range to.Members {
-		if left[m.Inbound] != m {
+		if unmatched[m.Inbound] != m {
 			d.Changed = append(d.Changed, m)
 		}
-		delete(left, m.Inbound)
+		delete(unmatched, m.Inbound)
 	}
-	for inbound := range left {
+	for inbound := range unmatched {
 		d.Gone = append(d.Gone, inbound)
 	}
 	slices.SortFunc(d.Changed, func(a, b bffleet.Member) int { return strings.Compare(a.Inbound, b.Inbound) })
--- a/lib/bfnews/news.go
+++ b/lib/bfnews/news.go
@@ -172,8 +172,8 @@
 
 const (
 	// connectedPollInterval is the time between polls while the store answers. A member that
-	// restarts while the store rejects its calls knows no other member, and is polled by one
-	// within about this time.
+	// restarts while the store rejects its calls has no member list, and is polled by a
+	// member within about this time.
 	connectedPollInterval = 2 * time.Second
 	// disconnectedPollInterval is the time between polls while the store does not answer. It
 	// spreads a version from one node to all within about a second.
@@ -306,9 +306,9 @@
 
 // fetchFromPoller fetches newer data from the node that polled this one.
 //
-// A store that accepts this node's calls but never completes them leaves it with an old version
-// although it considers itself current. If all members it knows are in the same state, only a
-// poll by a node that it does not know reveals that.
+// If the store accepts this node's calls but never completes them, the node keeps an old version
+// and still counts as current. If all members in its list are in the same state, only a poll by
+// a node outside that list reveals the newer version.
 func (e *Exchange) fetchFromPoller(ctx context.Context, request pollRequest) {
 	if e.state.Current() && e.timer.Wait(ctx, e.fetchDelay(request.Version)) != nil {
 		return
--- a/lib/bfnews/news_test.go
+++ b/lib/bfnews/news_test.go
@@ -198,7 +198,7 @@
 	is.Equal(len(rejected.Roster().Members), 5)
 }
 
-// The store has dropped a node's pending call, so the node considers itself current. A member
+// The store has dropped a node's pending call, so the node counts as current. A member
 // with a newer version must bring it up to date.
 func TestNodeWithDroppedCallIsUpdatedByPeers(t *testing.T) {
 	group := bfgroup.New(context.Background())
@@ -221,9 +221,9 @@
 	}
 }
 
-// The store never completes the node's calls, and all members that the node knows are in the
-// same state, so its own polls find nothing. A member that it does not know polls it with a
-// newer version, which the node must fetch.
+// The store never completes the node's calls, and all members in the node's list are in
+// the same state, so its own polls find nothing. A member outside that list polls it with a newer
+// version, which the node must fetch.
 func TestNodeWithDroppedCallFetchesFromPoller(t *testing.T) {
 	group := bfgroup.New(context.Background())
 	defer group.Cancel()
@@ -254,7 +254,7 @@
 	state.ApplySpec(testSpec(9, "r"))
 	r, err = e.buildReply(pollRequest{Version: 7, Send: true})
 	is.NoErr(err)
-	is.True(len(r.Spec) == 0 && len(r.Delta) > 0) // a delta, since version 7 is still remembered
+	is.True(len(r.Spec) == 0 && len(r.Delta) > 0) // a delta, since version 7 is still held
 	e.apply(pollReply{Delta: []byte("damaged")})
 	e.apply(pollReply{Spec: []byte("damaged"), Roster: []byte("damaged")})
 	is.Equal(state.Version(), bftraffic.Version(9))
@@ -292,7 +292,7 @@
 	is.Equal([]int{alone.sources, len(alone.relays)}, []int{2, 2}) // there is no other domain
 }
 
-// testDomain is a failure domain of running nodes that know each other.
+// testDomain is a failure domain of running nodes with the same member list.
 type testDomain struct {
 	states    map[string]*memoryState
 	exchanges map[string]*Exchange
@@ -364,8 +364,8 @@
 		f.Replace(held.Members)
 		f.Change(delta.Changed, delta.Gone)
 		got, want := f.Members(), slices.Clone(last.Members)
-		slices.SortFunc(got, order)
-		slices.SortFunc(want, order)
+		slices.SortFunc(got, compareByLinkSpeed)
+		slices.SortFunc(want, compareByLinkSpeed)
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
@@ -526,7 +526,7 @@
 }
 
 // The store has dropped the calls of the sources, so all members have an old version and
-// consider themselves current. When one of them receives a newer version, all must have it
+// count as current. When one of them receives a newer version, all must have it
 // within the two seconds allowed for a change.
 func TestHintReachesFleetWithDroppedSources(t *testing.T) {
 	group := bfgroup.New(context.Background())
--- a/lib/bfnews/plan.go
+++ b/lib/bfnews/plan.go
@@ -10,7 +10,7 @@
 
 const (
 	// relaysPerDomain is how many members of a failure domain send updates to the rest of it.
-	// With two, the loss of one goes unnoticed.
+	// With two, the loss of one interrupts no updates.
 	relaysPerDomain = 2
 	// sourcesPerFleet is how many relays read the store, counted over all domains. Every change
 	// costs each reader a call.
@@ -59,7 +59,7 @@
 // makePlan computes the plan of a node in the given domain.
 func makePlan(domain string, members []bffleet.Member) *plan {
 	p := &plan{size: len(members)}
-	slices.SortFunc(members, order)
+	slices.SortFunc(members, compareByLinkSpeed)
 	relaysByDomain := map[string]int{}
 	for _, m := range members {
 		if m.Domain == domain {
@@ -74,8 +74,8 @@
 	return p
 }
 
-// order sorts by descending link speed, and by a hash for equal speeds.
-func order(a, b bffleet.Member) int {
+// compareByLinkSpeed orders members by descending link speed, and by a hash for equal speeds.
+func compareByLinkSpeed(a, b bffleet.Member) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(hash(a.Inbound), hash(b.Inbound)), cmp.Compare(a.Inbound, b.Inbound))
 }
 
--- a/lib/bfnews/push.go
+++ b/lib/bfnews/push.go
@@ -27,7 +27,7 @@
 	Members []byte `json:"members,omitempty"`
 	// Fresh is set if the sender follows the store. Reader is set if it does so by its own
 	// calls and not through updates from another node; without it, two nodes that the store
-	// rejects would each consider the other fresh.
+	// rejects would each treat the other as fresh.
 	Fresh  bool `json:"fresh,omitempty"`
 	Reader bool `json:"reader,omitempty"`
 	// Hint is set on an update from a node that is not a regular sender and only has newer
@@ -157,9 +157,9 @@
 	})
 }
 
-// sendHint informs the upstream nodes of data that came from another source.
+// sendHint sends the upstream nodes the version and revision of data that did not come from them.
 //
-// If the store has dropped the calls of the sources, they consider themselves current with an
+// If the store has dropped the calls of the sources, they count as current with an
 // old version, and so do the nodes that receive their updates. The hint makes the upstream
 // nodes fetch the new data on behalf of all; periodic polls alone would take seconds to spread
 // it.
@@ -171,8 +171,8 @@
 	e.push(p.upstream(e.place.Inbound), update{Version: e.state.Version(), Revision: e.state.Revision(), Peer: e.self, Hint: true})
 }
 
-// sendFirstHint informs the upstream nodes of the member list at the first start of a fleet,
-// since they may not have read it yet.
+// sendFirstHint sends the upstream nodes the revision of the member list at the first start of a
+// fleet, since they may not have read it yet.
 func (e *Exchange) sendFirstHint() {
 	if e.firstStart && e.received.any.Load() == 0 && e.hinted.CompareAndSwap(false, true) {
 		e.sendHint()
--- a/lib/bfnews/reading.go
+++ b/lib/bfnews/reading.go
@@ -31,7 +31,7 @@
 	// versionTimeout is how long a node that is new to the fleet waits for the version in force
 	// from a peer. Its own target takes longer to warm up.
 	versionTimeout = 500 * time.Millisecond
-	// isolatedVersionTimeout is how long a node that knows no member waits before it reads its
+	// isolatedVersionTimeout is how long a node without a member list waits before it reads its
 	// first version.
 	isolatedVersionTimeout = 150 * time.Millisecond
 	// versionRetryInterval is the time between polls for the first version.
@@ -39,7 +39,7 @@
 )
 
 // receiptTimes holds when a node last received updates, in nanoseconds since its start; 0 for
-// never. The time is monotonic: if the wall clock jumped back, a silent sender would appear
+// never. The time is monotonic: if the wall clock jumped back, a failed sender would appear
 // active.
 type receiptTimes struct {
 	// any is from any sender, fresh from one that reads the store or receives updates from such
@@ -104,7 +104,7 @@
 // uptime returns the monotonic time since the start in nanoseconds, at least 1.
 func (e *Exchange) uptime() int64 { return max(int64(e.timer.Now().Sub(e.started)), 1) }
 
-// plan returns the plan for the members known now.
+// plan returns the plan for the current member list.
 func (e *Exchange) plan() *plan {
 	generation := e.fleet.Generation()
 	if cached := e.cachedPlan.Load(); cached != nil && cached.generation == generation {
@@ -136,8 +136,8 @@
 	return !e.firstStart && (!isMember || e.uptime() > int64(versionTimeout))
 }
 
-// BatchWriter returns the peer address of the node that writes rows for all nodes, "" if no
-// member is known.
+// BatchWriter returns the peer address of the node that writes rows for all nodes, "" if the
+// member list is empty.
 func (e *Exchange) BatchWriter() string {
 	p := e.plan()
 	if len(p.relays) == 0 {
