--- a/lib/bffollow/doc.go
+++ b/lib/bffollow/doc.go
@@ -1,4 +1,4 @@
-// Package bffollow keeps up with a table of the platform's store: it reads the full table once,
+// Package bffollow follows a table of the platform's store: it reads the full table once,
 // then waits for changes, and reads the full table again if the store no longer has the changes
 // in between.
 package bffollow
--- a/lib/bffollow/follow.go
+++ b/lib/bffollow/follow.go
@@ -46,6 +46,7 @@
 type Config struct {
 	Table string
 	Rows  bfstore.Rows
+	// Apply is called by Run with each batch that was read.
 	Apply func(Batch)
 	// BatchDelay is the pause after a change, in which further changes are batched to save
 	// calls.
