--- a/bfnode/internal/bfcommand/command.go
+++ b/bfnode/internal/bfcommand/command.go
@@ -16,7 +16,7 @@
 	"bilberryflow.org/lib/bfserver"
 )
 
-// Program is the node as a daemon.
+// Program returns the daemon bfnode.
 func Program() bfprogram.Program[Settings] {
 	return bfprogram.Program[Settings]{
 		Name:        "bfnode",
@@ -31,7 +31,7 @@
 
 func build(settings Settings, logger *bflog.Logger) (bfprogram.App, error) {
 	if settings.Mesh != nil {
-		return bfmesh.Build(settings.mesh(), *settings.Mesh, logger)
+		return bfmesh.Build(settings.commonSettings(), *settings.Mesh, logger)
 	}
 	node, err := newNode(settings, logger, time.Now())
 	if err != nil {
@@ -48,11 +48,11 @@
 	}, nil
 }
 
-// listen opens every port before any is served, so that a taken one is a start
-// that failed and not a node that half works.
+// listen opens every port before any of them serves, so that a port in use fails the
+// start instead of leaving a node that works in part.
 func (n *node) listen() ([]transport.Server, error) {
 	s := n.settings
-	secure, err := bfserver.LoadTLS(s.Certificate, s.Key)
+	tlsConfig, err := bfserver.LoadTLS(s.Certificate, s.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 		}
 		servers = append(servers, server)
 	}
-	operator, err := bfserver.Listen("operator", s.Listen.Operator, n.operator, secure)
+	operator, err := bfserver.Listen("operator", s.Listen.Operator, n.operator, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -87,10 +87,11 @@
 	return append(servers, operator), nil
 }
 
-// warmUpSpread keeps nodes from opening connections at the same moment.
+// warmUpSpread is the jitter of the warm-up interval, as a fraction of it. It keeps
+// nodes from opening connections at the same moment.
 const warmUpSpread = 0.5
 
-// Start runs the control plane until Stop.
+// Start runs the control plane and returns when Stop is called.
 func (n *node) Start(context.Context) error {
 	n.group.Go("timer", n.timer.Run)
 	n.group.Go("calls", func(ctx context.Context) error { return n.calls.Serve(ctx, n.peers) })
--- a/bfnode/internal/bfcommand/doc.go
+++ b/bfnode/internal/bfcommand/doc.go
@@ -1,2 +1,3 @@
-// Package bfcommand is the program bfnode: its settings and how its parts are joined.
+// Package bfcommand implements the program bfnode: its settings and the wiring of its
+// components.
 package bfcommand
--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -31,44 +31,45 @@
 )
 
 const (
-	// sweepInterval is how often connections that nobody uses are closed.
+	// sweepInterval is how often idle connections are closed.
 	sweepInterval = 10 * time.Second
-	// connectionIdle is how long a connection to a peer is kept unused.
-	connectionIdle = 30 * time.Second
+	// connectionIdleTimeout is how long an unused connection to a peer is kept open.
+	connectionIdleTimeout = 30 * time.Second
 )
 
-// node is every part of one node, joined.
+// node holds the components of one node.
 type node struct {
-	settings Settings
-	home     bfrecord.Home
-	logger   *bflog.Logger
-	metrics  *bfmetric.Registry
-	group    *bfgroup.Group
-	timer    *bftimer.Service
-	platform *bftable.Client
-	peers    net.Listener
-	calls    *bfpeer.Calls
-	client   *bfforward.Client
-	control  *bfcontrol.Control
-	book     *bfquarantine.Book
-	rumor    *bfrumor.Exchange
-	guard    *bfguard.Guard
-	teller   teller
-	entry    *bfcaller.Entry
-	caller   *bfcaller.Handler
-	operator *bfoperator.Handler
+	settings        Settings
+	home            bfrecord.Home
+	logger          *bflog.Logger
+	metrics         *bfmetric.Registry
+	group           *bfgroup.Group
+	timer           *bftimer.Service
+	platform        *bftable.Client
+	peers           net.Listener
+	calls           *bfpeer.Calls
+	client          *bfforward.Client
+	control         *bfcontrol.Control
+	quarantine      *bfquarantine.Book
+	rumor           *bfrumor.Exchange
+	guard           *bfguard.Guard
+	targetPublisher targetPublisher
+	entry           *bfcaller.Entry
+	caller          *bfcaller.Handler
+	operator        *bfoperator.Handler
 }
 
-// newNode joins the parts; started is when the process started, and its incarnation.
+// newNode builds the components and connects them; the start time of the process is
+// also the node's incarnation.
 func newNode(settings Settings, logger *bflog.Logger, started time.Time) (*node, error) {
 	incarnation := uint64(started.UnixMicro())
 	n := &node{
 		settings: settings, logger: logger,
-		home:    bfrecord.Home{Instance: settings.Instance, Incarnation: incarnation},
-		metrics: bfmetric.New(),
-		group:   bfgroup.New(context.Background()),
-		timer:   bftimer.New(incarnation),
-		book:    bfquarantine.New(settings.Instance),
+		home:       bfrecord.Home{Instance: settings.Instance, Incarnation: incarnation},
+		metrics:    bfmetric.New(),
+		group:      bfgroup.New(context.Background()),
+		timer:      bftimer.New(incarnation),
+		quarantine: bfquarantine.New(settings.Instance),
 	}
 	n.metrics.Publish("node")
 	n.metrics.Gauge("goroutines_in_group", n.group.Running)
@@ -82,11 +83,11 @@
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, traffic, n.group)
 	n.rumor = bfrumor.New(bfrumor.Config{
-		Self: settings.Listen.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
-		Recipients: n.rumorAudience,
+		Self: settings.Listen.Peer, Book: n.quarantine, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
+		Recipients: n.rumorRecipients,
 	})
 	n.newGuard(minter, directory)
-	n.newTeller()
+	n.newTargetPublisher()
 	if err := n.newControl(directory, traffic, methods); err != nil {
 		return nil, err
 	}
@@ -99,18 +100,20 @@
 	n.guard = bfguard.New(bfguard.Config{
 		Home: n.home, Service: n.settings.Service, ColdStart: n.coldStart,
 		View: n.view, Client: bfforward.New(bfforward.TargetOptions()), Minter: minter,
-		Timer: n.timer, Logger: n.logger, Metrics: n.metrics, PublishState: n.tell,
+		Timer: n.timer, Logger: n.logger, Metrics: n.metrics, PublishState: n.publishTargetState,
 		Table: n.platform, Directory: directory, Resolver: bfguard.Resolver{Calls: n.calls}, Spawn: n.group.Go,
-		Quarantine: n.book, Crashed: n.targetCrashed,
+		Quarantine: n.quarantine, Crashed: n.targetCrashed,
 	})
 }
 
-// rumorFanout is how many members a node tells what is new to it; each of them tells as
-// many. Those that this misses see another digest on a probe.
+// rumorFanout is the number of members to which a node forwards new quarantine
+// entries; each of them forwards them to as many. Members missed by this find the
+// difference by the digest on a probe.
 const rumorFanout = 3
 
-// rumorAudience are the peers that hear at once of what is new here, drawn anew each time.
-func (n *node) rumorAudience(bool) (peers []string) {
+// rumorRecipients returns the peers that receive new quarantine entries at once,
+// chosen at random on each call.
+func (n *node) rumorRecipients(bool) (peers []string) {
 	order := n.control.Order()
 	if order.Len() == 0 {
 		return nil
@@ -123,19 +126,19 @@
 	return peers
 }
 
-// targetCrashed tells of a target that ended, and of what it ran.
+// targetCrashed logs a crash of the target with the requests that it was running.
 func (n *node) targetCrashed(crash bfflight.Crash) {
-	bfflight.LogCrash(n.logger, crash, n.book.View(), n.timer.Now())
+	bfflight.LogCrash(n.logger, crash, n.quarantine.View(), n.timer.Now())
 }
 
-func (n *node) newTeller() {
-	n.teller.status = func() bfguard.Status { return n.guard.Status(n.timer.Now()) }
-	n.teller.tell = func(ctx context.Context, status bfguard.Status) error {
+func (n *node) newTargetPublisher() {
+	n.targetPublisher.status = func() bfguard.Status { return n.guard.Status(n.timer.Now()) }
+	n.targetPublisher.publish = func(ctx context.Context, status bfguard.Status) error {
 		return n.control.SetTarget(ctx, status.State, status.Slots)
 	}
 }
 
-// newControl needs the guard, whose calls it answers beside its own.
+// newControl must run after newGuard: it registers the guard's methods as well.
 func (n *node) newControl(directory *bfdirectory.Directory, traffic *bfpeer.Traffic, methods bfpeer.Methods) error {
 	datagrams, err := bfpeer.ListenDatagrams(n.settings.Listen.Peer, traffic)
 	if err != nil {
@@ -150,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	// Nothing is served before the methods are all there.
+	// The methods must be complete before the node serves any call.
 	maps.Copy(methods, n.control.Methods())
 	maps.Copy(methods, n.guard.Methods())
 	maps.Copy(methods, n.rumor.Methods())
@@ -171,7 +174,7 @@
 	n.entry = bfcaller.New(bfcaller.Config{
 		View: n.view, Directory: directory, Client: n.client, Resolver: bfguard.Resolver{Calls: n.calls},
 		Minter: minter, Timer: n.timer, Metrics: n.metrics, Spawn: n.group.Go,
-		Quarantine: n.book,
+		Quarantine: n.quarantine,
 	})
 	n.caller = bfcaller.NewHandler(n.entry, n.settings.Requests.MaxBody, n.settings.Requests.BodyTimeout.Std())
 }
@@ -179,15 +182,16 @@
 func (n *node) newOperator(directory *bfdirectory.Directory) {
 	backend := bfbackend.New(bfbackend.Config{
 		Control: n.control, Table: n.platform, Objects: n.platform, Directory: directory, Calls: n.calls,
-		Quarantine: n.book, Timer: n.timer, Logger: n.logger, SnapshotEvery: bfconfig.Version(n.settings.SnapshotEvery), Spawn: n.group.Go,
+		Quarantine: n.quarantine, Timer: n.timer, Logger: n.logger, SnapshotEvery: bfconfig.Version(n.settings.SnapshotEvery), Spawn: n.group.Go,
 	})
 	n.operator = bfoperator.New(backend, n.settings.Operators)
 }
 
-// view is the view in force; the control plane swaps it whole.
+// view returns the view in force; the control plane replaces it as a whole.
 func (n *node) view() *bfroute.View { return n.control.View() }
 
-// coldStart is the ramp of this node's service by the configuration held.
+// coldStart returns the ramp-up time of this node's service from the configuration
+// held, zero where there is none.
 func (n *node) coldStart() time.Duration {
 	object, _ := n.control.State().Object(bfconfig.Ref{Kind: bfconfig.KindService, Name: n.settings.Service})
 	if service, found := object.(bfconfig.ServiceSpec); found {
@@ -196,26 +200,26 @@
 	return 0
 }
 
-// tell has the fleet told of a change of the target's state.
-func (n *node) tell(bfroster.TargetState, int) {
-	n.group.Go("tell target state", func(ctx context.Context) error {
-		// It ends only with the node, which then tells that it leaves.
-		_ = n.teller.run(ctx)
+// publishTargetState publishes a change of the target's state in the background.
+func (n *node) publishTargetState(bfroster.TargetState, int) {
+	n.group.Go("publish target state", func(ctx context.Context) error {
+		// It fails only when the node stops, which is published by Leave.
+		_ = n.targetPublisher.publishCurrent(ctx)
 		return nil
 	})
 }
 
 func (n *node) sweep(now time.Time) {
-	n.calls.CloseIdle(now, connectionIdle)
-	n.client.Sweep(now, connectionIdle)
+	n.calls.CloseIdle(now, connectionIdleTimeout)
+	n.client.Sweep(now, connectionIdleTimeout)
 }
 
-// drain is the graceful stop: no new work, everything in flight finished, then goodbye.
+// drain stops the node gracefully: it takes no new work, finishes what is in flight,
+// and then leaves the control plane.
 //
-// The order keeps a caller's request from being cut: first the target gets no
-// new work and callers are sent elsewhere, while this node's answers and
-// questions still go through; the fleet is told that the node left only when
-// nothing is in flight any more.
+// The order keeps requests from being cut: the target gets no new work and callers are
+// sent to other nodes while this node still answers and resolves requests. The node
+// leaves the control plane only when nothing is in flight.
 func (n *node) drain(ctx context.Context) {
 	n.guard.Leave()
 	n.caller.Leave()
--- a/bfnode/internal/bfcommand/settings.go
+++ b/bfnode/internal/bfcommand/settings.go
@@ -11,7 +11,7 @@
 	"bilberryflow.org/lib/bfsettings"
 )
 
-// Settings of a node.
+// Settings are the settings of a node.
 type Settings struct {
 	Instance      string              `json:"instance" jsonschema:"minLength=1,maxLength=64,pattern=^[a-z0-9]([a-z0-9-]*[a-z0-9])?$,description=Name of the instance; no two of the fleet share one."`
 	Region        string              `json:"region" jsonschema:"minLength=1,maxLength=64,description=Region of the instance."`
@@ -30,7 +30,7 @@
 	Mesh          *bfmesh.Mesh        `json:"mesh,omitempty" jsonschema:"description=Set where the platform keeps the configuration in its own form; operators then change it there and not by bfctl."`
 }
 
-// Listen holds the node's ports; a number 0 takes a free one.
+// Listen holds the addresses of the node's ports; port number 0 selects a free one.
 type Listen struct {
 	Caller   string `json:"caller" jsonschema:"minLength=1,description=Port for callers."`
 	Inbound  string `json:"inbound" jsonschema:"minLength=1,description=Port for requests from other nodes."`
@@ -39,26 +39,26 @@
 	Peer     string `json:"peer" jsonschema:"minLength=1,description=Port for the control plane\\, UDP and TCP; it must be an IP address with a number above 0."`
 }
 
-// Platform says where the platform is.
+// Platform holds the address of the platform and the time limit of a call to it.
 type Platform struct {
 	Address string              `json:"address" jsonschema:"minLength=1,description=Base URL."`
 	Timeout bfsettings.Duration `json:"timeout,omitempty" jsonschema:"description=Bound of one call."`
 }
 
-// Requests holds limits of requests.
+// Requests holds the limits of requests.
 type Requests struct {
 	MaxBody     int64               `json:"maxBody,omitempty" jsonschema:"minimum=1,maximum=67108864,description=Largest body of a caller's request in bytes."`
 	BodyTimeout bfsettings.Duration `json:"bodyTimeout,omitempty" jsonschema:"description=Time in which a caller must have sent its body."`
 	Protocol    string              `json:"protocol,omitempty" jsonschema:"enum=http1,enum=http2,description=How requests between nodes share connections."`
 }
 
-// Profiles by name.
+// Names of the control plane's profiles.
 const (
 	profileConvergence = "convergence"
 	profileBytes       = "bytes"
 )
 
-// Defaults are the settings where the file names none.
+// Defaults returns the settings that apply where the file sets none.
 func Defaults() Settings {
 	return Settings{
 		Profile:       profileConvergence,
@@ -69,7 +69,7 @@
 	}
 }
 
-// Example shows every field.
+// Example returns settings with every field set.
 func Example() Settings {
 	s := Defaults()
 	s.Instance, s.Region, s.FailureDomain, s.Service = "wien-nord-1", "vienna", "wien-nord", "portal-core"
@@ -85,7 +85,8 @@
 	return s
 }
 
-// Check finds what the schema can't express.
+// Check validates what the schema can't express. It returns a *bfsettings.FieldError
+// for the first invalid field.
 func Check(s Settings) error {
 	peer, err := netip.ParseAddrPort(s.Listen.Peer)
 	if err != nil || peer.Port() == 0 {
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// mesh is the node as bfmesh takes it.
-func (s Settings) mesh() bfmesh.Node {
+// commonSettings returns the settings that bfmesh shares with other nodes.
+func (s Settings) commonSettings() bfmesh.Node {
 	return bfmesh.Node{
 		Instance: s.Instance, Region: s.Region, FailureDomain: s.FailureDomain, Service: s.Service,
 		Caller: s.Listen.Caller, Inbound: s.Listen.Inbound, Operator: s.Listen.Operator,
--- a/bfnode/internal/bfcommand/settings_test.go
+++ b/bfnode/internal/bfcommand/settings_test.go
@@ -29,8 +29,8 @@
 	is.Equal(read, example)
 }
 
-// An operator's file names a peer port by host name, a seed that is no address and
-// half of a certificate. Each is refused by name before anything listens.
+// A peer address with a host name, a seed that is no address and a certificate without
+// its key are refused with the name of the field before any port opens.
 func TestCheckRefusesWhatTheSchemaAllows(t *testing.T) {
 	is := is.New(t)
 	for field, change := range map[string]func(*Settings){
@@ -40,8 +40,8 @@
 	} {
 		settings := Example()
 		change(&settings)
-		var wrong *bfsettings.FieldError
-		is.True(errors.As(Check(settings), &wrong))
-		is.Equal(wrong.Field, field)
+		var fieldErr *bfsettings.FieldError
+		is.True(errors.As(Check(settings), &fieldErr))
+		is.Equal(fieldErr.Field, field)
 	}
 }
