--- a/bfnode/internal/bfcommand/settings.go
+++ b/bfnode/internal/bfcommand/settings.go
@@ -13,21 +13,21 @@
 
 // Settings are the settings of a node.
 type Settings struct {
-	Instance      string              `json:"instance" jsonschema:"minLength=1,maxLength=64,pattern=^[a-z0-9]([a-z0-9-]*[a-z0-9])?$,description=Name of the instance; no two of the fleet share one."`
-	Region        string              `json:"region" jsonschema:"minLength=1,maxLength=64,description=Region of the instance."`
-	FailureDomain string              `json:"failureDomain" jsonschema:"minLength=1,maxLength=64,description=Failure domain of the instance."`
-	Service       string              `json:"service,omitempty" jsonschema:"maxLength=64,description=Service whose target runs beside the node; empty for none."`
-	Listen        Listen              `json:"listen" jsonschema:"description=Ports."`
-	Platform      Platform            `json:"platform" jsonschema:"description=The platform's table service and object store."`
-	Seeds         []string            `json:"seeds,omitempty" jsonschema:"description=Peer addresses of nodes to find the fleet by\\, beside the meeting rows in the table."`
-	Profile       string              `json:"profile,omitempty" jsonschema:"enum=convergence,enum=bytes,description=What control weighs more: convergence time or control bytes."`
-	Requests      Requests            `json:"requests,omitempty" jsonschema:"description=Limits of requests."`
-	Operators     []bfoperator.Token  `json:"operators,omitempty" jsonschema:"description=Who may send commands."`
-	Certificate   string              `json:"certificate,omitempty" jsonschema:"description=File of the operators' port's certificate; with it and its key the port runs TLS."`
-	Key           string              `json:"key,omitempty" jsonschema:"description=File of the certificate's key."`
-	SnapshotEvery int                 `json:"snapshotEvery,omitempty" jsonschema:"minimum=1,maximum=1000000,description=Versions between two snapshots in the object store."`
-	StopTimeout   bfsettings.Duration `json:"stopTimeout,omitempty" jsonschema:"description=Bound of a graceful stop."`
-	Mesh          *bfmesh.Mesh        `json:"mesh,omitempty" jsonschema:"description=Set where the platform keeps the configuration in its own form; operators then change it there and not by bfctl."`
+	Instance      string               `json:"instance" jsonschema:"minLength=1,maxLength=64,pattern=^[a-z0-9]([a-z0-9-]*[a-z0-9])?$,description=Name of the instance; no two of the fleet share one."`
+	Region        string               `json:"region" jsonschema:"minLength=1,maxLength=64,description=Region of the instance."`
+	FailureDomain string               `json:"failureDomain" jsonschema:"minLength=1,maxLength=64,description=Failure domain of the instance."`
+	Service       string               `json:"service,omitempty" jsonschema:"maxLength=64,description=Service whose target runs beside the node; empty for none."`
+	Listen        Listen               `json:"listen" jsonschema:"description=Ports."`
+	Platform      Platform             `json:"platform" jsonschema:"description=The platform's table service and object store."`
+	Seeds         []string             `json:"seeds,omitempty" jsonschema:"description=Peer addresses of nodes to find the fleet by\\, beside the meeting rows in the table."`
+	Profile       string               `json:"profile,omitempty" jsonschema:"enum=convergence,enum=bytes,description=What control weighs more: convergence time or control bytes."`
+	Requests      Requests             `json:"requests,omitempty" jsonschema:"description=Limits of requests."`
+	Operators     []bfoperator.Token   `json:"operators,omitempty" jsonschema:"description=Who may send commands."`
+	Certificate   string               `json:"certificate,omitempty" jsonschema:"description=File of the operators' port's certificate; with it and its key the port runs TLS."`
+	Key           string               `json:"key,omitempty" jsonschema:"description=File of the certificate's key."`
+	SnapshotEvery int                  `json:"snapshotEvery,omitempty" jsonschema:"minimum=1,maximum=1000000,description=Versions between two snapshots in the object store."`
+	StopTimeout   bfsettings.Duration  `json:"stopTimeout,omitempty" jsonschema:"description=Bound of a graceful stop."`
+	Mesh          *bfmesh.MeshSettings `json:"mesh,omitempty" jsonschema:"description=Set where the platform keeps the configuration in its own form; operators then change it there and not by bfctl."`
 }
 
 // Listen holds the addresses of the node's ports; port number 0 selects a free one.
@@ -104,8 +104,8 @@
 }
 
 // commonSettings returns the settings that bfmesh shares with other nodes.
-func (s Settings) commonSettings() bfmesh.Node {
-	return bfmesh.Node{
+func (s Settings) commonSettings() bfmesh.CommonSettings {
+	return bfmesh.CommonSettings{
 		Instance: s.Instance, Region: s.Region, FailureDomain: s.FailureDomain, Service: s.Service,
 		Caller: s.Listen.Caller, Inbound: s.Listen.Inbound, Operator: s.Listen.Operator,
 		Target: s.Listen.Target, Peer: s.Listen.Peer, PlatformAddress: s.Platform.Address,
--- a/bfnode/internal/bfmesh/doc.go
+++ b/bfnode/internal/bfmesh/doc.go
@@ -1,4 +1,4 @@
-// Package bfmesh joins the parts of a node whose configuration the platform
-// keeps: it follows the operators' configuration and the members in the
-// platform's store, and serves callers, other nodes and the target beside it.
+// Package bfmesh wires the components of a node whose configuration the platform
+// keeps. Such a node follows the operators' configuration and the table of members in
+// the platform's store, and serves callers, other nodes and the target beside it.
 package bfmesh
--- a/bfnode/internal/bfmesh/forget.go
+++ b/bfnode/internal/bfmesh/forget.go
@@ -11,30 +11,30 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// forget removes the row of a member that is out of reach, so that nobody goes on
-// looking for a machine that is gone. Whoever is first does it for all. A node whose
-// members do not follow the store is itself the one that may be cut off.
-func (n *node) forget(member bffleet.Member) {
+// removeLostMember removes the row of an unreachable member, so that other nodes stop
+// dialing it; the first node to write does it for all. A node whose state isn't up to
+// date with the store removes nothing: it may itself be the one that is partitioned.
+func (n *node) removeLostMember(member bffleet.Member) {
 	if !n.current() || member.Revision == 0 {
 		return
 	}
 	n.group.Go("forget a member", func(ctx context.Context) error {
-		n.remove(ctx, member)
+		n.removeRow(ctx, member)
 		return nil
 	})
 }
 
-func (n *node) remove(ctx context.Context, member bffleet.Member) {
+func (n *node) removeRow(ctx context.Context, member bffleet.Member) {
 	write := bfstore.RowWrite{Key: member.Inbound, Remove: true, Revision: member.Revision}
-	_, err := n.writeTogether(ctx, write)
-	var notMade *bfbatch.BatchError
-	if errors.As(err, &notMade) {
+	_, err := n.writeBatched(ctx, write)
+	var batchErr *bfbatch.BatchError
+	if errors.As(err, &batchErr) {
 		_, err = n.store.Write(ctx, membersTable, write)
 	}
 	var conflict *bfstore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		// Another node was first, or the member has written its row again.
+		// Another node removed the row first, or the member has rewritten it.
 	case err != nil:
 		n.logger.Emit(bflog.AnnounceError, slog.String("member", member.Inbound), bflog.Err(err))
 	default:
--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -41,66 +41,67 @@
 	"bilberryflow.org/platform/bfdialect"
 )
 
-// node is every part of one node, joined.
+// node holds the components of one node.
 type node struct {
-	common   Node
-	settings Mesh
-	logger   *bflog.Logger
-	metrics  *bfmetric.Registry
-	group    *bfgroup.Group
-	timer    *bftimer.Service
-	targets  *bfexchange.Client
-	nodes    *bfexchange.Client
-	fleet    *bffleet.Fleet
-	traffic  *bftraffic.Holder
-	host     *bfhost.Host
-	entry    *bfentry.Handler
-	pacer    *bfpacer.Pacer
-	store    *bfdialect.Store
-	presence *bfpresence.Presence
-	batcher  *bfbatch.Batcher
-	state    *state
-	config   *bffollow.Follower
-	members  *bffollow.Follower
-	calls    *bfpeer.Calls
-	news     *bfnews.Exchange
-	book     *bfquarantine.Book
-	rumor    *bfrumor.Exchange
-	backup   *bfbackup.Backup
-	peers    net.Listener
-	callers  *bfpipeline.Server
-	ready    readiness
+	common     CommonSettings
+	settings   MeshSettings
+	logger     *bflog.Logger
+	metrics    *bfmetric.Registry
+	group      *bfgroup.Group
+	timer      *bftimer.Service
+	targets    *bfexchange.Client
+	nodes      *bfexchange.Client
+	fleet      *bffleet.Fleet
+	traffic    *bftraffic.Holder
+	host       *bfhost.Host
+	entry      *bfentry.Handler
+	pacer      *bfpacer.Pacer
+	store      *bfdialect.Store
+	presence   *bfpresence.Presence
+	batcher    *bfbatch.Batcher
+	state      *state
+	config     *bffollow.Follower
+	members    *bffollow.Follower
+	calls      *bfpeer.Calls
+	news       *bfnews.Exchange
+	quarantine *bfquarantine.Book
+	rumor      *bfrumor.Exchange
+	backup     *bfbackup.Backup
+	peers      net.Listener
+	callers    *bfpipeline.Server
+	ready      readiness
 }
 
 const (
-	// dialTimeout bounds a connection to another node or the target. Packets
-	// between failure domains take milliseconds; a lost first packet is sent
-	// again after a second, and another target is nearer than that.
+	// dialTimeout bounds dialing another node or the target. Packets between failure
+	// domains take milliseconds; a lost SYN is retransmitted after a second, and trying
+	// another target is faster than that.
 	dialTimeout = 200 * time.Millisecond
-	// targetIdle is how long a connection to the target is kept unused where the
-	// target states no time: it states whole seconds, so an unstated time is
-	// below one.
-	targetIdle = 200 * time.Millisecond
-	// nodeIdle is how long one to another node is kept; it is below the time
-	// after which bfserver closes it.
-	nodeIdle = 30 * time.Second
-	// callIdle is how long a connection for calls to another node is kept. Most calls go to
-	// those that hear from this node, twice a second; the others are to nodes chosen by
-	// chance, and in a large fleet rarely to the same again.
-	callIdle = 5 * time.Second
-	// gatherVersions and gatherMembers are the pauses after news of a version and
-	// of members. A version is due everywhere within two seconds; a new member is due
-	// its first work within four, and of one that leaves its refusals tell.
-	gatherVersions = 450 * time.Millisecond
-	gatherMembers  = time.Second
-	// closeTimeout is how long the ports may take to close after the drain.
+	// targetIdleTimeout is how long an idle connection to the target is kept if the target
+	// announces no timeout: it announces whole seconds, so none means less than one.
+	targetIdleTimeout = 200 * time.Millisecond
+	// nodeIdleTimeout is how long an idle connection to another node is kept. It is below
+	// the idle timeout of bfserver, which closes the other end.
+	nodeIdleTimeout = 30 * time.Second
+	// callIdleTimeout is how long an idle connection for calls to another node is kept.
+	// Most calls go to this node's regular recipients, twice a second; the others go to
+	// nodes chosen at random, in a large fleet rarely the same again.
+	callIdleTimeout = 5 * time.Second
+	// versionBatchDelay and memberBatchDelay delay the next read after a change, so that
+	// several changes are read at once. A version must be in force everywhere within two
+	// seconds; a new member must get its first request within four, and one that leaves
+	// refuses requests itself.
+	versionBatchDelay = 450 * time.Millisecond
+	memberBatchDelay  = time.Second
+	// closeTimeout bounds closing the ports after the drain.
 	closeTimeout = 100 * time.Millisecond
-	// sweepInterval is how often unused connections are closed.
+	// sweepInterval is how often idle connections are closed.
 	sweepInterval = 5 * time.Second
 )
 
-// Build makes the app of a node whose configuration the platform keeps.
-func Build(common Node, settings Mesh, logger *bflog.Logger) (bfprogram.App, error) {
+// Build returns the app of a node whose configuration the platform keeps. It opens the
+// node's ports and fails with a *bfserver.ListenError if one can't be opened.
+func Build(common CommonSettings, settings MeshSettings, logger *bflog.Logger) (bfprogram.App, error) {
 	n := newNode(common, settings, logger)
 	ports, err := n.listen()
 	if err != nil {
@@ -114,41 +115,41 @@
 	}, nil
 }
 
-func newNode(common Node, settings Mesh, logger *bflog.Logger) *node {
+func newNode(common CommonSettings, settings MeshSettings, logger *bflog.Logger) *node {
 	n := &node{
 		common: common, settings: settings, logger: logger,
-		metrics: bfmetric.New(),
-		group:   bfgroup.New(context.Background()),
-		timer:   bftimer.New(uint64(time.Now().UnixNano())),
-		fleet:   bffleet.New(place(common, settings)),
-		traffic: bftraffic.NewHolder(nil),
-		book:    bfquarantine.New(common.Inbound),
+		metrics:    bfmetric.New(),
+		group:      bfgroup.New(context.Background()),
+		timer:      bftimer.New(uint64(time.Now().UnixNano())),
+		fleet:      bffleet.New(place(common, settings)),
+		traffic:    bftraffic.NewHolder(nil),
+		quarantine: bfquarantine.New(common.Inbound),
 	}
 	n.pacer = bfpacer.New(n.timer, settings.LinkMbps)
 	account := n.account()
 	names := bfdialect.Headers()
-	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, DefaultIdleTimeout: targetIdle})
-	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, DefaultIdleTimeout: nodeIdle, Wrap: n.wrap})
+	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, DefaultIdleTimeout: targetIdleTimeout})
+	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, DefaultIdleTimeout: nodeIdleTimeout, Wrap: n.wrap})
 	n.host = bfhost.New(bfhost.Parts{
 		Service: common.Service, Names: names, Client: n.targets, Timer: n.timer, Account: account,
-		Changed: n.targetChanged, Quarantine: n.book, Crashed: n.targetCrashed,
+		Changed: n.targetChanged, Quarantine: n.quarantine, Crashed: n.targetCrashed,
 	})
 	n.entry = bfentry.New(bfentry.Parts{
 		Service: common.Service, Inbound: common.Inbound, Names: names,
 		Traffic: n.traffic, Fleet: n.fleet, Host: n.host, Client: n.nodes, Pacer: n.pacer,
-		Spawn: n.group.Go, OnMemberLost: n.forget, Account: account, Quarantine: n.book,
+		Spawn: n.group.Go, OnMemberLost: n.removeLostMember, Account: account, Quarantine: n.quarantine,
 		Timer: n.timer, Logger: logger, Metrics: n.metrics,
 	})
 	n.store = bfdialect.NewStore(common.PlatformAddress)
-	n.followStore(n.store)
-	n.talkToNodes()
-	n.publish()
+	n.newStoreFollowers(n.store)
+	n.newNodeCalls()
+	n.publishMetrics()
 	n.ready = readiness{configured: func() bool { return n.traffic.Current() != nil }}
 	return n
 }
 
-// account is what the node may repeat, for the callers' requests that it sends and for
-// the runs of its target.
+// account returns the retry budget for the callers' requests that the node sends and
+// for the runs of its target.
 func (n *node) account() *bfbudget.Account {
 	return bfbudget.New(bfbudget.Options{
 		Terms: n.settings.Repeats.terms(), Nodes: n.fleet.Size, Now: n.timer.Now, Random: rand.Float64,
@@ -158,8 +159,8 @@
 	})
 }
 
-// wrap packs the heads of what is sent to other failure domains; within one bytes cost
-// next to nothing.
+// wrap compresses the headers of what is sent to other failure domains; within the
+// node's own, bandwidth costs next to nothing.
 func (n *node) wrap(inbound string, c net.Conn) net.Conn {
 	if member, found := n.fleet.Member(inbound); !found || member.Domain == n.common.FailureDomain {
 		return c
@@ -167,33 +168,33 @@
 	return bfpacker.Pack(c)
 }
 
-func (n *node) followStore(store *bfdialect.Store) {
+func (n *node) newStoreFollowers(store *bfdialect.Store) {
 	n.presence = bfpresence.New(bfpresence.Config{
-		Table: membersTable, Key: n.common.Inbound, Rows: store, WriteBatched: n.writeTogether,
+		Table: membersTable, Key: n.common.Inbound, Rows: store, WriteBatched: n.writeBatched,
 		Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 	n.batcher = bfbatch.New(bfbatch.Config{Table: membersTable, Rows: store, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go})
 	n.state = &state{
 		logger: n.logger, traffic: n.traffic, fleet: n.fleet, presence: n.presence, self: n.common.Inbound,
-		follows: n.follows, current: n.current, changed: n.stateChanged, recall: n.recall,
+		follows: n.follows, current: n.current, changed: n.stateChanged, restoreTarget: n.restoreTarget,
 		readVersions: func() uint64 { return n.config.Revision() },
 	}
 	if n.settings.FirstStart {
-		// The fleet's table is empty: nothing has to be read before the row is written.
+		// The table is empty on the first start: the row can be written without a read.
 		n.presence.Observe(bfstore.Entry{Key: n.common.Inbound, Removed: true})
 	}
 	n.config = bffollow.New(bffollow.Config{
-		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, BatchDelay: gatherVersions,
+		Table: bfdialect.ConfigurationTable, Rows: store, Apply: n.state.applyConfiguration, BatchDelay: versionBatchDelay,
 		ShouldFollow: func() bool { return n.news.ReadsVersions() }, KnownRevision: n.state.VersionAsOf, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 	n.members = bffollow.New(bffollow.Config{
-		Table: membersTable, Rows: store, Apply: n.state.applyMembers, BatchDelay: gatherMembers,
+		Table: membersTable, Rows: store, Apply: n.state.applyMembers, BatchDelay: memberBatchDelay,
 		ShouldFollow: func() bool { return n.news.ReadsStore() }, KnownRevision: n.state.Revision, Timer: n.timer, Logger: n.logger, Metrics: n.metrics,
 	})
 }
 
-// stateChanged has others hear of a change. A node that is started again reads its first
-// version once it knows the members: its callers wait for that.
+// stateChanged propagates a change to other nodes. A restarted node has callers
+// waiting for its first version, so it reads one as soon as it knows the members.
 func (n *node) stateChanged() {
 	n.news.Changed()
 	if n.traffic.Current() == nil {
@@ -201,17 +202,17 @@
 	}
 }
 
-// current reports whether what the node holds follows the store: by its own calls
-// or by the word of a node that does.
+// current reports whether the node's state is up to date with the store, by its own
+// calls or through another node that follows the store.
 func (n *node) current() bool { return n.news.ReceivesFresh() || n.follows() }
 
 // follows reports whether the node's own calls follow the store now.
 func (n *node) follows() bool { return n.config.Follows() && n.members.Follows() }
 
-func (n *node) talkToNodes() {
+func (n *node) newNodeCalls() {
 	methods := bfpeer.Methods{}
 	n.calls = bfpeer.NewCalls(methods, bfpeer.NewTraffic(n.metrics), n.group)
-	n.shareQuarantine()
+	n.newQuarantineExchange()
 	n.news = bfnews.New(bfnews.Config{
 		Self: n.common.Peer, Place: place(n.common, n.settings), FirstStart: n.settings.FirstStart, State: n.state,
 		Fleet: n.fleet, Calls: n.calls, Timer: n.timer, Logger: n.logger, Spawn: n.group.Go, Quarantine: n.rumor,
@@ -221,23 +222,24 @@
 	maps.Copy(methods, n.batcher.Methods())
 }
 
-// writeTogether has the row written by the node that gathers writes: the fleet's first
-// source, or a seed where the fleet has yet to meet.
-func (n *node) writeTogether(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
+// writeBatched has the row written by the node that batches writes: the fleet's first
+// source, or a seed while the members are unknown on a first start.
+func (n *node) writeBatched(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 	peer := n.news.BatchWriter()
 	if peer == "" && n.settings.FirstStart {
 		peer = n.settings.seedPeer(n.common.Peer)
 	}
 	switch peer {
 	case "":
-		return 0, &bfbatch.BatchError{Reason: &bfstore.UnavailableError{Reason: "nobody is known who gathers writes"}}
+		return 0, &bfbatch.BatchError{Reason: &bfstore.UnavailableError{Reason: "no node that batches writes is known"}}
 	case n.common.Peer:
 		return n.batcher.Write(ctx, write)
 	}
 	return bfbatch.Remote{Calls: n.calls, Peer: peer}.Write(ctx, write)
 }
 
-// targetChanged has the table of members follow what the target does.
+// targetChanged updates the node's row in the table of members after a change of the
+// target.
 func (n *node) targetChanged(target *bfhost.Target) {
 	if target == nil {
 		n.presence.SetDesired(nil)
@@ -266,8 +268,8 @@
 	n.presence.SetDesired(value)
 }
 
-// recall has the host believe what this node's own row tells of its target.
-func (n *node) recall(own bffleet.Member) {
+// restoreTarget restores the target of the node's own row after a restart of the node.
+func (n *node) restoreTarget(own bffleet.Member) {
 	if !own.HasTarget() {
 		return
 	}
@@ -277,20 +279,20 @@
 	})
 }
 
-// inspector answers operators' commands.
+// inspector returns the backend of the operators' commands.
 func (n *node) inspector() *bfinspect.Backend {
 	return bfinspect.New(bfinspect.Parts{
 		Self: n.common.Inbound, Region: n.common.Region, Traffic: n.traffic, Fleet: n.fleet,
-		Ask: n.news.VersionAt, Refused: n.state.refused.Load, Quarantine: n.book, Timer: n.timer,
+		Ask: n.news.VersionAt, Refused: n.state.refused.Load, Quarantine: n.quarantine, Timer: n.timer,
 	})
 }
 
-// place is where the node stands in the fleet.
-func place(common Node, settings Mesh) bffleet.Place {
+// place returns the node's position in the fleet.
+func place(common CommonSettings, settings MeshSettings) bffleet.Place {
 	return bffleet.Place{Inbound: common.Inbound, Domain: common.FailureDomain, LinkBytes: settings.linkBytes()}
 }
 
-// listen opens every port before any is served.
+// listen opens every port before any of them serves.
 func (n *node) listen() ([]transport.Server, error) {
 	ready := http.NewServeMux()
 	ready.Handle("GET "+bfdialect.ReadyPath, &n.ready)
@@ -299,7 +301,7 @@
 		handler       http.Handler
 	}
 	ports := []port{
-		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.reportRefused}},
+		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.logRefusedReport}},
 		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
@@ -336,7 +338,7 @@
 	return servers, nil
 }
 
-// limits bound what callers may send, by the configuration in force.
+// limits returns the limits of callers' requests in the configuration in force.
 func (n *node) limits() bfpipeline.Limits {
 	traffic := n.traffic.Current()
 	if traffic == nil {
@@ -348,7 +350,7 @@
 	}
 }
 
-// Start runs the node's own work until Stop.
+// Start runs the node's background work and returns when Stop is called.
 func (n *node) Start(context.Context) error {
 	n.group.Go("timer", n.timer.Run)
 	n.group.Go("calls", func(ctx context.Context) error { return n.calls.Serve(ctx, n.peers) })
@@ -362,7 +364,7 @@
 	return n.group.Wait()
 }
 
-// Stop ends the node's own work.
+// Stop ends the node's background work.
 func (n *node) Stop(context.Context) error {
 	n.calls.CloseAll()
 	n.group.Cancel()
@@ -372,5 +374,5 @@
 func (n *node) sweep(now time.Time) {
 	n.targets.CloseExpired(now)
 	n.nodes.CloseExpired(now)
-	n.calls.CloseIdle(now, callIdle)
+	n.calls.CloseIdle(now, callIdleTimeout)
 }
--- a/bfnode/internal/bfmesh/quarantine.go
+++ b/bfnode/internal/bfmesh/quarantine.go
@@ -6,23 +6,25 @@
 	"bilberryflow.org/lib/bfrumor"
 )
 
-// quarantineTable is where a copy of what the fleet holds in quarantine is kept.
+// quarantineTable is the store's table with a copy of the fleet's quarantine.
 const quarantineTable = "quarantine"
 
-// shareQuarantine has the node know what others know of requests under which targets end.
-func (n *node) shareQuarantine() {
+// newQuarantineExchange builds the exchange of quarantine entries, requests that crash
+// targets, with other nodes, and their backup in the store.
+func (n *node) newQuarantineExchange() {
 	n.rumor = bfrumor.New(bfrumor.Config{
-		Self: n.common.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
+		Self: n.common.Peer, Book: n.quarantine, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
 		Recipients: func(own bool) []string { return n.news.Recipients(own) },
 	})
 	n.backup = bfbackup.New(bfbackup.Parts{
-		Table: quarantineTable, Rows: n.store, Book: n.book, Take: n.rumor.Merge, First: n.settings.FirstStart,
+		Table: quarantineTable, Rows: n.store, Book: n.quarantine, Take: n.rumor.Merge, First: n.settings.FirstStart,
 		Keeps: func() bool { return n.news.IsFirstSource() }, Timer: n.timer, Logger: n.logger,
 	})
 }
 
-// targetCrashed tells of a target that ended, and of what it ran.
+// targetCrashed counts and logs a crash of the target with the requests that it was
+// running.
 func (n *node) targetCrashed(crash bfflight.Crash) {
 	n.metrics.Counter("target_crashes").Add(1)
-	bfflight.LogCrash(n.logger, crash, n.book.View(), n.timer.Now())
+	bfflight.LogCrash(n.logger, crash, n.quarantine.View(), n.timer.Now())
 }
--- a/bfnode/internal/bfmesh/report.go
+++ b/bfnode/internal/bfmesh/report.go
@@ -6,7 +6,7 @@
 	"bilberryflow.org/lib/bflog"
 )
 
-// reportRefused tells of a report that no target sent.
-func (n *node) reportRefused(incarnation string, err error) {
+// logRefusedReport logs a report that is not a valid report of a target.
+func (n *node) logRefusedReport(incarnation string, err error) {
 	n.logger.Emit(bflog.ReportRefused, slog.String("incarnation", incarnation), bflog.Err(err))
 }
--- a/bfnode/internal/bfmesh/settings.go
+++ b/bfnode/internal/bfmesh/settings.go
@@ -9,56 +9,55 @@
 	"bilberryflow.org/lib/bfsettings"
 )
 
-// Mesh is the part of a node's settings that only such a node has.
-type Mesh struct {
+// MeshSettings are the settings that only such a node has.
+type MeshSettings struct {
 	Ready      string              `json:"ready" jsonschema:"minLength=1,description=Port on which the platform asks whether the node takes callers."`
 	Metrics    string              `json:"metrics,omitempty" jsonschema:"description=Port that shows /debug/vars beside the operator port, empty for none."`
 	Grace      bfsettings.Duration `json:"grace" jsonschema:"description=Time from SIGTERM to SIGKILL."`
 	LinkMbps   float64             `json:"linkMbps" jsonschema:"exclusiveMinimum=0,maximum=1000000,description=Bandwidth of the machine's link in Mbit/s."`
 	Seeds      []string            `json:"seeds,omitempty" jsonschema:"description=Addresses of nodes that may be there; their hosts take calls on this node's own peer port."`
 	FirstStart bool                `json:"firstStart,omitempty" jsonschema:"description=Whether the whole fleet starts for the first time: the store holds no member yet."`
-	Repeats    Repeats             `json:"repeats" jsonschema:"description=Bound of the repeats that all nodes together send to a service."`
+	Repeats    RetryBudget         `json:"repeats" jsonschema:"description=Bound of the repeats that all nodes together send to a service."`
 }
 
-// Repeats bound what all nodes together send again to one service.
-type Repeats struct {
+// RetryBudget bounds the retries that all nodes together send to one service.
+type RetryBudget struct {
 	Ratio  float64             `json:"ratio" jsonschema:"minimum=0,maximum=10,description=Repeats for each request."`
 	Slack  float64             `json:"slack" jsonschema:"minimum=0,maximum=1000000,description=Repeats beside the ratio in a window."`
 	Window bfsettings.Duration `json:"window" jsonschema:"description=Span in which both are counted."`
 }
 
 const (
-	// sendQueue is how long one connection's bytes may take to leave the machine:
-	// a short answer behind those of three downloads is 60 ms late.
-	sendQueue = 20 * time.Millisecond
-	// leastBuffer and mostBuffer bound what follows from it: below, the way there
-	// and back to another region would not be filled, and above, the system's own
-	// buffers are as good.
-	leastBuffer = 8 << 10
-	mostBuffer  = 1 << 20
+	// maxSendDelay is how long one connection's queued bytes may take to leave the
+	// machine. It bounds the delay of a short response behind concurrent downloads.
+	maxSendDelay = 20 * time.Millisecond
+	// minSendBuffer and maxSendBuffer bound the resulting buffer in bytes: a smaller one
+	// doesn't fill the round trip to another region, a larger one gains nothing over the
+	// system's own.
+	minSendBuffer = 8 << 10
+	maxSendBuffer = 1 << 20
 )
 
-// linkBytes is how many bytes the link moves in a second.
-func (m Mesh) linkBytes() float64 {
-	const bytesOfMbit = 1e6 / 8
-	return m.LinkMbps * bytesOfMbit
+// linkBytes returns the bandwidth of the link in bytes per second.
+func (m MeshSettings) linkBytes() float64 {
+	const bytesPerMbit = 1e6 / 8
+	return m.LinkMbps * bytesPerMbit
 }
 
-// sendBuffer is the bytes that may wait for one connection's peer.
-func (m Mesh) sendBuffer() int {
-	return int(min(max(m.linkBytes()*sendQueue.Seconds(), leastBuffer), mostBuffer))
+// sendBuffer returns the size of a connection's send buffer in bytes.
+func (m MeshSettings) sendBuffer() int {
+	return int(min(max(m.linkBytes()*maxSendDelay.Seconds(), minSendBuffer), maxSendBuffer))
 }
 
-// seedPeer is where a seed takes calls from nodes, "" where there is none: all nodes of a
-// fleet have the same ports. Each node takes one of the seeds by its own address. With one
-// seed for all, that one held 465 connections and 35 MB at 300 instances, twice as much
-// as any other.
-func (m Mesh) seedPeer(own string) string {
+// seedPeer returns the peer address of a seed, "" where there is none; all nodes of a
+// fleet use the same ports. The seed is chosen by a hash of the node's own address, so
+// that no single seed receives the connections of all nodes.
+func (m MeshSettings) seedPeer(own string) string {
 	if len(m.Seeds) == 0 {
 		return ""
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(own)) // never fails
+	_, _ = h.Write([]byte(own)) // hash.Hash.Write never returns an error
 	host, _, errSeed := net.SplitHostPort(m.Seeds[int(h.Sum32()%uint32(len(m.Seeds)))])
 	_, port, errOwn := net.SplitHostPort(own)
 	if errSeed != nil || errOwn != nil {
@@ -67,20 +66,20 @@
 	return net.JoinHostPort(host, port)
 }
 
-func (r Repeats) terms() bfbudget.Terms {
+func (r RetryBudget) terms() bfbudget.Terms {
 	return bfbudget.Terms{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window.Std()}
 }
 
-// Node is what such a node takes from the settings that all nodes have.
-type Node struct {
+// CommonSettings are the settings that every kind of node has.
+type CommonSettings struct {
 	Instance, Region, FailureDomain, Service                 string
 	Caller, Inbound, Operator, Target, Peer, PlatformAddress string
 }
 
-// Example shows every field.
-func Example() Mesh {
-	return Mesh{
+// Example returns settings with every required field set.
+func Example() MeshSettings {
+	return MeshSettings{
 		Ready: "127.0.0.1:7805", Metrics: "127.0.0.1:7806", Grace: bfsettings.Duration(6 * time.Second), LinkMbps: 1000,
-		Repeats: Repeats{Ratio: 0.2, Slack: 64, Window: bfsettings.Duration(10 * time.Second)},
+		Repeats: RetryBudget{Ratio: 0.2, Slack: 64, Window: bfsettings.Duration(10 * time.Second)},
 	}
 }
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -17,40 +17,41 @@
 	"bilberryflow.org/platform/bfdialect"
 )
 
-// membersTable is where members write their rows.
+// membersTable is the store's table with one row for each member.
 const membersTable = "members"
 
-// state is what the node holds of the platform's store; it is the bfnews.State.
+// state is the node's copy of the platform's store; it implements bfnews.State.
 type state struct {
 	logger   *bflog.Logger
 	traffic  *bftraffic.Holder
 	fleet    *bffleet.Fleet
 	presence *bfpresence.Presence
 	self     string
-	// changed is called after each change, recall with this node's own row.
-	changed func()
-	recall  func(bffleet.Member)
-	// follows reports whether this node's own calls follow the store, current whether
-	// what is held does in some way.
+	// changed is called after each change, restoreTarget with this node's own row.
+	changed       func()
+	restoreTarget func(bffleet.Member)
+	// follows reports whether this node's own calls follow the store, current whether the
+	// copy is up to date by these or through another node.
 	follows, current func() bool
-	// readVersions is the store's revision as of which this node itself read the versions.
+	// readVersions returns the store's revision as of which this node itself read the
+	// versions.
 	readVersions func() uint64
 
-	// refused is the newest version that was refused whole, nil once a newer one is in force.
+	// refused is the newest rejected version, nil once a newer one is in force.
 	refused atomic.Pointer[bfinspect.Refusal]
-	// adopted and listed are when the version in force and the members were taken.
-	adopted, listed moment
+	// versionAdopted and membersUpdated are the times of the last update of each.
+	versionAdopted, membersUpdated timestamp
 
 	mu sync.Mutex
-	// revision is the store's as of which the members are known, asOf that as of which
-	// the version told is the newest one, by the word of others.
-	revision, asOf uint64
-	told           bftraffic.Version
+	// revision is the store's revision as of which the members are known; confirmedAsOf is
+	// the revision as of which other nodes reported the confirmed version to be the newest
+	// one.
+	revision, confirmedAsOf uint64
+	confirmed               bftraffic.Version
 }
 
-// applyConfiguration takes news of the operators' table: the newest version in it
-// that holds together. In a storm several come at once, and a node on a small
-// machine reads each for some ten milliseconds.
+// applyConfiguration adopts the newest valid version in a batch of the operators'
+// table and skips the older ones, whose decoding would cost CPU time for nothing.
 func (s *state) applyConfiguration(batch bffollow.Batch) {
 	for _, entry := range slices.Backward(batch.Entries) {
 		if entry.Key != bfdialect.ConfigurationKey || entry.Removed {
@@ -62,17 +63,18 @@
 			s.logger.Emit(bflog.VersionRefused, bflog.Err(err), slog.Uint64("revision", entry.Revision))
 			continue
 		}
-		if s.takeSpec(spec) {
+		if s.adoptSpec(spec) {
 			return
 		}
 	}
 }
 
-// ApplySpec takes a configuration if it is newer and holds together.
-func (s *state) ApplySpec(spec bftraffic.Spec) { s.takeSpec(spec) }
+// ApplySpec adopts a configuration if it is newer and valid.
+func (s *state) ApplySpec(spec bftraffic.Spec) { s.adoptSpec(spec) }
 
-// takeSpec is ApplySpec; it reports whether the configuration, or a newer one, is in force.
-func (s *state) takeSpec(spec bftraffic.Spec) bool {
+// adoptSpec implements ApplySpec; it reports whether the configuration, or a newer
+// one, is in force.
+func (s *state) adoptSpec(spec bftraffic.Spec) bool {
 	if spec.Version <= s.traffic.Version() {
 		return true
 	}
@@ -90,8 +92,8 @@
 	return true
 }
 
-// ApplyDelta takes what another node's newer configuration changes, if it fits; one
-// that does not is made good by asking for the whole.
+// ApplyDelta applies the changes of another node's newer configuration to the one in
+// force. One that doesn't apply is dropped; the whole configuration is then requested.
 func (s *state) ApplyDelta(delta bftraffic.Delta) {
 	held := s.traffic.Current()
 	if held == nil || delta.Version <= held.Version() {
@@ -109,7 +111,7 @@
 	if !s.traffic.Adopt(snapshot) {
 		return
 	}
-	s.adopted.mark()
+	s.versionAdopted.set()
 	if refused := s.refused.Load(); refused != nil && refused.Version < snapshot.Version() {
 		s.refused.CompareAndSwap(refused, nil)
 	}
@@ -117,117 +119,119 @@
 	s.logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(snapshot.Version())), slog.Int("routes", snapshot.Routes()), how)
 }
 
-// applyMembers takes news of the members' table.
+// applyMembers applies a batch of changes of the members' table.
 func (s *state) applyMembers(batch bffollow.Batch) {
 	var members []bffleet.Member
-	var gone []string
+	var removed []string
 	own := bfstore.Entry{Key: s.self, Removed: true, Revision: batch.Revision}
-	ownTold := batch.Full
+	hasOwn := batch.Full
 	for _, entry := range batch.Entries {
 		if entry.Key == s.self {
-			own, ownTold = entry, true
+			own, hasOwn = entry, true
 		}
 		if entry.Removed {
-			gone = append(gone, entry.Key)
+			removed = append(removed, entry.Key)
 			continue
 		}
 		member, err := bffleet.DecodeMember(entry.Key, entry.Value)
 		if err != nil {
-			// Written over by another writer, it names no target any more.
-			gone = append(gone, entry.Key)
+			// Overwritten by another writer, the row names no target any more.
+			removed = append(removed, entry.Key)
 			s.logger.Emit(bflog.RowRefused, slog.String("member", entry.Key), bflog.Err(err))
 			continue
 		}
 		member.Revision = entry.Revision
 		members = append(members, member)
 		if member.Inbound == s.self {
-			s.recall(member)
+			s.restoreTarget(member)
 		}
 	}
 	s.mu.Lock()
 	if batch.Revision >= s.revision {
 		s.revision = batch.Revision
-		s.listed.mark()
+		s.membersUpdated.set()
 		if batch.Full {
 			s.fleet.Replace(members)
 		} else {
-			s.fleet.Change(members, gone)
+			s.fleet.Change(members, removed)
 		}
 	}
 	s.mu.Unlock()
 	s.changed()
-	s.logger.Emit(bflog.FleetChanged, slog.Int("members", s.fleet.Size()), slog.Int("added", len(members)), slog.Int("removed", len(gone)))
-	if ownTold {
+	s.logger.Emit(bflog.FleetChanged, slog.Int("members", s.fleet.Size()), slog.Int("added", len(members)), slog.Int("removed", len(removed)))
+	if hasOwn {
 		s.presence.Observe(own)
 	}
 }
 
-// Version is the version in force.
+// Version returns the version in force.
 func (s *state) Version() bftraffic.Version { return s.traffic.Version() }
 
-// Revision is the store's revision as of which the members are known.
+// Revision returns the store's revision as of which the members are known.
 func (s *state) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Snapshot is the configuration in force, nil before the first.
+// Snapshot returns the configuration in force, nil before the first.
 func (s *state) Snapshot() *bftraffic.Snapshot { return s.traffic.Current() }
 
-// Recent is the configuration of a version that was in force lately, else nil.
+// Recent returns the configuration of a recently superseded version, else nil.
 func (s *state) Recent(version bftraffic.Version) *bftraffic.Snapshot {
 	return s.traffic.Recent(version)
 }
 
-// Roster lists the members.
+// Roster returns the members and the revision as of which they are known.
 func (s *state) Roster() bfnews.Roster {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return bfnews.Roster{Revision: s.revision, Members: s.fleet.Members()}
 }
 
-// ApplyRoster takes another node's members if they are known as of a later revision.
+// ApplyRoster replaces the members by another node's if those are of a later revision.
 func (s *state) ApplyRoster(roster bfnews.Roster) {
-	s.brought(roster.Revision, func(held uint64) bool { return roster.Revision > held }, func() { s.fleet.Replace(roster.Members) })
+	s.applyFromPeer(roster.Revision, func(held uint64) bool { return roster.Revision > held }, func() { s.fleet.Replace(roster.Members) })
 }
 
-// ApplyMembersDelta takes what changed among another node's members, if that fits.
+// ApplyMembersDelta applies the changes of another node's members if they apply to the
+// revision held.
 func (s *state) ApplyMembersDelta(delta bfnews.MembersDelta) {
-	s.brought(delta.Revision, delta.AppliesTo, func() { s.fleet.Change(delta.Changed, delta.Gone) })
+	s.applyFromPeer(delta.Revision, delta.AppliesTo, func() { s.fleet.Change(delta.Changed, delta.Gone) })
 }
 
-// brought takes members that another node brought and that are known as of a revision, if
-// they fit what is held.
-func (s *state) brought(revision uint64, fits func(held uint64) bool, take func()) {
+// applyFromPeer applies another node's members as of a revision if fits accepts the
+// revision held.
+func (s *state) applyFromPeer(revision uint64, fits func(held uint64) bool, apply func()) {
 	s.mu.Lock()
 	if !fits(s.revision) {
 		s.mu.Unlock()
 		return
 	}
 	s.revision = revision
-	s.listed.mark()
-	take()
+	s.membersUpdated.set()
+	apply()
 	s.mu.Unlock()
 	s.changed()
 	s.logger.Emit(bflog.FleetChanged, slog.Int("members", s.fleet.Size()), slog.Bool("from_peer", true))
-	s.seeOwn(revision)
+	s.observeOwnRow(revision)
 }
 
-// seeOwn has the node's own row kept true by what another node brought: one that others
-// removed is written again, also by a node that does not read the store itself.
+// observeOwnRow compares the node's own row in another node's members with the desired
+// one: a row that others removed is written again, also by a node that doesn't read
+// the store.
 //
-// The target is not recalled by it. Another node's list may be older than the removal of
-// the row, and what the target said before it left is not known here any more: it would
-// get new work for two seconds.
-func (s *state) seeOwn(revision uint64) {
+// It doesn't restore the target. The other node's members may be older than the
+// removal of the row, and a target that has left would get new requests until it is
+// found gone.
+func (s *state) observeOwnRow(revision uint64) {
 	own, found := s.fleet.Member(s.self)
 	if !found {
 		s.presence.Observe(bfstore.Entry{Key: s.self, Removed: true, Revision: revision})
 		return
 	}
 	written := own.Revision
-	own.Revision = 0 // the row itself does not hold it
+	own.Revision = 0 // not part of the encoded row
 	value, err := own.Encode()
 	if err != nil {
 		s.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
@@ -236,27 +240,29 @@
 	s.presence.Observe(bfstore.Entry{Key: s.self, Value: value, Revision: written})
 }
 
-// VersionAsOf is the store's revision as of which the version in force is the newest one.
+// VersionAsOf returns the store's revision as of which the version in force is the
+// newest.
 func (s *state) VersionAsOf() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	read := s.readVersions()
-	if s.told != s.traffic.Version() {
+	if s.confirmed != s.traffic.Version() {
 		return read
 	}
-	return max(read, s.asOf)
+	return max(read, s.confirmedAsOf)
 }
 
-// ConfirmVersion takes another node's word that a version is the newest one as of a revision.
+// ConfirmVersion records another node's report that a version is the newest one as of
+// a revision.
 func (s *state) ConfirmVersion(version bftraffic.Version, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version > s.told || version == s.told && revision > s.asOf {
-		s.told, s.asOf = version, revision
+	if version > s.confirmed || version == s.confirmed && revision > s.confirmedAsOf {
+		s.confirmed, s.confirmedAsOf = version, revision
 	}
 }
 
-// Current reports whether what is held follows the store.
+// Current reports whether the state is up to date with the store.
 func (s *state) Current() bool { return s.current() }
 
 // Follows reports whether this node's own calls follow the store now.
--- a/bfnode/internal/bfmesh/state_test.go
+++ b/bfnode/internal/bfmesh/state_test.go
@@ -20,7 +20,7 @@
 func newState() *state {
 	fleet := bffleet.New(bffleet.Place{Inbound: "self", Domain: "nord"})
 	return &state{
-		logger: bflog.Discard(), traffic: bftraffic.NewHolder(nil), fleet: fleet, self: "self", changed: func() {}, recall: func(bffleet.Member) {},
+		logger: bflog.Discard(), traffic: bftraffic.NewHolder(nil), fleet: fleet, self: "self", changed: func() {}, restoreTarget: func(bffleet.Member) {},
 		presence: bfpresence.New(bfpresence.Config{Logger: bflog.Discard(), Metrics: bfmetric.New()}),
 	}
 }
@@ -34,10 +34,10 @@
 	return bfstore.Entry{Key: inbound, Value: value, Revision: revision}
 }
 
-// A member left and the store dropped its history before this node heard of it.
-// The list that it then reads holds no row as new as what it knew; taken for old
-// news, it would keep the member for good.
-func TestListAfterDroppedHistoryCounts(t *testing.T) {
+// A member's removal is no longer in the store's history when this node reads the
+// list. The list's newest row is then older than the revision held; the list must
+// still be applied, or the member would stay forever.
+func TestListAfterDroppedHistoryIsApplied(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	s.applyMembers(bffollow.Batch{Full: true, Entries: []bfstore.Entry{row(t, "a:1", 4), row(t, "b:1", 9)}, Revision: 9})
@@ -47,9 +47,9 @@
 	is.Equal(s.Revision(), uint64(12))
 }
 
-// The store brings a change that a peer's newer list contains already, late. The
-// member that it adds has left since.
-func TestOldNewsOfMembersIsPassedOver(t *testing.T) {
+// A change arrives from the store after a peer's newer list that already contains it.
+// The member that it adds has left since and must not be added again.
+func TestOutdatedMemberChangesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	s.ApplyRoster(bfnews.Roster{Revision: 20, Members: []bffleet.Member{{Inbound: "a:1", Service: "vault"}}})
@@ -61,11 +61,11 @@
 	is.Equal(s.fleet.Members()[0].Inbound, "c:1")
 }
 
-// Another writer puts rows into the members' table, one over a member's own: bytes
-// that are none, a row under another's key, one that names no service. None may get a
-// caller's request, the one written over included, and the others are used on, whether
-// the rows come as changes or in a whole list.
-func TestRowsOfAnotherWriterNameNoTarget(t *testing.T) {
+// Another writer puts invalid rows into the members' table: undecodable bytes, a row
+// under another's key, one without a service, one over a member's own. None may become
+// a target, and the valid rows stay in use, whether the rows come as changes or as a
+// full list.
+func TestInvalidRowsAreNoTargets(t *testing.T) {
 	is := is.New(t)
 	foreign, err := bffleet.Member{Inbound: "d:1", Peer: "d:2", Domain: "nord", Slots: 9}.Encode()
 	is.NoErr(err)
@@ -85,8 +85,8 @@
 	}
 }
 
-// version is the operators' row with a configuration of one route to a service; the
-// configuration has the service s alone.
+// version returns the operators' row for a configuration with one route to the given
+// service; only the service "s" exists in it.
 func version(t *testing.T, number int, kind bftraffic.Kind, service string) bfstore.Entry {
 	t.Helper()
 	value, err := bfdialect.EncodeConfiguration(bftraffic.Spec{
@@ -102,9 +102,9 @@
 	return bfstore.Entry{Key: bfdialect.ConfigurationKey, Value: value, Revision: uint64(number)}
 }
 
-// A row of the operators' table can't be read, or its configuration does not hold
-// together. What is in force stays, whole.
-func TestWrongConfigurationLeavesTheOldOne(t *testing.T) {
+// An operators' row is undecodable or its configuration invalid. The version in force
+// stays.
+func TestInvalidConfigurationKeepsVersionInForce(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	s.applyConfiguration(bffollow.Batch{Entries: []bfstore.Entry{version(t, 3, bftraffic.Idempotent, "s")}})
@@ -118,9 +118,9 @@
 	}
 }
 
-// Three versions come at once, the newest of them wrong. The one before it comes
-// into force, and the oldest costs nothing.
-func TestNewestGoodVersionOfABatch(t *testing.T) {
+// Three versions arrive in one batch, the newest of them invalid. The one before it
+// comes into force, and the oldest is not decoded.
+func TestNewestValidVersionOfBatchIsAdopted(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	entries := []bfstore.Entry{
@@ -129,27 +129,27 @@
 	s.applyConfiguration(bffollow.Batch{Entries: entries})
 	is.Equal(s.Version(), bftraffic.Version(7))
 	is.Equal(s.refused.Load().Version, bftraffic.Version(8))
-	is.True(s.Recent(3) == nil) // never taken
+	is.True(s.Recent(3) == nil) // never adopted
 }
 
-// A node that is started again finds its own row in the store's list. The row names the
-// target that it had; one that another writer wrote over, with a target on another machine,
-// does not. A peer's list may be older than the removal of the row: recalled by it, a
-// target that has left would get new work.
-func TestOwnRowRecallsTheTarget(t *testing.T) {
+// After a restart the node's own row in the store's list restores its target, unless
+// the row names a target on another machine. A peer's list must not restore it: it may
+// be older than the removal of the row, and a target that has left would get new
+// requests.
+func TestOwnRowRestoresTarget(t *testing.T) {
 	is := is.New(t)
 	own := bffleet.Member{
 		Inbound: "10.0.0.1:1", Peer: "10.0.0.1:2", Service: "vault", Domain: "nord", Slots: 9, Incarnation: "i-1", Address: "10.0.0.1:3",
 	}
-	var recalled []string
+	var restored []string
 	s := newState()
 	s.self = own.Inbound
-	s.recall = func(m bffleet.Member) { recalled = append(recalled, m.Incarnation) }
+	s.restoreTarget = func(m bffleet.Member) { restored = append(restored, m.Incarnation) }
 	value, err := own.Encode()
 	is.NoErr(err)
 	s.applyMembers(bffollow.Batch{Full: true, Entries: []bfstore.Entry{row(t, "10.0.0.2:1", 4), {Key: own.Inbound, Value: value, Revision: 5}}, Revision: 5})
 	s.ApplyRoster(bfnews.Roster{Revision: 6, Members: []bffleet.Member{own}})
-	is.Equal(recalled, []string{"i-1"})
+	is.Equal(restored, []string{"i-1"})
 	is.True(own.HasTarget())
 	own.Address = "10.0.0.2:3"
 	is.True(!own.HasTarget())
--- a/bfnode/internal/bfmesh/stop.go
+++ b/bfnode/internal/bfmesh/stop.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// readiness answers the platform's question whether the node takes callers.
+// readiness serves the platform's readiness check.
 type readiness struct {
 	configured func() bool
 	leaving    atomic.Bool
 }
 
-// ServeHTTP answers 200 while the node takes callers.
+// ServeHTTP responds with 200 while the node accepts callers, else with 503.
 func (r *readiness) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if r.leaving.Load() || !r.configured() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -23,40 +23,41 @@
 }
 
 const (
-	// leaveAfter is how long the node serves other nodes' requests on. Callers
-	// stay for about two of the platform's questions, a second apart; a node that
-	// left at once would take its target's slots out of the fleet for all that time.
+	// leaveAfter is the delay before the node refuses requests of other nodes. Callers
+	// keep using the node for about two readiness checks, one second apart; refusing at
+	// once would take the target's slots out of the fleet for that time.
 	leaveAfter = 1200 * time.Millisecond
-	// closeAfter is when callers are refused. Those that still come then come on
-	// kept connections and go on for seconds: waiting for them keeps the node, and
-	// so its target, out of the fleet until it is killed.
+	// closeAfter is the delay before callers are refused. Later ones use kept connections
+	// and would continue for seconds: waiting for them would keep the node, and so its
+	// target, out of the fleet until it is killed.
 	closeAfter = 2300 * time.Millisecond
-	// lastShare is the part of the grace at which the node exits whatever runs:
-	// later it would be killed in the middle of an answer.
-	lastShare = 0.92
-	// checkInterval is how often the end of the work is looked for.
+	// maxGraceFraction is the fraction of the grace period after which the node exits even
+	// with requests in flight, before it is killed in the middle of a response.
+	maxGraceFraction = 0.92
+	// checkInterval is the interval of checks for the end of the work in flight.
 	checkInterval = 20 * time.Millisecond
 )
 
-// drain is the graceful stop: readiness goes first, callers and other nodes are
-// served on for a while, and the process exits when nothing is in flight.
+// drain stops the node gracefully: the readiness check fails first, callers and other
+// nodes are served for a while longer, and the process exits when nothing is in
+// flight.
 func (n *node) drain(ctx context.Context) {
 	began := n.timer.Now()
-	last := time.Duration(lastShare * float64(n.settings.Grace.Std()))
+	exitAfter := time.Duration(maxGraceFraction * float64(n.settings.Grace.Std()))
 	n.ready.leaving.Store(true)
-	n.entry.Leave(began.Add(last))
+	n.entry.Leave(began.Add(exitAfter))
 	for {
-		passed := n.timer.Now().Sub(began)
-		if passed > leaveAfter {
+		elapsed := n.timer.Now().Sub(began)
+		if elapsed > leaveAfter {
 			n.host.Leave()
 		}
-		if passed > closeAfter {
+		if elapsed > closeAfter {
 			n.entry.Close()
 			if n.entry.Active() == 0 && n.host.Running() == 0 && n.presence.InSync() {
 				return
 			}
 		}
-		if passed > last || n.timer.Wait(ctx, checkInterval) != nil {
+		if elapsed > exitAfter || n.timer.Wait(ctx, checkInterval) != nil {
 			return
 		}
 	}
