--- a/bfctl/internal/bfcommand/client.go
+++ b/bfctl/internal/bfcommand/client.go
@@ -28,7 +28,7 @@
 	Reason  string
 }
 
-// Error names the node, the status and the reason.
+// Error returns the node, the status and the reason.
 func (e *StatusError) Error() string {
 	if e.Code == http.StatusUnauthorized || e.Code == http.StatusForbidden {
 		return fmt.Sprintf("%s refused the token: %s", e.Address, e.Reason)
@@ -36,21 +36,21 @@
 	return fmt.Sprintf("%s answered %d %s: %s", e.Address, e.Code, http.StatusText(e.Code), e.Reason)
 }
 
-// CutError reports an answer that ended before its end message.
-type CutError struct {
+// IncompleteError reports a response that ended before its end message.
+type IncompleteError struct {
 	Address string
 	Reason  error
 }
 
-// Error names the node and the reason.
-func (e *CutError) Error() string {
+// Error returns the node and the reason.
+func (e *IncompleteError) Error() string {
 	return fmt.Sprintf("the answer of %s was cut: %v", e.Address, e.Reason)
 }
 
-// Unwrap is the reason.
-func (e *CutError) Unwrap() error { return e.Reason }
+// Unwrap returns the reason.
+func (e *IncompleteError) Unwrap() error { return e.Reason }
 
-// client talks to one node.
+// client sends requests to one node.
 type client struct {
 	address string
 	base    string
@@ -66,13 +66,13 @@
 			base = "https://" + address
 		}
 	}
-	// A connection kept from an earlier command may be dead; on a new one it is
-	// certain whether a request was sent at all.
+	// A reused connection may be dead; on a new one it is certain whether a request was
+	// sent.
 	transport := &http.Transport{DisableKeepAlives: true}
 	if s.roots != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: s.roots, MinVersion: tls.VersionTLS12}
 	}
-	// Each request's time is bounded by its context.
+	// The context of each request bounds its time.
 	kratos, err := khttp.NewClient(ctx, khttp.WithEndpoint(base), khttp.WithTransport(transport),
 		khttp.WithTimeout(0), khttp.WithErrorDecoder(statusError(address)))
 	if err != nil {
@@ -81,15 +81,15 @@
 	return &client{address: address, base: base, token: s.token, http: kratos}, nil
 }
 
-// statusError reads why a node did not take a request.
+// statusError returns a decoder of a response with an error status.
 func statusError(address string) khttp.DecodeErrorFunc {
 	return func(_ context.Context, response *http.Response) error {
 		if response.StatusCode == http.StatusOK {
 			return nil
 		}
 		defer response.Body.Close()
-		const longest = 500
-		reason, err := io.ReadAll(io.LimitReader(response.Body, longest))
+		const maxReasonBytes = 500
+		reason, err := io.ReadAll(io.LimitReader(response.Body, maxReasonBytes))
 		if err != nil {
 			reason = []byte(err.Error())
 		}
@@ -97,7 +97,8 @@
 	}
 }
 
-// send makes one attempt; progress is shown as it comes, everything else when the answer is whole.
+// send makes one attempt. Progress is shown as it arrives, everything else once the
+// response is complete.
 func (c *client) send(
 	ctx context.Context, timeout time.Duration, request bfresult.CommandRequest, show func(bfresult.Result) error,
 ) attempt {
@@ -112,7 +113,7 @@
 	defer response.Body.Close()
 	answer, err := readAnswer(response.Body, show)
 	if err != nil {
-		return cut{err: &CutError{Address: c.address, Reason: err}}
+		return interrupted{err: &IncompleteError{Address: c.address, Reason: err}}
 	}
 	return answer
 }
@@ -133,36 +134,37 @@
 	return c.http.Do(r)
 }
 
-// failedAttempt tells by the error whether the node can have run the command.
+// failedAttempt classifies an error by whether the node can have run the command.
 func (c *client) failedAttempt(err error, sent bool) attempt {
 	var status *StatusError
 	switch {
 	case errors.As(err, &status):
 		return statusAttempt(status)
 	case sent:
-		return cut{err: &CutError{Address: c.address, Reason: err}}
+		return interrupted{err: &IncompleteError{Address: c.address, Reason: err}}
 	}
 	return notSent{err: err}
 }
 
-// statusAttempt reads a status: the node refuses before it runs anything,
-// except that another server error may come out of a command half done.
+// statusAttempt classifies an error status. A node refuses before it runs anything,
+// except that other server errors may come from a command that has run in part.
 func statusAttempt(status *StatusError) attempt {
 	switch {
 	case status.Code == http.StatusServiceUnavailable, status.Code == http.StatusTooManyRequests:
 		return notSent{err: status}
 	case status.Code >= http.StatusInternalServerError:
-		return cut{err: status}
+		return interrupted{err: status}
 	}
 	return rejected{err: status}
 }
 
-// largestAnswer bounds what a broken node can make the client keep.
-const largestAnswer = 256 << 20
+// maxResponseBytes bounds the memory that a faulty node can make the client use.
+const maxResponseBytes = 256 << 20
 
-// readAnswer reads messages up to the end message; without one the answer is not whole.
+// readAnswer reads messages up to the end message, without which the response is
+// incomplete.
 func readAnswer(body io.Reader, show func(bfresult.Result) error) (answered, error) {
-	decoder := json.NewDecoder(io.LimitReader(body, largestAnswer))
+	decoder := json.NewDecoder(io.LimitReader(body, maxResponseBytes))
 	answer := answered{}
 	for {
 		var message bfresult.ResultMessage
--- a/bfctl/internal/bfcommand/command_test.go
+++ b/bfctl/internal/bfcommand/command_test.go
@@ -23,10 +23,10 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// behaviour is what a fake node does with a request for commands.
+// behaviour is how a fake node handles a command request.
 type behaviour func(w http.ResponseWriter, r *http.Request)
 
-// answer sends results and then the end message with the status, if there is one.
+// answer responds with results, then with the end message if there is a status.
 func answer(status bfresult.Status, results ...bfresult.Result) behaviour {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		encoder := json.NewEncoder(w)
@@ -47,17 +47,17 @@
 	return answer(status, bfresult.Outcome{Status: status, Summary: summary})
 }
 
-// cutConnection takes the request and closes the connection without an answer.
+// cutConnection closes the connection after the request without a response.
 func cutConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// hang answers nothing until the client gives up.
+// hang sends no response until the client closes the request.
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 func status(code int) behaviour {
 	return func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "not today", code) }
 }
 
-// fakeNode records the requests that reach it.
+// fakeNode records the requests that it receives.
 type fakeNode struct {
 	server   *httptest.Server
 	mu       sync.Mutex
@@ -70,7 +70,7 @@
 	return n.requests
 }
 
-func startNode(t *testing.T, behave behaviour) *fakeNode {
+func startNode(t *testing.T, handle behaviour) *fakeNode {
 	node := &fakeNode{}
 	node.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != "/v1/commands" || r.Header.Get("Authorization") != "Bearer secret" {
@@ -84,23 +84,25 @@
 		node.mu.Lock()
 		node.requests = append(node.requests, request)
 		node.mu.Unlock()
-		behave(w, r)
+		handle(w, r)
 	}))
 	t.Cleanup(node.server.Close)
 	return node
 }
 
-// call is one run of the client.
-type call struct {
+// invocation is one run of the client.
+type invocation struct {
 	env    map[string]string
 	stdin  string
 	minted int
 	output bytes.Buffer
 }
 
-func newCall() *call { return &call{env: map[string]string{"BFCTL_TOKEN": "secret", "USER": "marta"}} }
+func newInvocation() *invocation {
+	return &invocation{env: map[string]string{"BFCTL_TOKEN": "secret", "USER": "marta"}}
+}
 
-func (c *call) main(args ...string) int {
+func (c *invocation) main(args ...string) int {
 	return Main(context.Background(), args, Environment{
 		Stdin: strings.NewReader(c.stdin), Stdout: &c.output, Stderr: &c.output,
 		Getenv: func(name string) string { return c.env[name] },
@@ -111,17 +113,18 @@
 	})
 }
 
-// outcomeCase is a command sent to nodes.
+// outcomeCase is a command sent to nodes with given behaviours.
 type outcomeCase struct {
 	name     string
 	commands string
 	nodes    []behaviour
 	code     int
-	// sent is how many requests reach each node.
+	// sent is the expected number of requests for each node.
 	sent []int
 }
 
-// timeout is short only where a node hangs, so that a slow machine cuts nothing else.
+// timeout is short only where a node hangs, so that a slow machine interrupts nothing
+// else.
 func (c outcomeCase) timeout() string {
 	if strings.Contains(c.name, "hang") {
 		return "1s"
@@ -129,8 +132,9 @@
 	return "1m"
 }
 
-// With several nodes, each case tells what they do in turn. "down" is a node
-// that nobody listens for; a cut connection may have carried the command out.
+// Covers the outcome and the retries for every behaviour of one or two nodes. A nil
+// behaviour is a node that refuses connections; a cut connection may have run the
+// command.
 func TestOutcomesGolden(t *testing.T) {
 	committed := outcome(bfresult.StatusDone, "a is version 41")
 	halfAnswer := answer("", bfresult.Outcome{Status: bfresult.StatusDone, Summary: "a is version 41"})
@@ -169,7 +173,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			nodes, addresses := startNodes(t, c.nodes)
-			run := newCall()
+			run := newInvocation()
 			is.Equal(run.main("--node", strings.Join(addresses, ","), "--timeout", c.timeout(), c.commands), c.code)
 			for i, node := range nodes {
 				requests := node.received()
@@ -184,7 +188,8 @@
 	golden(t, "testdata/outcomes.golden", got.String())
 }
 
-// startNodes starts a node for each behaviour; nil is an address that refuses connections.
+// startNodes starts a node for each behaviour; nil is an address that refuses
+// connections.
 func startNodes(t *testing.T, behaviours []behaviour) ([]*fakeNode, []string) {
 	var nodes []*fakeNode
 	var addresses []string
@@ -218,15 +223,15 @@
 	is.Equal(got, string(want))
 }
 
-// Commands come from standard input, the token from a file, and the answer goes
-// out as JSON; each command that needs an ID gets one of its own, and one that
-// the operator gives is kept.
+// Commands are read from standard input and the token from a file, and results are
+// written as JSON. Each command that needs a change ID gets a new one unless the
+// operator gives it.
 func TestStandardInputAndJSON(t *testing.T) {
 	is := is.New(t)
 	nodes, addresses := startNodes(t, []behaviour{outcome(bfresult.StatusDone, "ok")})
 	file := filepath.Join(t.TempDir(), "token")
 	is.NoErr(os.WriteFile(file, []byte("secret\n"), 0o600))
-	run := newCall()
+	run := newInvocation()
 	run.env["BFCTL_TOKEN"] = "other"
 	run.stdin = "undo 41 # back\nshow routes\nconfirm undo-41\nconfirm b id mine\n"
 	is.Equal(run.main("--json", "--token-file", file, "-n", addresses[0]), 0)
@@ -238,30 +243,30 @@
 	is.Equal(ids, [][]string{{"ID1"}, nil, {"ID2"}, {"mine"}})
 }
 
-// A wrong token must read as "refused", with the reason, and not as a node that
-// could not be reached: another node would refuse it too.
+// A wrong token is shown as refused, with the reason, and no other node is tried,
+// which would refuse it too.
 func TestWrongToken(t *testing.T) {
 	is := is.New(t)
 	_, addresses := startNodes(t, []behaviour{hang, hang})
-	run := newCall()
+	run := newInvocation()
 	run.env["BFCTL_TOKEN"] = "wrong"
 	is.Equal(run.main("--node", strings.Join(addresses, ","), "confirm a"), 2)
 	is.Equal(withoutAddresses(run.output.String(), addresses), "invalid: node-1 refused the token: unknown token\n")
 }
 
-// "bfctl help" is what the usage names for the commands. The parser of flags
-// takes a bare "help" for its own flag, and the operator read the usage again.
+// The parser takes a bare "help" for its own flag; "bfctl help" must list the commands
+// instead.
 func TestHelpListsTheCommands(t *testing.T) {
 	is := is.New(t)
-	run := newCall()
+	run := newInvocation()
 	is.Equal(run.main("help"), 0)
 	is.Equal(run.output.String(), bfgrammar.HelpText("")+"\n")
-	run = newCall()
+	run = newInvocation()
 	is.Equal(run.main("--node", "a", ""), 1)
 	is.Equal(run.output.String(), "bfctl: COMMAND: it is empty; \"bfctl help\" lists them\n")
 }
 
-// Wrong settings end with code 1 before anything is sent; scripts take 2 for a
+// Invalid settings exit with code 1 before anything is sent; scripts take 2 for a
 // command that a node refused.
 func TestWrongUsage(t *testing.T) {
 	empty := filepath.Join(t.TempDir(), "empty")
@@ -274,31 +279,31 @@
 		{"--node", "a", "--ca", empty, "show routes"}, {"--node", "a", "--colour", "show routes"}, {"--node", "a", "show", "routes"},
 		{"--node", "a", ""}, {"--node", "a", "# nothing"}, {"--node", "http://a b", "show routes"}, {"--node"},
 	} {
-		run := newCall()
+		run := newInvocation()
 		if code := run.main(args...); code != 1 {
 			t.Errorf("%q: exit code %d\n%s", args, code, run.output.String())
 		}
 	}
 	is := is.New(t)
-	run := newCall()
+	run := newInvocation()
 	delete(run.env, "BFCTL_TOKEN")
 	is.Equal(run.main("--node", "a", "show routes"), 1)
-	is.Equal(newCall().main("--help"), 0)
-	is.Equal(newCall().main("--version"), 0)
+	is.Equal(newInvocation().main("--help"), 0)
+	is.Equal(newInvocation().main("--version"), 0)
 }
 
-// The node's certificate must be signed by the authority given: to any other
-// server neither the command nor the token is sent at all.
+// Neither the command nor the token is sent to a server whose certificate the given
+// authority didn't sign.
 func TestCertificateAuthority(t *testing.T) {
 	is := is.New(t)
 	node := startNode(t, outcome(bfresult.StatusDone, "ok"))
 	node.server.StartTLS()
 	address := node.server.Listener.Addr().String()
 	own := writeCertificate(t, node.server.Certificate().Raw)
-	is.Equal(newCall().main("--node", address, "--ca", own, "confirm a"), 0)
+	is.Equal(newInvocation().main("--node", address, "--ca", own, "confirm a"), 0)
 	is.Equal(len(node.received()), 1)
-	is.Equal(newCall().main("--node", address, "--ca", otherAuthority(t), "confirm a"), 5)
-	is.Equal(newCall().main("--node", "https://"+address, "confirm a"), 5)
+	is.Equal(newInvocation().main("--node", address, "--ca", otherAuthority(t), "confirm a"), 5)
+	is.Equal(newInvocation().main("--node", "https://"+address, "confirm a"), 5)
 	is.Equal(len(node.received()), 1)
 }
 
@@ -311,7 +316,7 @@
 	return file
 }
 
-// otherAuthority is an authority that signed no node's certificate.
+// otherAuthority returns the file of an authority that signed no node's certificate.
 func otherAuthority(t *testing.T) string {
 	key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), IsCA: true, BasicConstraintsValid: true}
--- a/bfctl/internal/bfcommand/doc.go
+++ b/bfctl/internal/bfcommand/doc.go
@@ -1,7 +1,7 @@
-// Package bfcommand is the operators' client: it reads its settings and the
-// commands, sends each command to a node, and exits with a code that scripts
-// can trust.
+// Package bfcommand implements the operators' client: it reads its settings and the
+// commands, sends each command to a node, and exits with a code on which scripts can
+// rely.
 //
-// What to do when a node does not answer is decided by pursuit, which knows no
-// network; client carries it out.
+// What follows when a node does not answer is decided by execution, which does no I/O;
+// client sends the requests.
 package bfcommand
--- a/bfctl/internal/bfcommand/pursuit_test.go
+++ b/bfctl/internal/bfcommand/execution_test.go
@@ -26,54 +26,54 @@
 
 var errNode = errors.New("no answer")
 
-// world is what really happened, which the client cannot see.
-type world struct {
+// model tracks the command's effects, which the client can't see.
+type model struct {
 	// effects counts how often the command took effect.
 	effects int
-	// mayHaveRun counts attempts that ended without an answer after they were sent.
+	// mayHaveRun counts attempts that were sent and ended without a conclusive response.
 	mayHaveRun int
 }
 
-// attempt draws what one node does with the command. Like a real node it knows
-// a change ID again, and refuses a confirm or reports a conflict only if the
-// change was not committed. A stage may be refused although an earlier attempt
-// staged it and another operator confirmed it since; "not accepted" comes from
-// a node that can't see either way.
-func (w *world) attempt(t *rapid.T, command bfsyntax.Command) attempt {
+// attempt draws the outcome of one attempt. Like a real node, the model recognizes a
+// change ID and refuses a confirm or reports a conflict only if the change was not
+// committed. A stage may be refused although an earlier attempt staged it, if another
+// operator confirmed it since; "not accepted" comes from a node that can't determine
+// either.
+func (m *model) attempt(t *rapid.T, command bfsyntax.Command) attempt {
 	idempotent := bfsyntax.NeedsChangeID(command)
 	_, isStage := command.(bfsyntax.Stage)
 	run := func() {
-		if !idempotent || w.effects == 0 {
-			w.effects++
+		if !idempotent || m.effects == 0 {
+			m.effects++
 		}
 	}
 	kinds := []string{"not sent", "rejected", "cut before", "cut after", "done", "not accepted", "unknown before", "unknown after"}
-	if w.effects == 0 {
+	if m.effects == 0 {
 		kinds = append(kinds, "conflict")
 	}
-	if w.effects == 0 || isStage {
+	if m.effects == 0 || isStage {
 		kinds = append(kinds, "refused")
 	}
 	switch rapid.SampledFrom(kinds).Draw(t, "attempt") {
 	case "rejected":
 		return rejected{errNode}
 	case "cut before":
-		w.mayHaveRun++
-		return cut{errNode}
+		m.mayHaveRun++
+		return interrupted{errNode}
 	case "cut after":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		run()
-		return cut{errNode}
+		return interrupted{errNode}
 	case "done":
 		run()
 		return answered{status: bfresult.StatusDone}
 	case "not accepted":
 		return answered{status: bfresult.StatusNotAccepted}
 	case "unknown before":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		return answered{status: bfresult.StatusUnknown}
 	case "unknown after":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		run()
 		return answered{status: bfresult.StatusUnknown}
 	case "refused":
@@ -84,11 +84,11 @@
 	return notSent{errNode}
 }
 
-// Nodes fail in any order while an operator's command is sent from one to the
-// next. Told "done", it took effect; told "refused", "conflict" or "no node
-// reachable", it did not, nor will it; a discard or drain is never sent again
-// after an attempt that may have run, or it could hit another's work.
-func TestExitCodeNeverLies(t *testing.T) {
+// Attempts fail in any order. The exit code for done is returned only if the command
+// took effect, and the ones for refused, conflict and unreachable only if it didn't. A
+// discard or drain is never sent again after an attempt that may have run, since it
+// could hit another operator's change.
+func TestExitCodeMatchesEffect(t *testing.T) {
 	commands := []bfsyntax.Command{
 		bfsyntax.Confirm{Name: "a"}, bfsyntax.Stage{Name: "a"}, bfsyntax.Discard{Name: "a"}, bfsyntax.Drain{Instance: "a"},
 	}
@@ -96,24 +96,24 @@
 		command := rapid.SampledFrom(commands).Draw(t, "command")
 		idempotent := bfsyntax.NeedsChangeID(command)
 		nodes := rapid.IntRange(1, 4).Draw(t, "nodes")
-		p, w := &pursuit{command: command, changeID: "id"}, &world{}
+		e, m := &execution{command: command, changeID: "id"}, &model{}
 		for i := range nodes {
-			if w.mayHaveRun > 0 && !idempotent {
+			if m.mayHaveRun > 0 && !idempotent {
 				t.Fatalf("%v was sent again after it may have run", command)
 			}
-			end, ended := p.after(w.attempt(t, command), i+1 < nodes).(finish)
+			end, ended := e.after(m.attempt(t, command), i+1 < nodes).(finish)
 			if !ended {
 				continue
 			}
-			told := end.code
-			if told == bfresult.ExitDone && w.effects == 0 || told != bfresult.ExitDone && told != bfresult.ExitUnknown && w.effects > 0 {
-				t.Fatalf("%v told exit code %d, took effect %d times", command, told, w.effects)
+			code := end.code
+			if code == bfresult.ExitDone && m.effects == 0 || code != bfresult.ExitDone && code != bfresult.ExitUnknown && m.effects > 0 {
+				t.Fatalf("%v returned exit code %d, took effect %d times", command, code, m.effects)
 			}
-			if w.effects > 1 {
-				t.Fatalf("%v took effect %d times", command, w.effects)
+			if m.effects > 1 {
+				t.Fatalf("%v took effect %d times", command, m.effects)
 			}
 			return
 		}
-		t.Fatalf("%v had no end", command)
+		t.Fatalf("%v did not finish", command)
 	})
 }
--- a/bfctl/internal/bfcommand/run.go
+++ b/bfctl/internal/bfcommand/run.go
@@ -16,7 +16,7 @@
 	"bilberryflow.org/lib/bfrender"
 )
 
-// Process is the environment of this process.
+// Process returns the environment of this process.
 func Process() Environment {
 	return Environment{
 		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, Getenv: os.Getenv,
@@ -24,36 +24,37 @@
 	}
 }
 
-// Main runs the client and returns its exit code.
+// Main runs the client and returns its exit code, one of bfresult.Exit*.
 func Main(ctx context.Context, args []string, env Environment) int {
 	s, err := readSettings(args, env)
 	if err != nil {
-		return exitCode(env.Stderr, err)
+		return printError(env.Stderr, err)
 	}
 	r := &runner{settings: s, env: env}
 	code, err := r.run(ctx)
 	if err != nil {
-		return exitCode(env.Stderr, err)
+		return printError(env.Stderr, err)
 	}
 	return code
 }
 
-// exitCode reports an error and gives the code for it.
-func exitCode(stderr io.Writer, err error) int {
+// printError prints an error and returns its exit code.
+func printError(stderr io.Writer, err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
 		return exit.code
 	}
-	// There is no place left to report that standard error can't be written.
+	// A failure to write to standard error can't be reported anywhere.
 	_, _ = fmt.Fprintln(stderr, "bfctl:", err)
 	if isUsage(err) {
 		return bfresult.ExitUsage
 	}
-	// What is left is a result that could not be shown; what the node did is not known to the operator.
+	// Other errors are results that could not be shown, so the outcome is unknown to the
+	// operator.
 	return bfresult.ExitUnknown
 }
 
-// runner sends the commands of one call.
+// runner sends the commands of one invocation.
 type runner struct {
 	settings
 	env     Environment
@@ -72,8 +73,7 @@
 	if len(commands) == 0 {
 		return 0, &UsageError{Setting: "COMMAND", Reason: `there is none; "bfctl help" lists them`}
 	}
-	// Each command is a request of its own, so that one that has to be sent
-	// again takes no other along.
+	// Each command is a request of its own, so that a retry repeats no other command.
 	for i, command := range commands {
 		code, err := r.runCommand(ctx, command)
 		if err != nil || code != bfresult.ExitDone {
@@ -105,12 +105,12 @@
 		return 0, err
 	}
 	request := bfresult.CommandRequest{Commands: command.String(), Author: r.env.Getenv("USER")}
-	p := &pursuit{command: command}
+	e := &execution{command: command}
 	if bfsyntax.NeedsChangeID(command) {
-		p.changeID = r.changeID(command)
-		request.ChangeIDs = []string{p.changeID}
+		e.changeID = r.changeID(command)
+		request.ChangeIDs = []string{e.changeID}
 	}
-	end := r.pursue(ctx, p, request)
+	end := r.execute(ctx, e, request)
 	for _, result := range end.results {
 		if err := r.show(result); err != nil {
 			return 0, err
@@ -119,7 +119,7 @@
 	return end.code, nil
 }
 
-// changeID is the one the operator gave, or a new one.
+// changeID returns the operator's change ID, or a new one.
 func (r *runner) changeID(command bfsyntax.Command) string {
 	if confirm, isConfirm := command.(bfsyntax.Confirm); isConfirm && confirm.ChangeID != "" {
 		return confirm.ChangeID
@@ -127,22 +127,23 @@
 	return r.env.MintID()
 }
 
-// pursue sends one request to node after node, always with the same change ID.
-func (r *runner) pursue(ctx context.Context, p *pursuit, request bfresult.CommandRequest) finish {
+// execute sends one request to one node after another, always with the same change ID.
+func (r *runner) execute(ctx context.Context, e *execution, request bfresult.CommandRequest) finish {
 	for i, c := range r.clients {
-		a := c.send(ctx, r.timeoutFor(p.command), request, r.show)
+		a := c.send(ctx, r.timeoutFor(e.command), request, r.show)
 		more := i+1 < len(r.clients) && ctx.Err() == nil
-		if end, isEnd := p.after(a, more).(finish); isEnd {
+		if end, isEnd := e.after(a, more).(finish); isEnd {
 			return end
 		}
 	}
-	// connect leaves no list of clients empty, and the last attempt has no more after it.
-	p.last = errors.New("there is no node to ask")
-	end, _ := p.tryOrGiveUp(false).(finish)
+	// Unreachable: connect leaves at least one client, and after the last one the
+	// execution finishes.
+	e.lastErr = errors.New("there is no node to ask")
+	end, _ := e.tryNextOrFinish(false).(finish)
 	return end
 }
 
-// timeoutFor allows a watch its own length beside the answer's.
+// timeoutFor returns the time limit of a response; a watch adds its own duration.
 func (r *runner) timeoutFor(command bfsyntax.Command) time.Duration {
 	watch, isWatch := command.(bfsyntax.Watch)
 	switch {
--- a/bfctl/internal/bfcommand/settings.go
+++ b/bfctl/internal/bfcommand/settings.go
@@ -16,22 +16,22 @@
 	"bilberryflow.org/lib/bfquery/bfresult"
 )
 
-// Environment is what the client takes from its process.
+// Environment holds the parts of the process that the client uses.
 type Environment struct {
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
-	// Getenv reads an environment variable.
+	// Getenv returns an environment variable.
 	Getenv func(name string) string
-	// MintID makes a change ID, unique for good.
+	// MintID returns a new globally unique change ID.
 	MintID func() string
 }
 
-// settings are the client's command line and environment.
+// settings are the validated command line and environment.
 type settings struct {
 	nodes []string
 	token string
-	// open says that the nodes ask for no token.
+	// open is set for nodes that require no token.
 	open     bool
 	json     bool
 	timeout  time.Duration
@@ -39,16 +39,16 @@
 	commands string
 }
 
-// UsageError reports a wrong setting.
+// UsageError reports an invalid setting.
 type UsageError struct {
 	Setting string
 	Reason  string
 }
 
-// Error names the setting and what is wrong with it.
+// Error returns the setting and the reason.
 func (e *UsageError) Error() string { return e.Setting + ": " + e.Reason }
 
-// exitError ends the client early with a code, after the help or the version were shown.
+// exitError ends the client with a code after the help or the version was shown.
 type exitError struct{ code int }
 
 func (e *exitError) Error() string { return fmt.Sprintf("exit with code %d", e.code) }
@@ -57,9 +57,9 @@
   Exit codes: 0 done, 1 wrong usage or settings, 2 refused, 3 conflict,
   4 outcome unknown, 5 no node reachable. "bfctl help" lists the commands.`
 
-const usualTimeout = 10 * time.Second
+const defaultTimeout = 10 * time.Second
 
-// arguments are the flags as they stand on the command line.
+// arguments are the flags as given on the command line.
 type arguments struct {
 	nodes     string
 	tokenFile string
@@ -95,7 +95,7 @@
 }
 
 func parseArguments(args []string) (a arguments, err error) {
-	a.timeout = usualTimeout
+	a.timeout = defaultTimeout
 	parser := flaggy.NewParser("bfctl")
 	parser.Description = "Sends commands to a node of bilberryflow."
 	parser.Version = version()
@@ -108,13 +108,13 @@
 	parser.Bool(&a.json, "j", "json", "Write one JSON document a line for each result.")
 	parser.Duration(&a.timeout, "", "timeout", "How long to wait for one node's answer.")
 	parser.AddPositionalValue(&a.command, "COMMAND", 1, false, "Commands in quotes; without them they are read from standard input.")
-	// On wrong usage the parser would end the process with code 2, which scripts
-	// take for a command that the node refused. Here it panics instead, and the
-	// code becomes the one for wrong usage.
+	// On wrong usage the parser would exit with code 2, which scripts take for a command
+	// that the node refused. With PanicInsteadOfExit the code becomes the one for wrong
+	// usage.
 	flaggy.PanicInsteadOfExit = true
 	defer func() {
 		if value := recover(); value != nil {
-			err = exitOf(value)
+			err = panicError(value)
 		}
 	}()
 	if err := parser.ParseArgs(withoutFlagNames(args)); err != nil {
@@ -123,9 +123,9 @@
 	return a, nil
 }
 
-// withoutFlagNames keeps the command "help" for the nodes' language: the parser
-// compares bare words with the names of its own flags too, and would show its
-// usage instead of the commands. Commands may have spaces around them.
+// withoutFlagNames keeps the parser from taking the command "help" for its own flag:
+// it compares positional arguments with the names of its flags too. The appended space
+// has no meaning in a command.
 func withoutFlagNames(args []string) []string {
 	list := slices.Clone(args)
 	for i, arg := range list {
@@ -136,11 +136,11 @@
 	return list
 }
 
-// emptyArgument is what the parser panics with on an empty command.
+// emptyArgument is the parser's panic value for an empty command.
 const emptyArgument = "can't add parsed value with no key or value"
 
-// exitOf reads the parser's panic.
-func exitOf(value any) error {
+// panicError converts the parser's panic value to an error.
+func panicError(value any) error {
 	text, isText := value.(string)
 	if !isText {
 		panic(value)
@@ -197,15 +197,15 @@
 	if command != "" {
 		return command, nil
 	}
-	const longest = 1 << 20
-	data, err := io.ReadAll(io.LimitReader(env.Stdin, longest))
+	const maxCommandBytes = 1 << 20
+	data, err := io.ReadAll(io.LimitReader(env.Stdin, maxCommandBytes))
 	if err != nil {
 		return "", &UsageError{Setting: "standard input", Reason: err.Error()}
 	}
 	return string(data), nil
 }
 
-// requireNode checks what only commands that go to a node need.
+// requireNode validates what only commands that go to a node need.
 func (s settings) requireNode() error {
 	if len(s.nodes) == 0 {
 		return &UsageError{Setting: "--node", Reason: "give the address of a node's operator port"}
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// isUsage tells wrong settings from everything else.
+// isUsage reports whether an error is an invalid setting.
 func isUsage(err error) bool {
 	var usage *UsageError
 	return errors.As(err, &usage)
