--- a/bfctl/internal/bfcommand/run.go
+++ b/bfctl/internal/bfcommand/run.go
@@ -105,12 +105,12 @@
 		return 0, err
 	}
 	request := bfresult.CommandRequest{Commands: command.String(), Author: r.env.Getenv("USER")}
-	e := &execution{command: command}
+	exec := &execution{command: command}
 	if bfsyntax.NeedsChangeID(command) {
-		e.changeID = r.changeID(command)
-		request.ChangeIDs = []string{e.changeID}
+		exec.changeID = r.changeID(command)
+		request.ChangeIDs = []string{exec.changeID}
 	}
-	end := r.execute(ctx, e, request)
+	end := r.execute(ctx, exec, request)
 	for _, result := range end.results {
 		if err := r.show(result); err != nil {
 			return 0, err
@@ -128,18 +128,18 @@
 }
 
 // execute sends one request to one node after another, always with the same change ID.
-func (r *runner) execute(ctx context.Context, e *execution, request bfresult.CommandRequest) finish {
+func (r *runner) execute(ctx context.Context, exec *execution, request bfresult.CommandRequest) finish {
 	for i, c := range r.clients {
-		a := c.send(ctx, r.timeoutFor(e.command), request, r.show)
+		a := c.send(ctx, r.timeoutFor(exec.command), request, r.show)
 		more := i+1 < len(r.clients) && ctx.Err() == nil
-		if end, isEnd := e.after(a, more).(finish); isEnd {
+		if end, isEnd := exec.after(a, more).(finish); isEnd {
 			return end
 		}
 	}
 	// Unreachable: connect leaves at least one client, and after the last one the
 	// execution finishes.
-	e.lastErr = errors.New("there is no node to ask")
-	end, _ := e.tryNextOrFinish(false).(finish)
+	exec.lastErr = errors.New("there is no node to ask")
+	end, _ := exec.tryNextOrFinish(false).(finish)
 	return end
 }
 
