--- a/bfplatform/internal/bfcommand/command.go
+++ b/bfplatform/internal/bfcommand/command.go
@@ -21,7 +21,7 @@
 	"bilberryflow.org/platform/bfdialect"
 )
 
-// Settings of the stand-in platform.
+// Settings are the settings of the simulated platform.
 type Settings struct {
 	Listen          string `json:"listen" jsonschema:"minLength=1,description=Address and port of the platform's calls; /faults and /debug/vars are there too."`
 	ReadsPerSecond  int    `json:"readsPerSecond,omitempty" jsonschema:"minimum=1,maximum=1000000,description=Reads a second before calls are refused."`
@@ -29,7 +29,7 @@
 	Seed            uint64 `json:"seed,omitempty" jsonschema:"description=Seed for faults that meet a share of the calls."`
 }
 
-// Program is the stand-in platform as a daemon.
+// Program returns the daemon bfplatform.
 func Program() bfprogram.Program[Settings] {
 	return bfprogram.Program[Settings]{
 		Name:        "bfplatform",
@@ -43,7 +43,7 @@
 }
 
 func defaults() Settings {
-	// The brief's figures for the platform.
+	// The rate limits of the real platform.
 	return Settings{ReadsPerSecond: 2000, WritesPerSecond: 400, Seed: 1}
 }
 
@@ -64,7 +64,7 @@
 	})
 	mux.HandleFunc("/configuration", rows.Operate)
 	mux.Handle("GET /debug/vars", expvar.Handler())
-	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, r *http.Request) { switchFault(faults, w, r) })
+	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, r *http.Request) { addFault(faults, w, r) })
 	mux.HandleFunc("DELETE /faults", func(w http.ResponseWriter, _ *http.Request) {
 		faults.Clear()
 		w.WriteHeader(http.StatusNoContent)
@@ -80,18 +80,18 @@
 	}, nil
 }
 
-func switchFault(faults *bffault.Switchboard, w http.ResponseWriter, r *http.Request) {
+func addFault(faults *bffault.Injector, w http.ResponseWriter, r *http.Request) {
 	var order bffault.Order
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&order)
 	if err == nil {
-		err = faults.Switch(time.Now(), order)
+		err = faults.Add(time.Now(), order)
 	}
-	var wrong *bffault.OrderError
+	var orderErr *bffault.OrderError
 	switch {
-	case errors.As(err, &wrong):
-		http.Error(w, wrong.Error(), http.StatusUnprocessableEntity)
+	case errors.As(err, &orderErr):
+		http.Error(w, orderErr.Error(), http.StatusUnprocessableEntity)
 	case err != nil:
 		http.Error(w, "not a fault order: "+err.Error(), http.StatusBadRequest)
 	default:
--- a/bfplatform/internal/bffault/doc.go
+++ b/bfplatform/internal/bffault/doc.go
@@ -1,2 +1,2 @@
-// Package bffault decides which calls to the stand-in platform fail and how.
+// Package bffault decides which calls to the simulated platform fail and how.
 package bffault
--- a/bfplatform/internal/bffault/fault.go
+++ b/bfplatform/internal/bffault/fault.go
@@ -12,46 +12,47 @@
 // Mode is a way in which the platform fails.
 type Mode string
 
-// The modes. Each is one that the platform's users have met.
+// The modes, each a failure seen on the real platform.
 const (
-	// Down refuses every call before it has any effect.
+	// Down refuses every call without any effect.
 	Down Mode = "down"
-	// Silent takes calls and never answers them; none has an effect.
+	// Silent accepts calls and never responds; they have no effect.
 	Silent Mode = "silent"
-	// Slow answers late.
+	// Slow delays the effect and the response.
 	Slow Mode = "slow"
-	// LoseAnswers applies writes and cuts the connection instead of answering.
+	// LoseAnswers applies writes and closes the connection without a response.
 	LoseAnswers Mode = "lose-answers"
-	// LateWrites cuts the connection at once and applies the write Delay later.
+	// LateWrites closes the connection at once and applies the write after Delay.
 	LateWrites Mode = "late-writes"
 )
 
-// Order switches a fault on for a time.
+// Order turns a fault on for a time.
 type Order struct {
 	Mode Mode `json:"mode"`
-	// For is how long the fault lasts, in the form of time.ParseDuration.
+	// For is the duration of the fault, in the format of time.ParseDuration.
 	For string `json:"for"`
-	// Delay is how late an answer or a write is.
+	// Delay delays a response or a write, in the format of time.ParseDuration.
 	Delay string `json:"delay,omitempty"`
-	// Percent is the share of calls the fault meets; 0 means all.
+	// Percent is the percentage of affected calls; 0 means all.
 	Percent int `json:"percent,omitempty"`
-	// Key holds the fault to writes of rows whose key starts with it; empty means every call.
+	// Key restricts the fault to writes of rows whose key has this prefix; empty means
+	// every call.
 	Key string `json:"key,omitempty"`
 }
 
-// OrderError reports a wrong field of an order.
+// OrderError reports an invalid field of an order.
 type OrderError struct {
 	Field   string
 	Value   string
 	Allowed string
 }
 
-// Error names the field, its value and what is allowed.
+// Error returns the field, its value and the allowed values.
 func (e *OrderError) Error() string {
 	return fmt.Sprintf("fault field %s: value %q: allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
-type active struct {
+type activeFault struct {
 	mode    Mode
 	until   time.Time
 	delay   time.Duration
@@ -59,26 +60,26 @@
 	key     string
 }
 
-// meets reports whether a call that writes rows of keys is one the fault is for.
-func (a active) meets(keys []string) bool {
+// matches reports whether the fault applies to a call that writes the rows of keys.
+func (a activeFault) matches(keys []string) bool {
 	starts := func(key string) bool { return strings.HasPrefix(key, a.key) }
 	return a.key == "" || slices.ContainsFunc(keys, starts)
 }
 
-// Switchboard holds the faults that are on.
-type Switchboard struct {
+// Injector holds the active faults.
+type Injector struct {
 	mu     sync.Mutex
-	faults []active
+	faults []activeFault
 	rand   *rand.Rand
 }
 
-// New makes a switchboard with no fault on; shares of calls are drawn from seed.
-func New(seed uint64) *Switchboard {
-	return &Switchboard{rand: rand.New(rand.NewPCG(seed, seed))}
+// New returns an injector without faults; seed seeds the choice of affected calls.
+func New(seed uint64) *Injector {
+	return &Injector{rand: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Switch turns a fault on.
-func (s *Switchboard) Switch(now time.Time, order Order) error {
+// Add turns a fault on. It returns an *OrderError for an invalid order.
+func (s *Injector) Add(now time.Time, order Order) error {
 	fault, err := parse(now, order)
 	if err != nil {
 		return err
@@ -89,86 +90,86 @@
 	return nil
 }
 
-func parse(now time.Time, order Order) (active, error) {
+func parse(now time.Time, order Order) (activeFault, error) {
 	switch order.Mode {
 	case Down, Silent, Slow, LoseAnswers, LateWrites:
 	default:
-		return active{}, &OrderError{"mode", string(order.Mode), "down, silent, slow, lose-answers, late-writes"}
+		return activeFault{}, &OrderError{"mode", string(order.Mode), "down, silent, slow, lose-answers, late-writes"}
 	}
-	lasts, err := time.ParseDuration(order.For)
-	if err != nil || lasts <= 0 {
-		return active{}, &OrderError{"for", order.For, "a duration above 0"}
+	duration, err := time.ParseDuration(order.For)
+	if err != nil || duration <= 0 {
+		return activeFault{}, &OrderError{"for", order.For, "a duration above 0"}
 	}
 	var delay time.Duration
 	if order.Delay != "" {
 		if delay, err = time.ParseDuration(order.Delay); err != nil || delay < 0 {
-			return active{}, &OrderError{"delay", order.Delay, "a duration"}
+			return activeFault{}, &OrderError{"delay", order.Delay, "a duration"}
 		}
 	}
 	if order.Percent < 0 || order.Percent > 100 {
-		return active{}, &OrderError{"percent", fmt.Sprint(order.Percent), "0 to 100"}
+		return activeFault{}, &OrderError{"percent", fmt.Sprint(order.Percent), "0 to 100"}
 	}
 	if order.Percent == 0 {
 		order.Percent = 100
 	}
-	return active{order.Mode, now.Add(lasts), delay, order.Percent, order.Key}, nil
+	return activeFault{order.Mode, now.Add(duration), delay, order.Percent, order.Key}, nil
 }
 
-// Clear turns every fault off.
-func (s *Switchboard) Clear() {
+// Clear turns off every fault.
+func (s *Injector) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = nil
 }
 
-// Verdict is what happens to one call.
-type Verdict struct {
-	// Refuse answers that the call was not run.
+// Effect is the combined effect of the active faults on one call.
+type Effect struct {
+	// Refuse responds that the call was not run.
 	Refuse bool
-	// Hang never answers and has no effect.
+	// Hang never responds and runs nothing.
 	Hang bool
-	// Delay comes before the effect and the answer.
+	// Delay precedes the call's effect and its response.
 	Delay time.Duration
-	// Cut closes the connection in place of an answer.
+	// Cut closes the connection instead of responding.
 	Cut bool
-	// Late cuts first and applies the effect after Delay.
+	// Late closes the connection at once and runs the call after Delay.
 	Late bool
 }
 
-// Judge says what happens to a call now; write tells whether it changes anything,
-// keys which rows.
-func (s *Switchboard) Judge(now time.Time, write bool, keys ...string) Verdict {
+// EffectOn returns the effect on a call at a time; write reports whether the call
+// changes anything, keys are the rows that it writes.
+func (s *Injector) EffectOn(now time.Time, write bool, keys ...string) Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var verdict Verdict
-	kept := s.faults[:0]
+	var effect Effect
+	active := s.faults[:0]
 	for _, fault := range s.faults {
 		if now.After(fault.until) {
 			continue
 		}
-		kept = append(kept, fault)
-		if fault.meets(keys) && s.rand.IntN(100) < fault.percent {
-			verdict.add(fault, write)
+		active = append(active, fault)
+		if fault.matches(keys) && s.rand.IntN(100) < fault.percent {
+			effect.add(fault, write)
 		}
 	}
-	s.faults = kept
-	return verdict
+	s.faults = active
+	return effect
 }
 
-func (v *Verdict) add(fault active, write bool) {
+func (e *Effect) add(fault activeFault, write bool) {
 	switch fault.mode {
 	case Down:
-		v.Refuse = true
+		e.Refuse = true
 	case Silent:
-		v.Hang = true
+		e.Hang = true
 	case Slow:
-		v.Delay += fault.delay
+		e.Delay += fault.delay
 	case LoseAnswers:
-		v.Cut = v.Cut || write
+		e.Cut = e.Cut || write
 	case LateWrites:
 		if write {
-			v.Late = true
-			v.Delay += fault.delay
+			e.Late = true
+			e.Delay += fault.delay
 		}
 	}
 }
--- a/bfplatform/internal/bfservice/doc.go
+++ b/bfplatform/internal/bfservice/doc.go
@@ -1,4 +1,4 @@
-// Package bfservice is the stand-in platform's HTTP side: the table service
-// and the object store by the protocol of bftable, with ceilings on reads and
-// writes, and the switch for faults.
+// Package bfservice serves the simulated platform over HTTP: the table service and the
+// object store by the protocol of bftable, and the rows by that of bfdialect, with
+// rate limits on reads and writes and with injected faults.
 package bfservice
--- a/bfplatform/internal/bfservice/rows.go
+++ b/bfplatform/internal/bfservice/rows.go
@@ -16,62 +16,62 @@
 	"bilberryflow.org/platform/bfdialect"
 )
 
-// Rows is the store's face in the form of the users' platform, with the same
-// faults and ceilings as the other.
+// Rows serves the store in the form of the platform's rows, with the same faults and
+// rate limits as Service.
 type Rows struct {
 	rows   *bfstore.MemoryRows
 	serve  bfdialect.RowsHandler
-	faults *bffault.Switchboard
+	faults *bffault.Injector
 	group  *bfgroup.Group
 	reads  *rate.Limiter
 	writes *rate.Limiter
-	count  *bfmetric.Counter
+	calls  *bfmetric.Counter
 }
 
-// NewRows makes the face over an empty store.
-func NewRows(faults *bffault.Switchboard, group *bfgroup.Group, readRate, writeRate int, metrics *bfmetric.Registry) *Rows {
-	began := time.Now()
+// NewRows returns a handler with an empty store; the rates are calls per second.
+func NewRows(faults *bffault.Injector, group *bfgroup.Group, readRate, writeRate int, metrics *bfmetric.Registry) *Rows {
+	start := time.Now()
 	rows := bfstore.NewMemoryRows()
 	return &Rows{
 		rows: rows, faults: faults, group: group,
-		serve:  bfdialect.RowsHandler{Rows: rows, Now: func() time.Duration { return time.Since(began) }},
+		serve:  bfdialect.RowsHandler{Rows: rows, Now: func() time.Duration { return time.Since(start) }},
 		reads:  rate.NewLimiter(rate.Limit(readRate), readRate),
 		writes: rate.NewLimiter(rate.Limit(writeRate), writeRate),
-		count:  metrics.Counter("rows_calls"),
+		calls:  metrics.Counter("rows_calls"),
 	}
 }
 
-// ServeHTTP answers one call, unless a fault is on for it.
+// ServeHTTP serves one call, subject to the rate limits and the active faults.
 func (s *Rows) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.count.Add(1)
+	s.calls.Add(1)
 	write := r.Method == http.MethodPost
 	limiter := s.reads
 	if write {
 		limiter = s.writes
 	}
-	verdict := s.faults.Judge(time.Now(), write)
+	effect := s.faults.EffectOn(time.Now(), write)
 	switch {
-	case verdict.Refuse:
+	case effect.Refuse:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case !limiter.Allow():
 		w.WriteHeader(http.StatusTooManyRequests)
-	case verdict.Hang:
+	case effect.Hang:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case verdict.Late:
-		s.later(r, verdict.Delay)
+	case effect.Late:
+		s.runLate(r, effect.Delay)
 	default:
-		wait(r.Context(), verdict.Delay)
-		if verdict.Cut {
-			s.serve.ServeHTTP(&nowhere{}, r)
+		wait(r.Context(), effect.Delay)
+		if effect.Cut {
+			s.serve.ServeHTTP(&discardWriter{}, r)
 			panic(http.ErrAbortHandler)
 		}
 		s.serve.ServeHTTP(w, r)
 	}
 }
 
-// later cuts the connection and performs the call after a delay.
-func (s *Rows) later(r *http.Request, delay time.Duration) {
+// runLate closes the connection and runs the call after a delay.
+func (s *Rows) runLate(r *http.Request, delay time.Duration) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -80,30 +80,31 @@
 		wait(ctx, delay)
 		late := r.Clone(ctx)
 		late.Body = io.NopCloser(bytes.NewReader(body))
-		s.serve.ServeHTTP(&nowhere{}, late)
+		s.serve.ServeHTTP(&discardWriter{}, late)
 		return nil
 	})
 	panic(http.ErrAbortHandler)
 }
 
-// nowhere takes an answer that nobody gets.
-type nowhere struct{ header http.Header }
+// discardWriter is an http.ResponseWriter that discards the response.
+type discardWriter struct{ header http.Header }
 
-// Header is dropped with the rest.
-func (n *nowhere) Header() http.Header {
+// Header returns headers that are discarded.
+func (n *discardWriter) Header() http.Header {
 	if n.header == nil {
 		n.header = http.Header{}
 	}
 	return n.header
 }
 
-// Write drops p.
-func (n *nowhere) Write(p []byte) (int, error) { return len(p), nil }
+// Write discards p.
+func (n *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// WriteHeader drops the status.
-func (n *nowhere) WriteHeader(int) {}
+// WriteHeader discards the status.
+func (n *discardWriter) WriteHeader(int) {}
 
-// Operate serves the operator's side: PUT writes the configuration, DELETE drops the history.
+// Operate serves the operator's calls: PUT writes the configuration, DELETE drops the
+// history.
 func (s *Rows) Operate(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
 		s.rows.DropHistory()
@@ -118,14 +119,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.write(r.Context(), data); err != nil {
+	if err := s.writeConfiguration(r.Context(), data); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Rows) write(ctx context.Context, data []byte) error {
+func (s *Rows) writeConfiguration(ctx context.Context, data []byte) error {
 	entries, _, err := s.rows.List(ctx, bfdialect.ConfigurationTable)
 	if err != nil {
 		return err
--- a/bfplatform/internal/bfservice/rows_test.go
+++ b/bfplatform/internal/bfservice/rows_test.go
@@ -18,8 +18,8 @@
 	"bilberryflow.org/platform/bfdialect"
 )
 
-// Each fault of the stand-in must be what a node meets on the users' platform:
-// a refusal without effect, an effect without an answer, an effect that comes late.
+// Each fault must have the client-visible meaning it has on the real platform: a
+// refusal without effect, an effect without a response, an effect that comes late.
 func TestRowsFaults(t *testing.T) {
 	is := is.New(t)
 	faults := bffault.New(1)
@@ -40,7 +40,7 @@
 		return false
 	}
 	put := func(key, mode, delay string) error {
-		is.NoErr(faults.Switch(time.Now(), bffault.Order{Mode: bffault.Mode(mode), For: "1m", Delay: delay}))
+		is.NoErr(faults.Add(time.Now(), bffault.Order{Mode: bffault.Mode(mode), For: "1m", Delay: delay}))
 		defer faults.Clear()
 		_, err := store.Write(context.Background(), "members", bfstore.RowWrite{Key: key, Value: []byte("v")})
 		return err
--- a/bfplatform/internal/bfservice/service.go
+++ b/bfplatform/internal/bfservice/service.go
@@ -19,24 +19,25 @@
 	"bilberryflow.org/lib/bftable"
 )
 
-// maxBody is the largest request body in bytes.
+// maxBody is the size limit of a request body in bytes.
 const maxBody = 64 << 20
 
-// Service answers the platform's protocol.
+// Service serves the platform's protocol.
 type Service struct {
 	store  *bfstore.Memory
-	faults *bffault.Switchboard
+	faults *bffault.Injector
 	group  *bfgroup.Group
 	reads  *rate.Limiter
 	writes *rate.Limiter
-	// maxBody is smaller in tests.
+	// maxBody is a field so that tests can lower it.
 	maxBody int64
 
 	readCount, writeCount, refusedCount *bfmetric.Counter
 }
 
-// New makes a service over store that takes readRate reads and writeRate writes a second.
-func New(store *bfstore.Memory, faults *bffault.Switchboard, group *bfgroup.Group, readRate, writeRate int, metrics *bfmetric.Registry) *Service {
+// New returns a service over store that accepts readRate reads and writeRate writes
+// per second.
+func New(store *bfstore.Memory, faults *bffault.Injector, group *bfgroup.Group, readRate, writeRate int, metrics *bfmetric.Registry) *Service {
 	return &Service{
 		store: store, faults: faults, group: group, maxBody: maxBody,
 		reads:        rate.NewLimiter(rate.Limit(readRate), readRate),
@@ -47,17 +48,18 @@
 	}
 }
 
-// call is one call of the protocol, decoded: what it does, apart from how it may fail.
+// call is a decoded call of the protocol, independent of injected faults.
 type call struct {
 	write bool
-	// keys are the rows that a write is to.
+	// keys are the rows that the call writes.
 	keys []string
 	run  func(ctx context.Context) (status int, answer any)
 }
 
-// ServeHTTP answers one call, unless a fault is on for it.
+// ServeHTTP serves one call, subject to the rate limits and the active faults.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Cut at the limit and stored, a snapshot would be a part that looks whole.
+	// A body over the limit fails the request; truncated, a stored snapshot would look
+	// complete.
 	r.Body = http.MaxBytesReader(w, r.Body, s.maxBody)
 	decoded, err := s.decode(r)
 	if err != nil {
@@ -69,12 +71,12 @@
 		limiter, counter = s.writes, s.writeCount
 	}
 	counter.Add(1)
-	verdict := s.faults.Judge(time.Now(), decoded.write, decoded.keys...)
-	if verdict.Refuse || !limiter.Allow() {
-		s.refuse(w, verdict.Refuse)
+	effect := s.faults.EffectOn(time.Now(), decoded.write, decoded.keys...)
+	if effect.Refuse || !limiter.Allow() {
+		s.refuse(w, effect.Refuse)
 		return
 	}
-	s.run(w, r, decoded, verdict)
+	s.run(w, r, decoded, effect)
 }
 
 func (s *Service) refuse(w http.ResponseWriter, down bool) {
@@ -87,27 +89,27 @@
 	answer(w, http.StatusTooManyRequests, bftable.FailureAnswer{Reason: "rate ceiling reached"})
 }
 
-func (s *Service) run(w http.ResponseWriter, r *http.Request, decoded call, verdict bffault.Verdict) {
+func (s *Service) run(w http.ResponseWriter, r *http.Request, decoded call, effect bffault.Effect) {
 	switch {
-	case verdict.Hang:
+	case effect.Hang:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case verdict.Late:
+	case effect.Late:
 		s.group.Go("late write", func(ctx context.Context) error {
-			wait(ctx, verdict.Delay)
+			wait(ctx, effect.Delay)
 			decoded.run(ctx)
 			return nil
 		})
 		panic(http.ErrAbortHandler)
 	}
-	wait(r.Context(), verdict.Delay)
+	wait(r.Context(), effect.Delay)
 	status, body := decoded.run(r.Context())
-	if verdict.Cut {
+	if effect.Cut {
 		panic(http.ErrAbortHandler)
 	}
 	if data, raw := body.([]byte); raw {
 		w.WriteHeader(status)
-		// The caller that went away has its own error for it.
+		// A write error means that the caller closed the connection.
 		_, _ = w.Write(data)
 		return
 	}
@@ -129,7 +131,7 @@
 func answer(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller that went away has its own error for it.
+	// A write error means that the caller closed the connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
@@ -153,30 +155,30 @@
 	switch r.URL.Path {
 	case bftable.PathGet:
 		var request bftable.GetRequest
-		return call{run: func(ctx context.Context) (int, any) { return rows(s.store.Get(ctx, request.Keys...)) }}, strict(body, &request)
+		return call{run: func(ctx context.Context) (int, any) { return rowsAnswer(s.store.Get(ctx, request.Keys...)) }}, decodeStrict(body, &request)
 	case bftable.PathRange:
 		var request bftable.RangeRequest
-		err := strict(body, &request)
+		err := decodeStrict(body, &request)
 		if err == nil && request.Limit < 1 {
 			err = errLimit
 		}
 		return call{run: func(ctx context.Context) (int, any) {
-			return rows(s.store.Range(ctx, request.From, request.To, request.Limit))
+			return rowsAnswer(s.store.Range(ctx, request.From, request.To, request.Limit))
 		}}, err
 	case bftable.PathCommit:
 		var tx bfstore.Transaction
-		err := strict(body, &tx)
+		err := decodeStrict(body, &tx)
 		var keys []string
 		for _, write := range tx.Writes {
 			keys = append(keys, write.Key)
 		}
-		run := func(ctx context.Context) (int, any) { return committed(s.store.Commit(ctx, tx)) }
+		run := func(ctx context.Context) (int, any) { return commitAnswer(s.store.Commit(ctx, tx)) }
 		return call{write: true, keys: keys, run: run}, err
 	}
 	return call{}, errNoSuchCall
 }
 
-func strict(body []byte, into any) error {
+func decodeStrict(body []byte, into any) error {
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
@@ -188,17 +190,17 @@
 	return nil
 }
 
-func rows(rows []bfstore.Row, err error) (int, any) {
+func rowsAnswer(rows []bfstore.Row, err error) (int, any) {
 	if err != nil {
 		return http.StatusInternalServerError, bftable.FailureAnswer{Reason: err.Error()}
 	}
 	if rows == nil {
-		rows = []bfstore.Row{} // no rows is an answer, null is none
+		rows = []bfstore.Row{} // encoded as [] and not as null
 	}
 	return http.StatusOK, bftable.RowsAnswer{Rows: rows}
 }
 
-func committed(err error) (int, any) {
+func commitAnswer(err error) (int, any) {
 	var conflict *bfstore.ConflictError
 	if errors.As(err, &conflict) {
 		return http.StatusConflict, bftable.ConflictAnswer{Row: conflict.Row}
@@ -233,11 +235,11 @@
 		}}, nil
 	case r.Method == http.MethodPut:
 		return call{write: true, run: func(ctx context.Context) (int, any) {
-			return committed(s.store.PutObject(ctx, name, body))
+			return commitAnswer(s.store.PutObject(ctx, name, body))
 		}}, nil
 	case r.Method == http.MethodDelete:
 		return call{write: true, run: func(ctx context.Context) (int, any) {
-			return committed(s.store.DeleteObject(ctx, name))
+			return commitAnswer(s.store.DeleteObject(ctx, name))
 		}}, nil
 	}
 	return call{}, errNoSuchCall
--- a/bfplatform/internal/bfservice/service_test.go
+++ b/bfplatform/internal/bfservice/service_test.go
@@ -24,7 +24,7 @@
 	"bilberryflow.org/lib/bftable"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed, so that every run draws the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -35,12 +35,12 @@
 	os.Exit(m.Run())
 }
 
-const many = 1_000_000
+const unlimited = 1_000_000
 
-// platform is the stand-in on loopback with a client of it.
+// platform is the simulated platform on loopback with a client.
 type platform struct {
 	store   *bfstore.Memory
-	faults  *bffault.Switchboard
+	faults  *bffault.Injector
 	group   *bfgroup.Group
 	service *Service
 	server  *httptest.Server
@@ -56,22 +56,22 @@
 	return p
 }
 
-func (p *platform) fault(t *testing.T, order bffault.Order) {
+func (p *platform) addFault(t *testing.T, order bffault.Order) {
 	order.For = "1h"
-	is.New(t).NoErr(p.faults.Switch(time.Now(), order))
+	is.New(t).NoErr(p.faults.Add(time.Now(), order))
 }
 
 func put(key, value string) bfstore.Transaction {
 	return bfstore.Transaction{Writes: []bfstore.Write{{Key: key, Value: []byte(value)}}}
 }
 
-// value is what the store holds, past all faults.
+// value returns the stored value, regardless of faults.
 func (p *platform) value(key string) string {
 	rows, _ := p.store.Get(context.Background(), key)
 	return string(rows[0].Value)
 }
 
-func kind(err error) string {
+func outcome(err error) string {
 	var conflict *bfstore.ConflictError
 	var unavailable *bfstore.UnavailableError
 	var unknown *bfstore.UnknownError
@@ -88,15 +88,15 @@
 	return err.Error()
 }
 
-// Each fault of the platform meets a write and a read. What the caller is told of
-// its write must be true: "none" only where nothing was written, "done" only where
-// it was, else "unknown"; taken for another, an operator repeats a change that is in force.
-func TestEveryFaultHasItsMeaning(t *testing.T) {
+// A write's result under each fault must be true: "none" only where nothing was
+// written, "done" only where it was, otherwise "unknown". A wrong result would make an
+// operator repeat a change that is in force.
+func TestWriteOutcomeUnderEachFault(t *testing.T) {
 	const timeout = 150 * time.Millisecond
 	for _, test := range []struct {
 		order       bffault.Order
 		write, read string
-		// applied is what the store holds at once, and late after the delay.
+		// applied is whether the write is stored at once, late whether it is after the delay.
 		applied, late bool
 	}{
 		{bffault.Order{Mode: bffault.Down}, "none", "none", false, false},
@@ -107,18 +107,18 @@
 	} {
 		t.Run(string(test.order.Mode), func(t *testing.T) {
 			is := is.New(t)
-			p := start(t, many, many, timeout)
-			p.fault(t, test.order)
+			p := start(t, unlimited, unlimited, timeout)
+			p.addFault(t, test.order)
 			ctx := t.Context()
-			is.Equal(kind(p.client.Commit(ctx, put("k", "v"))), test.write)
+			is.Equal(outcome(p.client.Commit(ctx, put("k", "v"))), test.write)
 			is.Equal(p.value("k") == "v", test.applied)
 			_, err := p.client.Get(ctx, "k")
-			is.Equal(kind(err), test.read)
+			is.Equal(outcome(err), test.read)
 			_, err = p.client.Range(ctx, "a", "z", 5)
-			is.Equal(kind(err), test.read)
-			is.Equal(kind(p.client.PutObject(ctx, "o", []byte("v"))), test.write)
+			is.Equal(outcome(err), test.read)
+			is.Equal(outcome(p.client.PutObject(ctx, "o", []byte("v"))), test.write)
 			_, err = p.client.ListObjects(ctx, "")
-			is.Equal(kind(err), test.read)
+			is.Equal(outcome(err), test.read)
 			for test.late && p.value("k") != "v" {
 				time.Sleep(time.Millisecond)
 			}
@@ -128,11 +128,10 @@
 	}
 }
 
-// A write is refused since its condition does not hold, while answers get lost
-// for a share of calls. A conflict is told as one, with the row as it is.
-func TestConflictNamesTheRow(t *testing.T) {
+// A commit whose condition fails is reported as a conflict, with the current row.
+func TestConflictReturnsCurrentRow(t *testing.T) {
 	is := is.New(t)
-	p := start(t, many, many, time.Second)
+	p := start(t, unlimited, unlimited, time.Second)
 	is.NoErr(p.client.Commit(t.Context(), put("k", "v")))
 	tx := put("k", "w")
 	tx.Conditions = []bfstore.Condition{{Key: "k"}}
@@ -142,14 +141,13 @@
 	is.Equal(p.value("k"), "v")
 }
 
-// More calls come than the platform takes. Those over the ceiling are refused
-// before any effect, and say when to come back.
-func TestCeilingsRefuseBeforeAnyEffect(t *testing.T) {
+// Calls over the rate limit are refused without any effect and with a time to retry.
+func TestRateLimitRefusesWithoutEffect(t *testing.T) {
 	is := is.New(t)
-	const ceiling = 5
-	p := start(t, ceiling, ceiling, time.Second)
+	const limit = 5
+	p := start(t, limit, limit, time.Second)
 	refused, done := 0, 0
-	for i := range 4 * ceiling {
+	for i := range 4 * limit {
 		key := fmt.Sprint("k", i)
 		var unavailable *bfstore.UnavailableError
 		switch err := p.client.Commit(t.Context(), put(key, "v")); {
@@ -164,17 +162,16 @@
 			t.Fatal(err)
 		}
 	}
-	is.True(done >= ceiling && refused > 0)
-	_, err := p.client.Get(t.Context(), "k0") // reads have a ceiling of their own
+	is.True(done >= limit && refused > 0)
+	_, err := p.client.Get(t.Context(), "k0") // reads have their own limit
 	is.NoErr(err)
 }
 
-// Requests that are no call of the protocol come to the platform: each is refused
-// by a reason, none has an effect and none stops it. An object over the limit is
-// refused whole; stored in part, a node would start from half a snapshot.
-func TestHostileRequests(t *testing.T) {
+// Malformed requests are refused without any effect. An object over the size limit is
+// refused as a whole; stored in part, a node would start from a truncated snapshot.
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	is := is.New(t)
-	p := start(t, many, many, time.Second)
+	p := start(t, unlimited, unlimited, time.Second)
 	p.service.maxBody = 1 << 10
 	is.NoErr(p.client.Commit(t.Context(), put("k", "v")))
 	for _, test := range []struct{ method, path, body string }{
@@ -200,8 +197,8 @@
 	is.Equal(p.value("k"), "v")
 	_, err := p.store.Object(t.Context(), "o")
 	is.True(err != nil)
-	is.Equal(kind(p.client.PutObject(t.Context(), "o", bytes.Repeat([]byte("x"), 2<<10))), "none")
-	// Names with everything that a path could take for its own.
+	is.Equal(outcome(p.client.PutObject(t.Context(), "o", bytes.Repeat([]byte("x"), 2<<10))), "none")
+	// Names with characters that are special in a path.
 	for _, name := range []string{"a/b", "../x", "a%2Fb", "ü?#&=", " "} {
 		is.NoErr(p.client.PutObject(t.Context(), name, []byte(name)))
 		data, err := p.client.Object(t.Context(), name)
@@ -213,13 +210,13 @@
 	is.Equal(names, []string{"a%2Fb", "a/b"})
 }
 
-// naive is a table as a list of rows, looked through from end to end.
-type naive struct {
+// listModel models the table as an unsorted list of rows.
+type listModel struct {
 	rows     []bfstore.Row
 	revision uint64
 }
 
-func (n *naive) row(key string) bfstore.Row {
+func (n *listModel) row(key string) bfstore.Row {
 	for _, row := range n.rows {
 		if row.Key == key {
 			return row
@@ -228,7 +225,7 @@
 	return bfstore.Row{Key: key}
 }
 
-func (n *naive) commit(tx bfstore.Transaction) bool {
+func (n *listModel) commit(tx bfstore.Transaction) bool {
 	for _, c := range tx.Conditions {
 		if n.row(c.Key).Revision != c.Revision {
 			return false
@@ -244,7 +241,7 @@
 	return true
 }
 
-func (n *naive) scan(from, to string, limit int) []bfstore.Row {
+func (n *listModel) scan(from, to string, limit int) []bfstore.Row {
 	var found []bfstore.Row
 	for _, row := range n.rows {
 		if from <= row.Key && row.Key < to {
@@ -261,16 +258,15 @@
 	})
 }
 
-// The table, through client and service, against the list of rows: conditions on
-// rows that exist, do not and no longer do, several writes to one row in one
-// transaction, and ranges. Answers of some writes get lost; what the table then
-// holds is what the list holds that took the write.
-func TestTableAgreesWithAList(t *testing.T) {
-	p := start(t, many, many, 5*time.Second)
+// Compares the table, through client and service, with a list model: conditions on
+// existing, missing and removed rows, several writes of a row in one transaction, and
+// ranges. A write whose response is lost must still be applied as in the model.
+func TestTableMatchesListModel(t *testing.T) {
+	p := start(t, unlimited, unlimited, 5*time.Second)
 	rapid.Check(t, func(t *rapid.T) {
 		p.store = bfstore.NewMemory()
 		p.service.store = p.store
-		model := &naive{}
+		model := &listModel{}
 		keys := rapid.SampledFrom([]string{"a", "b", "b/1", "b/2", "c", "ü"})
 		for range rapid.IntRange(1, 15).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "write") {
@@ -286,7 +282,7 @@
 	})
 }
 
-func checkCommit(t *rapid.T, p *platform, model *naive, keys *rapid.Generator[string]) {
+func checkCommit(t *rapid.T, p *platform, model *listModel, keys *rapid.Generator[string]) {
 	var tx bfstore.Transaction
 	for range rapid.IntRange(0, 2).Draw(t, "conditions") {
 		condition := bfstore.Condition{Key: keys.Draw(t, "key"), Revision: uint64(rapid.IntRange(0, 3).Draw(t, "revision"))}
@@ -303,7 +299,7 @@
 	lost := rapid.IntRange(0, 9).Draw(t, "lost") == 0
 	p.faults.Clear()
 	if lost {
-		_ = p.faults.Switch(time.Now(), bffault.Order{Mode: bffault.LoseAnswers, For: "1h"})
+		_ = p.faults.Add(time.Now(), bffault.Order{Mode: bffault.LoseAnswers, For: "1h"})
 	}
 	err := p.client.Commit(context.Background(), tx)
 	p.faults.Clear()
@@ -314,7 +310,7 @@
 	if lost {
 		want = "unknown"
 	}
-	if kind(err) != want {
+	if outcome(err) != want {
 		t.Fatalf("%+v: %v, want %s", tx, err, want)
 	}
 	rows, err := p.client.Get(context.Background(), "a", "b", "b/1", "b/2", "c", "ü")
--- a/bfplatform/main.go
+++ b/bfplatform/main.go
@@ -1,5 +1,5 @@
-// Command bfplatform stands in for the platform: a transactional table service
-// and an object store, in memory, whose outages are switched over HTTP.
+// Command bfplatform simulates the platform: a transactional table service and an
+// object store, in memory, with faults that are injected over HTTP.
 package main
 
 import (
