--- a/bftarget/internal/bfcommand/command.go
+++ b/bftarget/internal/bfcommand/command.go
@@ -20,7 +20,7 @@
 	"bilberryflow.org/lib/bfsettings"
 )
 
-// Settings of a stand-in target.
+// Settings are the settings of a simulated target.
 type Settings struct {
 	Instance    string              `json:"instance" jsonschema:"minLength=1,description=Name of the target instance."`
 	Service     string              `json:"service" jsonschema:"minLength=1,description=Service whose requests the target answers."`
@@ -35,7 +35,7 @@
 	StopTimeout bfsettings.Duration `json:"stopTimeout,omitempty" jsonschema:"description=Bound of a graceful stop."`
 }
 
-// Program is the stand-in target as a daemon.
+// Program returns the daemon bftarget.
 func Program() bfprogram.Program[Settings] {
 	return bfprogram.Program[Settings]{
 		Name:        "bftarget",
@@ -87,7 +87,7 @@
 	}, nil
 }
 
-// exitCrashed is the exit code of a target that a request has ended.
+// exitCrashed is the exit code after a request that asked for a crash.
 const exitCrashed = 70
 
 func routes(target *bfworkload.Target, ledger *bfledger.Ledger) http.Handler {
@@ -98,14 +98,14 @@
 	mux.Handle("GET /debug/vars", expvar.Handler())
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// The reader that went away has its own error for it.
+		// A write error means that the reader closed the connection.
 		_ = json.NewEncoder(w).Encode(ledger.Page())
 	})
 	mux.HandleFunc("PUT /behaviour", func(w http.ResponseWriter, r *http.Request) { setBehaviour(target, w, r) })
 	return mux
 }
 
-// setBehaviour changes the fields that the request names and keeps the others.
+// setBehaviour changes the fields that the request sets and keeps the others.
 func setBehaviour(target *bfworkload.Target, w http.ResponseWriter, r *http.Request) {
 	behaviour := target.Behaviour()
 	decoder := json.NewDecoder(r.Body)
@@ -122,7 +122,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// announcer tells the node about the target until the target has left.
+// announcer announces the target to its node until the target has left.
 type announcer struct {
 	settings Settings
 	address  string
@@ -146,9 +146,9 @@
 	})
 }
 
-// Start announces the target at each heartbeat.
+// Start announces the target at each heartbeat until drain or until ctx ends.
 func (a *announcer) Start(ctx context.Context) error {
-	const retry = 100 * time.Millisecond
+	const retryInterval = 100 * time.Millisecond
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -160,27 +160,27 @@
 		case <-timer.C:
 		}
 		a.target.Observe(time.Now())
-		next := bfannounce.Heartbeat
+		delay := bfannounce.Heartbeat
 		if _, err := a.send(ctx, false); err != nil {
-			// The node may start after its target; it is asked again soon.
-			next = retry
+			// The node may start after its target; the announcement is retried soon.
+			delay = retryInterval
 		}
-		timer.Reset(next)
+		timer.Reset(delay)
 	}
 }
 
-// Stop ends the announcements.
+// Stop does nothing: drain ends the announcements.
 func (a *announcer) Stop(context.Context) error { return nil }
 
-// drain tells the node that the target leaves and returns when nothing is in flight.
+// drain announces that the target leaves and returns when nothing is in flight.
 func (a *announcer) drain(ctx context.Context) {
-	const poll = 50 * time.Millisecond
+	const pollInterval = 50 * time.Millisecond
 	close(a.stop)
 	a.logger.Emit(bflog.TargetLeaving)
 	for {
 		answer, err := a.send(ctx, true)
-		// A node that is gone sends nothing more: then only the target's own
-		// work counts, or the target would wait for a dead node for good.
+		// A node that can't be reached forwards no more requests: only the target's own
+		// requests count then, or the target would wait for a dead node forever.
 		if (err != nil || answer.InFlight == 0) && a.target.InUse() == 0 {
 			a.target.Leave()
 			return
@@ -188,7 +188,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/bftarget/internal/bfcommand/doc.go
+++ b/bftarget/internal/bfcommand/doc.go
@@ -1,2 +1,3 @@
-// Package bfcommand is the program bftarget: its settings and how its parts are joined.
+// Package bfcommand implements the program bftarget: its settings and the wiring of
+// its components.
 package bfcommand
--- a/bftarget/internal/bfledger/doc.go
+++ b/bftarget/internal/bfledger/doc.go
@@ -1,3 +1,3 @@
-// Package bfledger remembers which requests a stand-in target ran, so that
-// at-most-once can be checked from outside the system.
+// Package bfledger records which requests a simulated target ran, so that at-most-once
+// execution can be checked from outside the system.
 package bfledger
--- a/bftarget/internal/bfledger/ledger.go
+++ b/bftarget/internal/bfledger/ledger.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Run is what happened to one request at the target.
+// Run counts what happened to one request at the target.
 type Run struct {
 	ID string `json:"id"`
-	// Key is the caller's idempotency key, if the request had one.
+	// Key is the caller's idempotency key, empty if the request had none.
 	Key       string `json:"key,omitempty"`
 	Started   int    `json:"started"`
 	Finished  int    `json:"finished"`
@@ -13,24 +13,24 @@
 	Shed      int    `json:"shed"`
 }
 
-// Ledger holds the runs of one target.
+// Ledger records the runs of one target; it is safe for concurrent use.
 type Ledger struct {
-	mu   sync.Mutex
-	runs map[string]*Run
-	max  int
-	lost int
+	mu      sync.Mutex
+	runs    map[string]*Run
+	maxRuns int
+	lost    int
 }
 
-// New makes a ledger of at most max requests; later ones are only counted as lost.
-func New(max int) *Ledger { return &Ledger{runs: map[string]*Run{}, max: max} }
+// New returns a ledger of at most max requests; further ones are only counted.
+func New(max int) *Ledger { return &Ledger{runs: map[string]*Run{}, maxRuns: max} }
 
-// Record changes the run of id by edit.
+// Record applies edit to the run of a request ID and creates the run if it is new.
 func (l *Ledger) Record(id, key string, edit func(*Run)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run, found := l.runs[id]
 	if !found {
-		if len(l.runs) >= l.max {
+		if len(l.runs) >= l.maxRuns {
 			l.lost++
 			return
 		}
@@ -40,14 +40,15 @@
 	edit(run)
 }
 
-// Page is the ledger as it is shown.
+// Page is a copy of the ledger as it is served.
 type Page struct {
 	Runs []Run `json:"runs"`
-	// Lost counts requests beyond what the ledger holds: with any, it proves nothing.
+	// Lost counts the requests beyond the ledger's size; unless it is 0, the ledger is
+	// incomplete and proves nothing.
 	Lost int `json:"lost"`
 }
 
-// Page copies the ledger.
+// Page returns a copy of the ledger.
 func (l *Ledger) Page() Page {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/bftarget/internal/bfworkload/health.go
+++ b/bftarget/internal/bfworkload/health.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Report is what the health and load endpoints answer.
+// Report is the response of the health and load endpoints.
 type Report struct {
 	Status Health `json:"status"`
 	InUse  int    `json:"inUse"`
@@ -18,21 +18,22 @@
 	report Report
 }
 
-// observationAge bounds how far back the endpoints can lag.
-const observationAge = time.Minute
+// maxObservationAge bounds how old the endpoints' answers can be.
+const maxObservationAge = time.Minute
 
-// Observe notes the target's true state, for endpoints that lag.
+// Observe records the target's actual state, for endpoints that answer with an older
+// one.
 func (t *Target) Observe(now time.Time) {
-	report := t.truth()
+	report := t.actualReport()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.history = append(t.history, observation{now, report})
-	for len(t.history) > 0 && now.Sub(t.history[0].at) > observationAge {
+	for len(t.history) > 0 && now.Sub(t.history[0].at) > maxObservationAge {
 		t.history = t.history[1:]
 	}
 }
 
-func (t *Target) truth() Report {
+func (t *Target) actualReport() Report {
 	report := Report{Status: HealthHealthy, InUse: t.InUse(), Slots: cap(t.slots)}
 	if t.Behaviour().Shed || t.leaving.Load() {
 		report.Status = HealthUnhealthy
@@ -40,11 +41,11 @@
 	return report
 }
 
-func (t *Target) shown(now time.Time) Report {
+func (t *Target) servedReport(now time.Time) Report {
 	behaviour := t.Behaviour()
-	report := t.truth()
+	report := t.actualReport()
 	if lag := time.Duration(behaviour.HealthLag) * time.Millisecond; lag > 0 {
-		report = t.seen(now.Add(-lag), report)
+		report = t.reportAt(now.Add(-lag), report)
 	}
 	if behaviour.SayHealth != HealthTrue {
 		report.Status = behaviour.SayHealth
@@ -52,8 +53,8 @@
 	return report
 }
 
-// seen gives the newest observation up to at, or otherwise where there is none.
-func (t *Target) seen(at time.Time, otherwise Report) Report {
+// reportAt returns the newest observation up to a time, or fallback if there is none.
+func (t *Target) reportAt(at time.Time, fallback Report) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := len(t.history) - 1; i >= 0; i-- {
@@ -61,16 +62,16 @@
 			return t.history[i].report
 		}
 	}
-	return otherwise
+	return fallback
 }
 
-// ServeHealth answers the health and the load endpoint.
+// ServeHealth serves the health and the load endpoint.
 func (t *Target) ServeHealth(w http.ResponseWriter, _ *http.Request) {
-	report := t.shown(time.Now())
+	report := t.servedReport(time.Now())
 	w.Header().Set("Content-Type", "application/json")
 	if report.Status != HealthHealthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	// The reader that went away has its own error for it.
+	// A write error means that the reader closed the connection.
 	_ = json.NewEncoder(w).Encode(report)
 }
--- a/bftarget/internal/bfworkload/target.go
+++ b/bftarget/internal/bfworkload/target.go
@@ -17,10 +17,10 @@
 	"bilberryflow.org/lib/bfheader"
 )
 
-// Health is what the health endpoint says.
+// Health is the status that the health endpoint reports.
 type Health string
 
-// What the health endpoint can be told to say.
+// Values of Health; HealthTrue, valid in a Behaviour only, reports the actual status.
 const (
 	HealthTrue      Health = ""
 	HealthHealthy   Health = "healthy"
@@ -31,22 +31,22 @@
 type Behaviour struct {
 	// ServiceTime is the mean time of one request on a warm target, in milliseconds.
 	ServiceTime float64 `json:"serviceTimeMs"`
-	// Spread is the share by which service times vary, 0 to 1.
+	// Spread is the relative variation of service times, 0 to 1.
 	Spread float64 `json:"spread"`
 	// Shed refuses every request as not run.
 	Shed bool `json:"shed"`
-	// SayHealth makes the health endpoint lie.
+	// SayHealth is the status that the health endpoint reports in place of the actual one.
 	SayHealth Health `json:"sayHealth"`
-	// HealthLag is how old the health and load endpoints' answers are, in milliseconds.
+	// HealthLag is the age of the health and load endpoints' answers, in milliseconds.
 	HealthLag int64 `json:"healthLagMs"`
-	// CutAfter breaks answers after that many bytes of body; 0 never does.
+	// CutAfter cuts responses after that many bytes of the body; 0 disables it.
 	CutAfter int `json:"cutAfter"`
-	// QueueAll has requests wait for a slot without bound and run to their end
-	// even when their callers have gone, as a target without admission does.
+	// QueueAll has requests wait for a slot without bound and run to completion even if
+	// their callers disconnect, as in a target without admission control.
 	QueueAll bool `json:"queueAll"`
 }
 
-// Validate finds a behaviour that can't be.
+// Validate returns an error for a value out of range.
 func (b Behaviour) Validate() error {
 	switch {
 	case b.ServiceTime < 0 || b.Spread < 0 || b.Spread > 1 || b.HealthLag < 0 || b.CutAfter < 0:
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// maxDownload is the largest body in bytes that a caller may ask for.
+// maxDownload is the largest response body that a request can ask for, in bytes.
 const maxDownload = 64 << 20
 
-// Target runs requests.
+// Target runs requests; it is an http.Handler.
 type Target struct {
 	instance  string
 	service   string
@@ -70,17 +70,18 @@
 	behaviour atomic.Pointer[Behaviour]
 	leaving   atomic.Bool
 	ledger    *bfledger.Ledger
-	// onRun is told of each run before it begins, so that what was run is
-	// known after the process was killed too.
+	// onRun is called before each run, so that its log is complete even if the process is
+	// killed.
 	onRun func(id, key, mark string)
-	// onCrash ends the process, for a request that asks for that.
+	// onCrash ends the process, for a request that asks for a crash.
 	onCrash func()
 
 	mu      sync.Mutex
 	history []observation
 }
 
-// New makes a target with so many slots that takes coldStart to reach its full rate.
+// New returns a target with a number of slots that takes coldStart to reach its full
+// rate.
 func New(instance, service string, slots int, coldStart time.Duration, behaviour Behaviour, ledger *bfledger.Ledger) *Target {
 	t := &Target{
 		instance: instance, service: service, slots: make(chan struct{}, slots),
@@ -90,26 +91,27 @@
 	return t
 }
 
-// OnRun has fn told of each run before it begins; it must be set before the target serves.
+// OnRun sets a function that is called before each run; call it before the target
+// serves.
 func (t *Target) OnRun(fn func(id, key, mark string)) { t.onRun = fn }
 
-// OnCrash has fn end the process for a request with the query parameter crash, once it has
-// run for its time; it must be set before the target serves.
+// OnCrash sets the function that ends the process for a request with the query
+// parameter crash, after its service time; call it before the target serves.
 func (t *Target) OnCrash(fn func()) { t.onCrash = fn }
 
-// SetBehaviour changes how the target acts from now on.
+// SetBehaviour replaces the behaviour for later requests.
 func (t *Target) SetBehaviour(b Behaviour) { t.behaviour.Store(&b) }
 
-// Behaviour is how the target acts now.
+// Behaviour returns the current behaviour.
 func (t *Target) Behaviour() Behaviour { return *t.behaviour.Load() }
 
-// Leave refuses work that comes from now on.
+// Leave makes the target refuse new requests.
 func (t *Target) Leave() { t.leaving.Store(true) }
 
-// InUse is how many requests run now.
+// InUse returns the number of slots in use.
 func (t *Target) InUse() int { return len(t.slots) }
 
-// ServeHTTP runs one request.
+// ServeHTTP runs one request or sheds it.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	behaviour := t.Behaviour()
@@ -136,7 +138,7 @@
 	if behaviour.QueueAll {
 		ctx = context.WithoutCancel(ctx)
 	}
-	if err := t.work(ctx, r, behaviour); err != nil {
+	if err := t.waitServiceTime(ctx, r, behaviour); err != nil {
 		t.ledger.Record(id, key, func(run *bfledger.Run) { run.Cancelled++ })
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
@@ -149,7 +151,7 @@
 	t.answer(w, r, id, body, behaviour)
 }
 
-// takeSlot takes one of the slots; false means that the request is shed.
+// takeSlot takes a slot; false means that the request must be shed.
 func (t *Target) takeSlot(behaviour Behaviour) bool {
 	if behaviour.QueueAll {
 		t.slots <- struct{}{}
@@ -163,9 +165,9 @@
 	}
 }
 
-// writeTiming tells how long the target itself took, by the standard header Server-Timing.
-func writeTiming(header http.Header, took time.Duration) {
-	header.Set("Server-Timing", fmt.Sprintf("target;dur=%.3f", took.Seconds()*1000))
+// writeTiming reports the target's own processing time in the header Server-Timing.
+func writeTiming(header http.Header, elapsed time.Duration) {
+	header.Set("Server-Timing", fmt.Sprintf("target;dur=%.3f", elapsed.Seconds()*1000))
 }
 
 func (t *Target) shed(w http.ResponseWriter, id, key, reason string) {
@@ -178,14 +180,14 @@
 
 var errDeadline = errors.New("deadline reached")
 
-func (t *Target) work(ctx context.Context, r *http.Request, behaviour Behaviour) error {
-	left, err := bfheader.ReadDeadline(r.Header)
+func (t *Target) waitServiceTime(ctx context.Context, r *http.Request, behaviour Behaviour) error {
+	remaining, err := bfheader.ReadDeadline(r.Header)
 	if err != nil {
 		return err
 	}
-	if left > 0 {
+	if remaining > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeoutCause(ctx, left, errDeadline)
+		ctx, cancel = context.WithTimeoutCause(ctx, remaining, errDeadline)
 		defer cancel()
 	}
 	timer := time.NewTimer(t.serviceTime(r, behaviour))
@@ -198,13 +200,13 @@
 	}
 }
 
-// coldFactor is how much longer a request takes at the very start.
+// coldFactor is the factor on the service time at the start of a cold target.
 const coldFactor = 4.0
 
 func (t *Target) serviceTime(r *http.Request, behaviour Behaviour) time.Duration {
 	ms := behaviour.ServiceTime
-	if asked, err := strconv.ParseFloat(r.URL.Query().Get("work"), 64); err == nil && asked >= 0 {
-		ms = asked
+	if requested, err := strconv.ParseFloat(r.URL.Query().Get("work"), 64); err == nil && requested >= 0 {
+		ms = requested
 	}
 	ms *= 1 - behaviour.Spread + 2*behaviour.Spread*rand.Float64()
 	if age := time.Since(t.started); age < t.coldStart {
@@ -213,7 +215,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Result is the body of an answer, unless a download was asked for.
+// Result is the response body, unless the request asks for a download.
 type Result struct {
 	RequestID string `json:"requestId"`
 	Instance  string `json:"instance"`
@@ -243,11 +245,11 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	// The node that went away has its own error for it.
+	// A write error means that the node closed the connection.
 	_, _ = w.Write(data)
 }
 
-// download makes a body that a reader can check byte by byte against the request's ID.
+// download returns a body that a reader can verify byte by byte from the request's ID.
 func download(id string, size int) []byte {
 	data := make([]byte, size)
 	pattern := []byte(id + "\n")
--- a/bftarget/main.go
+++ b/bftarget/main.go
@@ -1,4 +1,4 @@
-// Command bftarget stands in for a target instance of the users.
+// Command bftarget simulates a target instance.
 package main
 
 import (
