--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -301,7 +301,7 @@
 		handler       http.Handler
 	}
 	ports := []port{
-		{"target", n.common.Target, bfdialect.Reports{Heard: n.host.HandleHeartbeat, Left: n.host.HandleDeparture, Refused: n.logRefusedReport}},
+		{"target", n.common.Target, bfdialect.ReportHandler{OnHeartbeat: n.host.HandleHeartbeat, OnDeparture: n.host.HandleDeparture, OnInvalid: n.logRefusedReport}},
 		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
--- a/bftarget/internal/bfworkload/target.go
+++ b/bftarget/internal/bfworkload/target.go
@@ -27,7 +27,7 @@
 	HealthUnhealthy Health = "unhealthy"
 )
 
-// Behaviour is how the target acts; it is changed while it runs.
+// Behaviour configures how the target acts; it can be changed at run time.
 type Behaviour struct {
 	// ServiceTime is the mean time of one request on a warm target, in milliseconds.
 	ServiceTime float64 `json:"serviceTimeMs"`
