--- a/bfctl/internal/bfcommand/client.go
+++ b/bfctl/internal/bfcommand/client.go
@@ -73,12 +73,12 @@
 		transport.TLSClientConfig = &tls.Config{RootCAs: s.roots, MinVersion: tls.VersionTLS12}
 	}
 	// The context of each request bounds its time.
-	kratos, err := khttp.NewClient(ctx, khttp.WithEndpoint(base), khttp.WithTransport(transport),
+	httpClient, err := khttp.NewClient(ctx, khttp.WithEndpoint(base), khttp.WithTransport(transport),
 		khttp.WithTimeout(0), khttp.WithErrorDecoder(statusError(address)))
 	if err != nil {
 		return nil, &UsageError{Setting: "--node", Reason: err.Error()}
 	}
-	return &client{address: address, base: base, token: s.token, http: kratos}, nil
+	return &client{address: address, base: base, token: s.token, http: httpClient}, nil
 }
 
 // statusError returns a decoder of a response with an error status.
--- a/bfctl/internal/bfcommand/execution_test.go
+++ b/bfctl/internal/bfcommand/execution_test.go
@@ -39,29 +39,29 @@
 // committed. A stage may be refused although an earlier attempt staged it, if another
 // operator confirmed it since; "not accepted" comes from a node that can't determine
 // either.
-func (w *model) attempt(t *rapid.T, command bfsyntax.Command) attempt {
+func (m *model) attempt(t *rapid.T, command bfsyntax.Command) attempt {
 	idempotent := bfsyntax.NeedsChangeID(command)
 	_, isStage := command.(bfsyntax.Stage)
 	run := func() {
-		if !idempotent || w.effects == 0 {
-			w.effects++
+		if !idempotent || m.effects == 0 {
+			m.effects++
 		}
 	}
 	kinds := []string{"not sent", "rejected", "cut before", "cut after", "done", "not accepted", "unknown before", "unknown after"}
-	if w.effects == 0 {
+	if m.effects == 0 {
 		kinds = append(kinds, "conflict")
 	}
-	if w.effects == 0 || isStage {
+	if m.effects == 0 || isStage {
 		kinds = append(kinds, "refused")
 	}
 	switch rapid.SampledFrom(kinds).Draw(t, "attempt") {
 	case "rejected":
 		return rejected{errNode}
 	case "cut before":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		return interrupted{errNode}
 	case "cut after":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		run()
 		return interrupted{errNode}
 	case "done":
@@ -70,10 +70,10 @@
 	case "not accepted":
 		return answered{status: bfresult.StatusNotAccepted}
 	case "unknown before":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		return answered{status: bfresult.StatusUnknown}
 	case "unknown after":
-		w.mayHaveRun++
+		m.mayHaveRun++
 		run()
 		return answered{status: bfresult.StatusUnknown}
 	case "refused":
@@ -96,21 +96,21 @@
 		command := rapid.SampledFrom(commands).Draw(t, "command")
 		idempotent := bfsyntax.NeedsChangeID(command)
 		nodes := rapid.IntRange(1, 4).Draw(t, "nodes")
-		e, w := &execution{command: command, changeID: "id"}, &model{}
+		e, m := &execution{command: command, changeID: "id"}, &model{}
 		for i := range nodes {
-			if w.mayHaveRun > 0 && !idempotent {
+			if m.mayHaveRun > 0 && !idempotent {
 				t.Fatalf("%v was sent again after it may have run", command)
 			}
-			end, ended := e.after(w.attempt(t, command), i+1 < nodes).(finish)
+			end, ended := e.after(m.attempt(t, command), i+1 < nodes).(finish)
 			if !ended {
 				continue
 			}
 			exitCode := end.code
-			if exitCode == bfresult.ExitDone && w.effects == 0 || exitCode != bfresult.ExitDone && exitCode != bfresult.ExitUnknown && w.effects > 0 {
-				t.Fatalf("%v returned exit code %d, took effect %d times", command, exitCode, w.effects)
+			if exitCode == bfresult.ExitDone && m.effects == 0 || exitCode != bfresult.ExitDone && exitCode != bfresult.ExitUnknown && m.effects > 0 {
+				t.Fatalf("%v returned exit code %d, took effect %d times", command, exitCode, m.effects)
 			}
-			if w.effects > 1 {
-				t.Fatalf("%v took effect %d times", command, w.effects)
+			if m.effects > 1 {
+				t.Fatalf("%v took effect %d times", command, m.effects)
 			}
 			return
 		}
--- a/bfctl/internal/bfcommand/settings.go
+++ b/bfctl/internal/bfcommand/settings.go
@@ -31,12 +31,12 @@
 type settings struct {
 	nodes []string
 	token string
-	// open is set for nodes that require no token.
-	open     bool
-	json     bool
-	timeout  time.Duration
-	roots    *x509.CertPool
-	commands string
+	// allowNoToken is set for nodes that require no token.
+	allowNoToken bool
+	json         bool
+	timeout      time.Duration
+	roots        *x509.CertPool
+	commands     string
 }
 
 // UsageError reports an invalid setting.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return settings{}, err
 	}
-	s := settings{json: a.json, timeout: a.timeout, open: a.noToken}
+	s := settings{json: a.json, timeout: a.timeout, allowNoToken: a.noToken}
 	if s.timeout <= 0 {
 		return settings{}, &UsageError{Setting: "--timeout", Reason: "must be above zero"}
 	}
@@ -117,16 +117,16 @@
 			err = panicError(value)
 		}
 	}()
-	if err := parser.ParseArgs(withoutFlagNames(args)); err != nil {
+	if err := parser.ParseArgs(escapeFlagNames(args)); err != nil {
 		return arguments{}, &UsageError{Setting: "arguments", Reason: err.Error()}
 	}
 	return a, nil
 }
 
-// withoutFlagNames keeps the parser from taking the command "help" for its own flag:
+// escapeFlagNames keeps the parser from taking the command "help" for its own flag:
 // it compares positional arguments with the names of its flags too. The appended space
 // has no meaning in a command.
-func withoutFlagNames(args []string) []string {
+func escapeFlagNames(args []string) []string {
 	list := slices.Clone(args)
 	for i, arg := range list {
 		if arg == "help" || arg == "h" || arg == "version" {
@@ -210,7 +210,7 @@
 	if len(s.nodes) == 0 {
 		return &UsageError{Setting: "--node", Reason: "give the address of a node's operator port"}
 	}
-	if s.token == "" && !s.open {
+	if s.token == "" && !s.allowNoToken {
 		return &UsageError{Setting: "--token-file", Reason: "give it, or set BFCTL_TOKEN; or --no-token for nodes that ask for none"}
 	}
 	return nil
--- a/bfplatform/internal/bfcommand/command.go
+++ b/bfplatform/internal/bfcommand/command.go
@@ -81,19 +81,19 @@
 }
 
 func addFault(faults *bffault.Injector, w http.ResponseWriter, r *http.Request) {
-	var order bffault.Order
+	var spec bffault.Spec
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(&order)
+	err := decoder.Decode(&spec)
 	if err == nil {
-		err = faults.Add(time.Now(), order)
+		err = faults.Add(time.Now(), spec)
 	}
-	var orderErr *bffault.OrderError
+	var specErr *bffault.SpecError
 	switch {
-	case errors.As(err, &orderErr):
-		http.Error(w, orderErr.Error(), http.StatusUnprocessableEntity)
+	case errors.As(err, &specErr):
+		http.Error(w, specErr.Error(), http.StatusUnprocessableEntity)
 	case err != nil:
-		http.Error(w, "not a fault order: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "invalid fault: "+err.Error(), http.StatusBadRequest)
 	default:
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/bfplatform/internal/bffault/fault.go
+++ b/bfplatform/internal/bffault/fault.go
@@ -26,8 +26,8 @@
 	LateWrites Mode = "late-writes"
 )
 
-// Order turns a fault on for a time.
-type Order struct {
+// Spec turns a fault on for a time.
+type Spec struct {
 	Mode Mode `json:"mode"`
 	// For is the duration of the fault, in the format of time.ParseDuration.
 	For string `json:"for"`
@@ -40,15 +40,15 @@
 	Key string `json:"key,omitempty"`
 }
 
-// OrderError reports an invalid field of an order.
-type OrderError struct {
+// SpecError reports an invalid field of a Spec.
+type SpecError struct {
 	Field   string
 	Value   string
 	Allowed string
 }
 
 // Error returns the field, its value and the allowed values.
-func (e *OrderError) Error() string {
+func (e *SpecError) Error() string {
 	return fmt.Sprintf("fault field %s: value %q: allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
@@ -78,48 +78,49 @@
 	return &Injector{rand: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Add turns a fault on. It returns an *OrderError for an invalid order.
-func (s *Injector) Add(now time.Time, order Order) error {
-	fault, err := parse(now, order)
+// Add turns a fault on until its duration after now. It returns a *SpecError for an
+// invalid spec.
+func (in *Injector) Add(now time.Time, spec Spec) error {
+	fault, err := parse(now, spec)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faults = append(s.faults, fault)
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.faults = append(in.faults, fault)
 	return nil
 }
 
-func parse(now time.Time, order Order) (activeFault, error) {
-	switch order.Mode {
+func parse(now time.Time, spec Spec) (activeFault, error) {
+	switch spec.Mode {
 	case Down, Silent, Slow, LoseAnswers, LateWrites:
 	default:
-		return activeFault{}, &OrderError{"mode", string(order.Mode), "down, silent, slow, lose-answers, late-writes"}
+		return activeFault{}, &SpecError{"mode", string(spec.Mode), "down, silent, slow, lose-answers, late-writes"}
 	}
-	duration, err := time.ParseDuration(order.For)
+	duration, err := time.ParseDuration(spec.For)
 	if err != nil || duration <= 0 {
-		return activeFault{}, &OrderError{"for", order.For, "a duration above 0"}
+		return activeFault{}, &SpecError{"for", spec.For, "a duration above 0"}
 	}
 	var delay time.Duration
-	if order.Delay != "" {
-		if delay, err = time.ParseDuration(order.Delay); err != nil || delay < 0 {
-			return activeFault{}, &OrderError{"delay", order.Delay, "a duration"}
+	if spec.Delay != "" {
+		if delay, err = time.ParseDuration(spec.Delay); err != nil || delay < 0 {
+			return activeFault{}, &SpecError{"delay", spec.Delay, "a duration"}
 		}
 	}
-	if order.Percent < 0 || order.Percent > 100 {
-		return activeFault{}, &OrderError{"percent", fmt.Sprint(order.Percent), "0 to 100"}
+	if spec.Percent < 0 || spec.Percent > 100 {
+		return activeFault{}, &SpecError{"percent", fmt.Sprint(spec.Percent), "0 to 100"}
 	}
-	if order.Percent == 0 {
-		order.Percent = 100
+	if spec.Percent == 0 {
+		spec.Percent = 100
 	}
-	return activeFault{order.Mode, now.Add(duration), delay, order.Percent, order.Key}, nil
+	return activeFault{spec.Mode, now.Add(duration), delay, spec.Percent, spec.Key}, nil
 }
 
 // Clear turns off every fault.
-func (s *Injector) Clear() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faults = nil
+func (in *Injector) Clear() {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.faults = nil
 }
 
 // Effect is the combined effect of the active faults on one call.
@@ -138,21 +139,21 @@
 
 // EffectOn returns the effect on a call at a time; write reports whether the call
 // changes anything, keys are the rows that it writes.
-func (s *Injector) EffectOn(now time.Time, write bool, keys ...string) Effect {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (in *Injector) EffectOn(now time.Time, write bool, keys ...string) Effect {
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	var effect Effect
-	active := s.faults[:0]
-	for _, fault := range s.faults {
+	active := in.faults[:0]
+	for _, fault := range in.faults {
 		if now.After(fault.until) {
 			continue
 		}
 		active = append(active, fault)
-		if fault.matches(keys) && s.rand.IntN(100) < fault.percent {
+		if fault.matches(keys) && in.rand.IntN(100) < fault.percent {
 			effect.add(fault, write)
 		}
 	}
-	s.faults = active
+	in.faults = active
 	return effect
 }
 
--- a/bfplatform/internal/bfservice/rows.go
+++ b/bfplatform/internal/bfservice/rows.go
@@ -19,13 +19,13 @@
 // Rows serves the store in the form of the platform's rows, with the same faults and
 // rate limits as Service.
 type Rows struct {
-	rows   *bfstore.MemoryRows
-	serve  bfdialect.RowsHandler
-	faults *bffault.Injector
-	group  *bfgroup.Group
-	reads  *rate.Limiter
-	writes *rate.Limiter
-	calls  *bfmetric.Counter
+	rows    *bfstore.MemoryRows
+	handler bfdialect.RowsHandler
+	faults  *bffault.Injector
+	group   *bfgroup.Group
+	reads   *rate.Limiter
+	writes  *rate.Limiter
+	calls   *bfmetric.Counter
 }
 
 // NewRows returns a handler with an empty store; the rates are calls per second.
@@ -34,10 +34,10 @@
 	rows := bfstore.NewMemoryRows()
 	return &Rows{
 		rows: rows, faults: faults, group: group,
-		serve:  bfdialect.RowsHandler{Rows: rows, Now: func() time.Duration { return time.Since(start) }},
-		reads:  rate.NewLimiter(rate.Limit(readRate), readRate),
-		writes: rate.NewLimiter(rate.Limit(writeRate), writeRate),
-		calls:  metrics.Counter("rows_calls"),
+		handler: bfdialect.RowsHandler{Rows: rows, Now: func() time.Duration { return time.Since(start) }},
+		reads:   rate.NewLimiter(rate.Limit(readRate), readRate),
+		writes:  rate.NewLimiter(rate.Limit(writeRate), writeRate),
+		calls:   metrics.Counter("rows_calls"),
 	}
 }
 
@@ -63,10 +63,10 @@
 	default:
 		wait(r.Context(), effect.Delay)
 		if effect.Cut {
-			s.serve.ServeHTTP(&discardWriter{}, r)
+			s.handler.ServeHTTP(&discardWriter{}, r)
 			panic(http.ErrAbortHandler)
 		}
-		s.serve.ServeHTTP(w, r)
+		s.handler.ServeHTTP(w, r)
 	}
 }
 
@@ -80,7 +80,7 @@
 		wait(ctx, delay)
 		late := r.Clone(ctx)
 		late.Body = io.NopCloser(bytes.NewReader(body))
-		s.serve.ServeHTTP(&discardWriter{}, late)
+		s.handler.ServeHTTP(&discardWriter{}, late)
 		return nil
 	})
 	panic(http.ErrAbortHandler)
@@ -90,18 +90,18 @@
 type discardWriter struct{ header http.Header }
 
 // Header returns headers that are discarded.
-func (n *discardWriter) Header() http.Header {
-	if n.header == nil {
-		n.header = http.Header{}
+func (d *discardWriter) Header() http.Header {
+	if d.header == nil {
+		d.header = http.Header{}
 	}
-	return n.header
+	return d.header
 }
 
 // Write discards p.
-func (n *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader discards the status.
-func (n *discardWriter) WriteHeader(int) {}
+func (d *discardWriter) WriteHeader(int) {}
 
 // Operate serves the operator's calls: PUT writes the configuration, DELETE drops the
 // history.
--- a/bfplatform/internal/bfservice/rows_test.go
+++ b/bfplatform/internal/bfservice/rows_test.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	put := func(key, mode, delay string) error {
-		is.NoErr(faults.Add(time.Now(), bffault.Order{Mode: bffault.Mode(mode), For: "1m", Delay: delay}))
+		is.NoErr(faults.Add(time.Now(), bffault.Spec{Mode: bffault.Mode(mode), For: "1m", Delay: delay}))
 		defer faults.Clear()
 		_, err := store.Write(context.Background(), "members", bfstore.RowWrite{Key: key, Value: []byte("v")})
 		return err
--- a/bfplatform/internal/bfservice/service_test.go
+++ b/bfplatform/internal/bfservice/service_test.go
@@ -56,9 +56,9 @@
 	return p
 }
 
-func (p *platform) addFault(t *testing.T, order bffault.Order) {
-	order.For = "1h"
-	is.New(t).NoErr(p.faults.Add(time.Now(), order))
+func (p *platform) addFault(t *testing.T, spec bffault.Spec) {
+	spec.For = "1h"
+	is.New(t).NoErr(p.faults.Add(time.Now(), spec))
 }
 
 func put(key, value string) bfstore.Transaction {
@@ -94,21 +94,21 @@
 func TestWriteOutcomeUnderEachFault(t *testing.T) {
 	const timeout = 150 * time.Millisecond
 	for _, test := range []struct {
-		order       bffault.Order
+		fault       bffault.Spec
 		write, read string
 		// applied is whether the write is stored at once, late whether it is after the delay.
 		applied, late bool
 	}{
-		{bffault.Order{Mode: bffault.Down}, "none", "none", false, false},
-		{bffault.Order{Mode: bffault.Silent}, "unknown", "none", false, false},
-		{bffault.Order{Mode: bffault.Slow, Delay: "20ms"}, "done", "done", true, true},
-		{bffault.Order{Mode: bffault.LoseAnswers}, "unknown", "done", true, true},
-		{bffault.Order{Mode: bffault.LateWrites, Delay: "300ms"}, "unknown", "done", false, true},
+		{bffault.Spec{Mode: bffault.Down}, "none", "none", false, false},
+		{bffault.Spec{Mode: bffault.Silent}, "unknown", "none", false, false},
+		{bffault.Spec{Mode: bffault.Slow, Delay: "20ms"}, "done", "done", true, true},
+		{bffault.Spec{Mode: bffault.LoseAnswers}, "unknown", "done", true, true},
+		{bffault.Spec{Mode: bffault.LateWrites, Delay: "300ms"}, "unknown", "done", false, true},
 	} {
-		t.Run(string(test.order.Mode), func(t *testing.T) {
+		t.Run(string(test.fault.Mode), func(t *testing.T) {
 			is := is.New(t)
 			p := start(t, unlimited, unlimited, timeout)
-			p.addFault(t, test.order)
+			p.addFault(t, test.fault)
 			ctx := t.Context()
 			is.Equal(outcome(p.client.Commit(ctx, put("k", "v"))), test.write)
 			is.Equal(p.value("k") == "v", test.applied)
@@ -216,8 +216,8 @@
 	revision uint64
 }
 
-func (n *listModel) row(key string) bfstore.Row {
-	for _, row := range n.rows {
+func (l *listModel) row(key string) bfstore.Row {
+	for _, row := range l.rows {
 		if row.Key == key {
 			return row
 		}
@@ -225,25 +225,25 @@
 	return bfstore.Row{Key: key}
 }
 
-func (n *listModel) commit(tx bfstore.Transaction) bool {
+func (l *listModel) commit(tx bfstore.Transaction) bool {
 	for _, c := range tx.Conditions {
-		if n.row(c.Key).Revision != c.Revision {
+		if l.row(c.Key).Revision != c.Revision {
 			return false
 		}
 	}
-	n.revision++
+	l.revision++
 	for _, w := range tx.Writes {
-		n.rows = slices.DeleteFunc(n.rows, func(row bfstore.Row) bool { return row.Key == w.Key })
+		l.rows = slices.DeleteFunc(l.rows, func(row bfstore.Row) bool { return row.Key == w.Key })
 		if !w.Remove {
-			n.rows = append(n.rows, bfstore.Row{Key: w.Key, Value: w.Value, Revision: n.revision})
+			l.rows = append(l.rows, bfstore.Row{Key: w.Key, Value: w.Value, Revision: l.revision})
 		}
 	}
 	return true
 }
 
-func (n *listModel) scan(from, to string, limit int) []bfstore.Row {
+func (l *listModel) scan(from, to string, limit int) []bfstore.Row {
 	var found []bfstore.Row
-	for _, row := range n.rows {
+	for _, row := range l.rows {
 		if from <= row.Key && row.Key < to {
 			found = append(found, row)
 		}
@@ -299,7 +299,7 @@
 	lost := rapid.IntRange(0, 9).Draw(t, "lost") == 0
 	p.faults.Clear()
 	if lost {
-		_ = p.faults.Add(time.Now(), bffault.Order{Mode: bffault.LoseAnswers, For: "1h"})
+		_ = p.faults.Add(time.Now(), bffault.Spec{Mode: bffault.LoseAnswers, For: "1h"})
 	}
 	err := p.client.Commit(context.Background(), tx)
 	p.faults.Clear()
--- a/bftarget/internal/bfcommand/command.go
+++ b/bftarget/internal/bfcommand/command.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// Start announces the target at each heartbeat until drain or until ctx ends.
+// Start announces the target at each heartbeat until drain is called or ctx ends.
 func (a *announcer) Start(ctx context.Context) error {
 	const retryInterval = 100 * time.Millisecond
 	timer := time.NewTimer(0)
