--- a/lib/bfcaller/attempt.go
+++ b/lib/bfcaller/attempt.go
@@ -29,19 +29,19 @@
 // relayed is a response of the target, to be returned to the caller.
 type relayed struct{ answer Relayed }
 
-// noAnswer is the outcome of a request that received no response.
+// noAnswer is the outcome of an attempt without a response to return to the caller.
 type noAnswer struct {
 	id      bfrecord.ID
 	outcome bfrecord.Outcome
-	// final is set when a node further down has exhausted its retries.
+	// final is set when a downstream node has exhausted its retries.
 	final bool
 }
 
 func (relayed) isAttemptResult()  {}
 func (noAnswer) isAttemptResult() {}
 
-// pendingAttempt is one attempt in progress. The response and the record of the home
-// node (the node that holds the request's record) race to decide its outcome.
+// pendingAttempt is one attempt in progress. Its outcome is decided by the response or
+// by a query to the home node (the node that holds the request's record), whichever is first.
 type pendingAttempt struct {
 	call   *call
 	member bfdirectory.Member
@@ -51,12 +51,14 @@
 	// body is the response body, nil before the response header arrived.
 	body atomic.Pointer[answerBody]
 
-	mu     sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// record derives the outcome from the responses and replies received so far.
 	record *bfrecord.Attempt
 	final  bool
 }
 
-// attempt sends the request to one target's node and determines its result.
+// attempt sends the request to one target's node and returns the attempt's result.
 func (c *call) attempt(ctx context.Context, attempt *bfrecord.Attempt, member bfdirectory.Member, chosen chosenTarget) attemptResult {
 	chosen.begin()
 	p := &pendingAttempt{call: c, member: member, callerCtx: ctx, record: attempt}
@@ -102,6 +104,7 @@
 	return p.handleReply(response, reply)
 }
 
+// markSent is called before the first byte of the request is handed to a connection.
 func (p *pendingAttempt) markSent() {
 	p.update(func(a *bfrecord.Attempt) bfrecord.Outcome { a.Sending(); return nil })
 }
@@ -118,6 +121,7 @@
 	return p.record.Outcome()
 }
 
+// abandon decides an attempt without a response: not run if it was never sent, else unknown.
 func (p *pendingAttempt) abandon(a *bfrecord.Attempt) bfrecord.Outcome {
 	return a.GiveUp(bfrecord.ReasonUnreachable, noTargetRetryAfter)
 }
@@ -166,7 +170,8 @@
 		return a.Answered(bfrecord.NewLostAnswer("lost by the target's node"))
 	})
 	if outcome == nil {
-		// The reply is about this attempt itself, so two copies of it arrived.
+		// The node reports this attempt itself as in progress: the request arrived
+		// twice, and this is the reply to the second copy.
 		return p.handleLost(&bfhop.ReplyError{Outcome: response.Header.Get(bfheader.Outcome)})
 	}
 	return p.result(outcome)
@@ -203,7 +208,7 @@
 	if errors.As(cause, &notSent) {
 		return p.settle(p.abandon)
 	}
-	// A reply of the home node may have decided the attempt and canceled the attempt.
+	// A reply of the home node may have decided the attempt and canceled its context.
 	if outcome := p.update(func(*bfrecord.Attempt) bfrecord.Outcome { return nil }); outcome != nil {
 		return p.result(outcome)
 	}
@@ -211,7 +216,7 @@
 		p.call.entry.config.Client.ResetPeer(p.member.Inbound)
 	}
 	// A caller that disconnected receives no response, and an idempotent request is
-	// retried rather than resolved.
+	// retried, so neither needs a query to the home node.
 	if p.call.policy().Idempotent || errors.Is(p.callerCtx.Err(), context.Canceled) {
 		return p.settle(p.abandon)
 	}
--- a/lib/bfcaller/cluster_test.go
+++ b/lib/bfcaller/cluster_test.go
@@ -42,13 +42,13 @@
 	t        testing.TB
 	protocol bfforward.Protocol
 	// direct bypasses the fault proxies.
-	direct     bool
-	timer      *bftimer.Service
-	table      *table
-	view       atomic.Pointer[bfroute.View]
-	http       *http.Client
-	background *bfgroup.Group
-	clock      atomic.Uint64
+	direct          bool
+	timer           *bftimer.Service
+	table           *table
+	view            atomic.Pointer[bfroute.View]
+	http            *http.Client
+	background      *bfgroup.Group
+	lastIncarnation atomic.Uint64
 	// quarantine is shared by all nodes, as if crash records propagated at once.
 	quarantine *bfquarantine.Book
 
@@ -71,7 +71,7 @@
 	entry           *bfcaller.Entry
 	handler         *bfcaller.Handler
 	servers         []*http.Server
-	callerAddress   string       // address
+	callerAddress   string
 	announceAddress atomic.Value // string, an address
 	target          *target
 	// load is the load header of the guard's last response.
@@ -94,7 +94,7 @@
 
 func newCluster(t testing.TB, protocol bfforward.Protocol, nodes int) *cluster {
 	c := &cluster{t: t, protocol: protocol, timer: bftimer.New(1), table: &table{Memory: bfstore.NewMemory()}, quarantine: bfquarantine.New("all")}
-	c.clock.Store(uint64(time.Now().UnixMicro()))
+	c.lastIncarnation.Store(uint64(time.Now().UnixMicro()))
 	c.http = &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	c.background = bfgroup.New(context.Background())
 	c.background.Go("timer", c.timer.Run)
@@ -175,7 +175,7 @@
 func (n *node) start() {
 	c := n.cluster
 	c.mu.Lock()
-	n.home = bfrecord.Home{Instance: n.name, Incarnation: c.clock.Add(1)}
+	n.home = bfrecord.Home{Instance: n.name, Incarnation: c.lastIncarnation.Add(1)}
 	n.directory = bfdirectory.New("princes")
 	n.state = bfroster.TargetNone
 	c.mu.Unlock()
@@ -351,8 +351,8 @@
 // earnRetries fills the entry node's retry budgets for look-ups and approvals.
 func (n *node) earnRetries(is *is.I, retries int) {
 	is.Helper()
-	const perRetry = 10
-	for range retries * perRetry {
+	const requestsPerRetry = 10
+	for range retries * requestsPerRetry {
 		is.Equal(n.send("GET", lookUp, "early").outcome, bfheader.OutcomeDone)
 		is.Equal(n.send("POST", approve, "early").outcome, bfheader.OutcomeDone)
 	}
@@ -365,6 +365,7 @@
 	return answer
 }
 
+// eventually fails the test unless the condition holds within 10 seconds.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
--- a/lib/bfcaller/crash_test.go
+++ b/lib/bfcaller/crash_test.go
@@ -103,16 +103,16 @@
 // and whose retry was refused or found no target: the first may have run.
 func TestNotRunCoversEveryAttempt(t *testing.T) {
 	is := is.New(t)
-	for _, another := range []bool{false, true} {
+	for _, secondTarget := range []bool{false, true} {
 		cluster, entry := newEntry(t, bfforward.HTTP1, 1)
 		entry.earnRetries(is, 1)
 		release := cluster.blockTargets()
 		answer := inBackground(func() reply { return entry.send("GET", lookUp, "q1") })
 		at := cluster.waitRunning("q1")
-		if another {
-			refuses := cluster.addNode("c")
+		if secondTarget {
+			refusing := cluster.addNode("c")
 			entry.staleMembership.Store(true)
-			refuses.announceTarget(true)
+			refusing.announceTarget(true)
 		}
 		at.inbound.closeConns()
 		is.Equal((<-answer).outcome, bfheader.OutcomeUnknown)
@@ -125,8 +125,8 @@
 // use new connections.
 func TestSilentlyDeadConnections(t *testing.T) {
 	for _, protocol := range []bfforward.Protocol{bfforward.HTTP1, bfforward.HTTP2} {
-		for _, arrives := range []bool{true, false} {
-			t.Run(fmt.Sprint(protocol, arrives), func(t *testing.T) {
+		for _, delivered := range []bool{true, false} {
+			t.Run(fmt.Sprint(protocol, delivered), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
 				cluster, entry := newEntry(t, protocol, 1)
@@ -134,20 +134,20 @@
 				entry.earnRetries(is, 6)
 				entry.mintKey(is) // opens the connection for outcome queries
 				release := cluster.blockTargets()
-				warm := entry.sendEight("first")
+				firstAnswers := entry.sendEight("first")
 				eventually(t, "all run", func() bool { return home.target.runCountPrefix("first") == 8 })
-				if !arrives {
+				if !delivered {
 					close(release)
-					requireAllDone(is, warm)
+					requireAllDone(is, firstAnswers)
 					cluster.addNode("c") // accepts the requests that never reached home
 					stallNode(home)
 				}
 				answers := entry.sendEight("order")
-				if arrives {
+				if delivered {
 					eventually(t, "all run", func() bool { return home.target.runCountPrefix("order") == 8 })
 					stallNode(home)
 					close(release)
-					requireAllDone(is, warm)
+					requireAllDone(is, firstAnswers)
 				}
 				requireAllDone(is, answers)
 				is.Equal(cluster.runCount("order 0"), 1)
--- a/lib/bfcaller/entry.go
+++ b/lib/bfcaller/entry.go
@@ -81,7 +81,8 @@
 	deadline time.Time
 	// shortDeadline is set when the caller's deadline is shorter than the policy's.
 	shortDeadline bool
-	tried         []string
+	// tried lists the IDs of the targets of earlier attempts.
+	tried []string
 	// resent is set once the request is a retry, of this node or of one before it.
 	resent bool
 }
@@ -108,13 +109,13 @@
 		timeLeft, c.shortDeadline = request.TimeLeft, true
 	}
 	c.deadline = now.Add(timeLeft)
-	result := c.runUntil(ctx)
+	result := c.runWithDeadline(ctx)
 	e.metrics.observe(result, c.policy().Class, request.Tenant, e.config.Timer.Now().Sub(now))
 	return result
 }
 
-// runUntil runs the call under its deadline, including a response that is streamed.
-func (c *call) runUntil(ctx context.Context) Result {
+// runWithDeadline runs the call under its deadline, including a response that is streamed.
+func (c *call) runWithDeadline(ctx context.Context) Result {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	result := c.run(ctx)
 	if relayed, isRelayed := result.(Relayed); isRelayed && relayed.Rest != nil {
@@ -157,6 +158,8 @@
 	return "route " + e.Route + " takes no callers' own idempotency keys; get one by POST " + MintPath + "?method=METHOD&path=PATH"
 }
 
+// pick selects a target that this call has not tried, with its chooser and member. The
+// last result is false if there is none, or if its member has left or changed service.
 func (c *call) pick(now time.Time) (*bfchoice.Chooser, *bfchoice.Target, bfdirectory.Member, bool) {
 	service := c.match.Service().Name
 	chooser := c.entry.config.Directory.Chooser(service)
--- a/lib/bfcaller/faultproxy_test.go
+++ b/lib/bfcaller/faultproxy_test.go
@@ -77,7 +77,7 @@
 		n, err := from.Read(buffer)
 		if discard.Load() {
 			if err != nil {
-				return // the other end sees no close
+				return // the close is not forwarded
 			}
 			continue
 		}
--- a/lib/bfcaller/handler.go
+++ b/lib/bfcaller/handler.go
@@ -21,7 +21,8 @@
 
 const wellKnownPrefix = "/.well-known/bilberryflow/"
 
-// MintPath is the path at which callers get minted idempotency keys, which need no store.
+// MintPath is the path at which callers get minted idempotency keys. Unlike keys that
+// callers choose, they need no row in the platform's table.
 const MintPath = wellKnownPrefix + "keys"
 
 // Maximum lengths of header values, in bytes.
--- a/lib/bfcaller/keys_test.go
+++ b/lib/bfcaller/keys_test.go
@@ -137,7 +137,7 @@
 		"again": func() {},
 		"under a new incarnation": func() {
 			cluster.mu.Lock()
-			home.home.Incarnation = cluster.clock.Add(1)
+			home.home.Incarnation = cluster.lastIncarnation.Add(1)
 			cluster.mu.Unlock()
 			home.guard.AddIncarnation(home.home.Incarnation)
 			cluster.publishMembership()
--- a/lib/bfcaller/measure_test.go
+++ b/lib/bfcaller/measure_test.go
@@ -115,16 +115,16 @@
 		}
 		p50s, p99s := map[string][]time.Duration{}, map[string][]time.Duration{}
 		for range rounds {
-			for _, w := range all {
-				took := w.run(t, rate, 2*time.Second)
-				p50s[w.name] = append(p50s[w.name], took[len(took)/2])
-				p99s[w.name] = append(p99s[w.name], took[len(took)*99/100])
+			for _, r := range all {
+				took := r.run(t, rate, 2*time.Second)
+				p50s[r.name] = append(p50s[r.name], took[len(took)/2])
+				p99s[r.name] = append(p99s[r.name], took[len(took)*99/100])
 			}
 		}
-		for _, w := range all {
-			slices.Sort(p50s[w.name])
-			slices.Sort(p99s[w.name])
-			t.Logf("%6d/s %-7s p50 %8v p99 %8v", rate, w.name, p50s[w.name][rounds/2], p99s[w.name][rounds/2])
+		for _, r := range all {
+			slices.Sort(p50s[r.name])
+			slices.Sort(p99s[r.name])
+			t.Logf("%6d/s %-7s p50 %8v p99 %8v", rate, r.name, p50s[r.name][rounds/2], p99s[r.name][rounds/2])
 		}
 	}
 }
@@ -137,13 +137,13 @@
 
 // BenchmarkCall includes the cost of caller and target; the cost of the nodes is the difference from direct.
 func BenchmarkCall(b *testing.B) {
-	for _, w := range routes(b) {
-		b.Run(w.name, func(b *testing.B) {
+	for _, r := range routes(b) {
+		b.Run(r.name, func(b *testing.B) {
 			b.ReportAllocs()
 			before := cpu()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if err := w.call(); err != nil {
+					if err := r.call(); err != nil {
 						b.Error(err)
 						return
 					}
--- a/lib/bfcaller/send.go
+++ b/lib/bfcaller/send.go
@@ -54,7 +54,8 @@
 	return verdict.Until().Sub(now), isQuarantined
 }
 
-// lessCertain returns the result for the caller after two attempts without a response.
+// lessCertain merges the results of two attempts without a response; either may be nil.
+// An Unknown takes precedence over any other result.
 //
 // Each result covers its own attempt only: that the second did not run proves
 // nothing about the first, and a caller that receives "not run" for a request
@@ -91,7 +92,7 @@
 	}
 	member, found := c.entry.config.Directory.Member(key.Home().Instance)
 	if !found {
-		// The records of that instance are gone with it.
+		// The instance has left the membership, and its records no longer exist.
 		return Unknown{ID: key.ID()}
 	}
 	if service := c.match.Service().Name; member.Service != service {
--- a/lib/bfcaller/target_result.go
+++ b/lib/bfcaller/target_result.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// targetResult returns what the attempt shows about the target's health.
+// targetResult returns the result that the chooser counts for the target's health.
 //
-// A canceled request or a very short deadline shows nothing about the target:
+// A canceled request or a very short deadline says nothing about the target's health:
 // counted as failures, a series of them would eject every target.
 func (p *pendingAttempt) targetResult(result attemptResult) bfchoice.Result {
 	if p.targetAnswered(result) {
@@ -51,7 +51,7 @@
 	return bfchoice.Failure
 }
 
-// deadlinePassed reports whether the caller's time is over. The clock is checked
+// deadlinePassed reports whether the request's deadline has passed. The clock is checked
 // too, since on a busy machine a connection can reach its deadline before the
 // context with the same deadline is done.
 func (p *pendingAttempt) deadlinePassed() bool {
--- a/lib/bfcaller/warm.go
+++ b/lib/bfcaller/warm.go
@@ -15,7 +15,7 @@
 	// warmTargets is the number of targets of a service to which connections are opened.
 	//
 	// It is small since every node is an entry node: connecting to all targets would
-	// give each target's node a connection from every node. Load opens the rest.
+	// give each target's node a connection from every node. Requests open the others on demand.
 	warmTargets = 4
 )
 
--- a/lib/bfcaller/watch.go
+++ b/lib/bfcaller/watch.go
@@ -22,7 +22,8 @@
 	// maxFailedQueries is the number of failed queries after which an idempotent
 	// request is sent to another target.
 	maxFailedQueries = 2
-	// stallTimeout is how long a response that its node has sent completely may make no progress.
+	// stallTimeout is how long a read may be pending on a response that its node has
+	// already sent completely.
 	stallTimeout = 2 * time.Second
 	// resolveGrace is the time after the deadline during which the outcome of a request
 	// that is not idempotent is still queried.
@@ -96,10 +97,8 @@
 		bfrecord.ResolveRequest{ID: p.record.ID(), Home: p.record.Home()})
 }
 
-// resolve queries the home node until the outcome is known or the time is over.
-//
-// It continues for resolveGrace after the caller's deadline, but stops when the
-// caller disconnects.
+// resolve queries the home node until the outcome is known, resolveGrace has passed
+// since the request's deadline, or the caller disconnects.
 func (p *pendingAttempt) resolve() bfrecord.Outcome {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(p.callerCtx), p.call.deadline.Add(resolveGrace))
 	defer cancel()
--- a/lib/bfcaller/wire_test.go
+++ b/lib/bfcaller/wire_test.go
@@ -168,7 +168,7 @@
 		is.True(strings.HasPrefix(line, status))
 		conn.Close()
 	}
-	// A caller at the port for nodes has no request ID.
+	// The port for nodes rejects a caller's request, since it has no request ID.
 	response, err := cluster.http.Get("http://" + cluster.nodes[1].inbound.address() + approve)
 	is.NoErr(err)
 	response.Body.Close()
@@ -230,7 +230,7 @@
 	left, err := strconv.Atoi(home.target.header("n2").Get(deadline))
 	is.NoErr(err)
 	is.True(left <= 3900)
-	// The load of the last response is what the entry node uses.
+	// The entry node uses the load reported with the last response.
 	is.True(strings.HasPrefix(home.load.Load().(string), "0/0/1/"))
 }
 
