--- a/lib/bfguard/claims.go
+++ b/lib/bfguard/claims.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// claimWindow is how long a claim waits for others to join its transaction.
+	// claimWindow is how long claims are collected for one transaction.
 	claimWindow = 4 * time.Millisecond
 	// maxClaimBatch is the maximum number of claims in one transaction.
 	maxClaimBatch = 64
@@ -54,19 +54,19 @@
 	}
 }
 
-// stateMachine is a claim or a settlement.
+// stateMachine is implemented by bfclaim.Claim and bfclaim.Settlement.
 type stateMachine interface {
 	Next(now time.Time, event bfclaim.Event) bfclaim.Action
 }
 
-// claim claims the key of a request.
+// claim runs a claim of a request's key, for at most claimTimeout.
 func (c *claims) claim(ctx context.Context, spec bfclaim.Spec) bfclaim.Result {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	return c.run(ctx, bfclaim.NewClaim(spec))
 }
 
-// run executes a state machine until it ends.
+// run executes a state machine until it ends. It returns nil if ctx ended during a wait.
 func (c *claims) run(ctx context.Context, m stateMachine) bfclaim.Result {
 	var event bfclaim.Event = bfclaim.Start{}
 	for {
@@ -97,7 +97,7 @@
 	return bfclaim.RowRead{Row: rows[0]}
 }
 
-// resolve queries the node of the request that holds a key.
+// resolve queries the home node of the request that holds a key.
 func (c *claims) resolve(ctx context.Context, request bfrecord.ResolveRequest) bfclaim.Event {
 	member, found := c.directory.Member(request.Home.Instance)
 	if !found {
@@ -170,8 +170,8 @@
 
 // settle writes the outcome of a claim, retrying as needed.
 //
-// The caller already has its response. If this node fails first, the key stays
-// claimed by a node that is gone, and a retry correctly gets "unknown".
+// The caller already has its response. If this node fails before the write, the row
+// still names this node as the claim's holder, and a retry correctly gets "unknown".
 func (c *claims) settle(s *bfclaim.Settlement) {
 	c.settling.Add(1)
 	c.spawn("settle claim", func(ctx context.Context) error {
--- a/lib/bfguard/flight.go
+++ b/lib/bfguard/flight.go
@@ -21,35 +21,35 @@
 	})
 }
 
-// dial reports whether something listens at address.
+// dial returns an error if no TCP connection to address can be opened.
 func dial(ctx context.Context, address string) error {
 	var dialer net.Dialer
-	opened, err := dialer.DialContext(ctx, "tcp", address)
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	return opened.Close()
+	return conn.Close()
 }
 
-// flightTarget adapts a target process to the register of flights.
+// flightTarget adapts a target process to the flight tracker.
 type flightTarget struct {
 	guard  *Guard
 	status Status
 }
 
-// Name identifies the target process.
+// Name returns the target's address and incarnation, which identify the process.
 func (f flightTarget) Name() string { return fmt.Sprint(f.status.Address, " ", f.status.Incarnation) }
 
-// Address is the address at which the target serves requests.
+// Address returns the address at which the target serves requests.
 func (f flightTarget) Address() string { return f.status.Address }
 
-// State returns what is known of the target process from announcements.
+// State derives the state of the target process from the announcements received.
 func (f flightTarget) State() bfflight.State {
-	now := f.guard.Status(f.guard.config.Timer.Now())
+	current := f.guard.Status(f.guard.config.Timer.Now())
 	switch {
-	case now.Incarnation != f.status.Incarnation:
+	case current.Incarnation != f.status.Incarnation:
 		return bfflight.Replaced
-	case now.State == bfroster.TargetLeaving:
+	case current.State == bfroster.TargetLeaving:
 		return bfflight.Left
 	}
 	return bfflight.Running
@@ -62,8 +62,8 @@
 // suspectRetryAfter is the retry delay while the target runs another request that is suspected of crashing targets.
 const suspectRetryAfter = 100 * time.Millisecond
 
-// refuseFlight refuses a request that the register rejected. A quarantined request is
-// refused for all nodes.
+// refuseFlight refuses a request that the flight tracker rejected. The refusal of a
+// quarantined request is final, so no node retries it.
 func (in *inboundRequest) refuseFlight(err error) (inboundResult, bfadmit.Outcome) {
 	var held *bfflight.HeldError
 	if !errors.As(err, &held) {
@@ -74,7 +74,8 @@
 	return refusal, bfadmit.Unused
 }
 
-// reportLoss makes the register check whether the target has ended.
+// reportLoss makes the flight tracker check whether the target has crashed, unless the
+// request's deadline has passed.
 func (in *inboundRequest) reportLoss() {
 	if in.guard.config.Timer.Now().Before(in.deadline) {
 		in.flight.CheckCrash(in.r.Context())
--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -154,9 +154,9 @@
 
 // Observe applies the target's status at now to admission and publishes a change.
 //
-// Announcements and the timer may call it at once. The calls are serialized: out
-// of order, the limiter of an ended target could stay in use, or the last state
-// published could be an old one.
+// Announcements and the timer may call it concurrently. The calls are serialized:
+// otherwise the limiter of an ended target could stay in use, or an old state could
+// be published last.
 func (g *Guard) Observe(now time.Time) {
 	g.stateMu.Lock()
 	defer g.stateMu.Unlock()
@@ -193,7 +193,7 @@
 	return bfadmit.NewLimiter(gate, g.config.Timer.Now, g.config.Timer)
 }
 
-// load returns the load that is reported with each response.
+// load returns the load reported with a response.
 func (g *Guard) load() bfhop.Load {
 	current := g.current.Load()
 	if current == nil {
--- a/lib/bfguard/key.go
+++ b/lib/bfguard/key.go
@@ -8,7 +8,7 @@
 	"bilberryflow.org/lib/bfrecord/bfclaim"
 )
 
-// needsClaim reports whether the request carries a caller-chosen key.
+// needsClaim reports whether the request must claim a caller-chosen key before it runs.
 func (in *inboundRequest) needsClaim() bool {
 	return in.meta.Key != "" && in.meta.Stamp.DurableKeys && !in.meta.Stamp.Idempotent && !bfrecord.IsMintedKey(in.meta.Key)
 }
@@ -54,6 +54,6 @@
 		}
 		return in.abort(bfrecord.ReasonTableAway, result.RetryAfter()), bfadmit.Unused
 	}
-	// The node is shutting down; a claim that was written names a node that is gone.
+	// Not reached: only a settlement can end without a result.
 	return in.abort(bfrecord.ReasonLeaving, targetRetryAfter), bfadmit.Unused
 }
--- a/lib/bfguard/relay.go
+++ b/lib/bfguard/relay.go
@@ -71,24 +71,24 @@
 
 // writeResult writes the result to the entry node.
 func (in *inboundRequest) writeResult(result inboundResult) {
-	switch e := result.(type) {
+	switch r := result.(type) {
 	case refused:
-		in.writeRefusal(e)
+		in.writeRefusal(r)
 	case inProgress:
-		bfhop.WriteInProgress(in.w, e.id)
+		bfhop.WriteInProgress(in.w, r.id)
 	case finished:
-		in.writeAnswer(e.answer)
+		in.writeAnswer(r.answer)
 	case streamed:
 	}
 }
 
-func (in *inboundRequest) writeRefusal(e refused) {
+func (in *inboundRequest) writeRefusal(r refused) {
 	in.guard.refused.Add(1)
 	in.setLoad()
-	if e.final {
+	if r.final {
 		in.w.Header().Set(bfheader.Final, bfheader.FinalMark)
 	}
-	if err := bfhop.WriteRefusal(in.w, e.refusal); err != nil {
+	if err := bfhop.WriteRefusal(in.w, r.refusal); err != nil {
 		in.guard.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
 }
--- a/lib/bfguard/resolve.go
+++ b/lib/bfguard/resolve.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// resolve returns the outcome of a request; one that was never seen is recorded as never to run.
+// resolve returns the state of a request. A request without a record is recorded as
+// not run, so that a late copy of it is refused.
 func (g *Guard) resolve(_ context.Context, params json.RawMessage) (any, error) {
 	var request bfrecord.ResolveRequest
 	if err := json.Unmarshal(params, &request); err != nil {
@@ -39,7 +40,7 @@
 	resolution := g.records.Resolve(g.config.Timer.Now(), request.ID, g.canonicalHome(request.Home))
 	reply := bfrecord.NewResolveReply(request.ID, g.config.Home, resolution)
 	if reply.State != bfrecord.ResolvedHomeLost {
-		// The caller uses the incarnation that it named.
+		// The querying node matches the reply by the incarnation that it sent.
 		reply.Home = request.Home
 	}
 	return &reply, nil
--- a/lib/bfguard/run.go
+++ b/lib/bfguard/run.go
@@ -22,8 +22,8 @@
 // count a request that has ended.
 func (in *inboundRequest) run() inboundResult {
 	g := in.guard
-	// Counted before the state is read, so that a target which announces that it
-	// leaves sees every request that was admitted by its earlier state and does not
+	// Counted before the state is read: the count returned to a leaving target then
+	// includes every request admitted under the earlier state, so the target does not
 	// exit before they end.
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -92,14 +92,15 @@
 	case bfadmit.Draining:
 		reason = bfrecord.ReasonLeaving
 	case bfadmit.Duplicate:
-		// Records allow an ID to run once, so the limiter must not contain it yet.
+		// The records admit an ID only once, so the limiter cannot hold it already.
 		in.guard.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	case bfadmit.QueueFull, bfadmit.DeadlineUnreachable, bfadmit.Displaced:
 	}
 	return in.abort(reason, refused.Refuse.RetryAfter())
 }
 
-// sendToTarget sends the request to the target once and returns what that showed about the target.
+// sendToTarget sends the request to the target at most once. The second result is the
+// outcome that the admission limiter counts.
 func (in *inboundRequest) sendToTarget(ctx context.Context, target Status) (inboundResult, bfadmit.Outcome) {
 	g := in.guard
 	now := g.config.Timer.Now()
@@ -109,7 +110,7 @@
 	case !now.Before(in.deadline):
 		return in.abort(bfrecord.ReasonDeadline, 0), bfadmit.Unused
 	}
-	// Targets may have crashed on the request while it was queued.
+	// Checked again: identical requests may have crashed targets while this one was queued.
 	flight, err := g.flights.Begin(flightTarget{g, target}, in.meta.ID.String(), in.quarantineRequest())
 	if err != nil {
 		return in.refuseFlight(err)
--- a/lib/bfguard/serve.go
+++ b/lib/bfguard/serve.go
@@ -31,7 +31,7 @@
 	body     []byte
 	deadline time.Time
 	arrived  time.Time
-	// sentTo is this node as the entry node addressed it, with the incarnation known there.
+	// sentTo is this node with the incarnation that the entry node sent to.
 	sentTo bfrecord.Home
 	// content is a digest of the request's content.
 	content bfrecord.Digest
