--- a/lib/bfmember/action.go
+++ b/lib/bfmember/action.go
@@ -8,7 +8,7 @@
 // Action is the sealed set of effects that the caller of Members carries out.
 type Action interface{ isAction() }
 
-// Send sends a message to an address, as a datagram if it fits into one.
+// Send requests that a message is sent to an address, as a datagram if it fits into one.
 type Send struct {
 	Address string
 	Message bfgossip.Message
@@ -34,13 +34,14 @@
 // itself if no peer was reachable.
 type Joined struct{ Members int }
 
-// ReadMeeting requests the meeting rows; the caller passes them to MeetingRead.
+// ReadMeeting requests the meeting rows, through which nodes find their first peer; the
+// caller passes them to MeetingRead.
 type ReadMeeting struct{}
 
-// WriteMeeting writes a meeting row, best effort.
+// WriteMeeting requests the write of a meeting row; a failed write isn't retried.
 type WriteMeeting struct{ Meeting bfgossip.Meeting }
 
-// Report passes an unexpected error to the caller.
+// Report reports an unexpected error, to be logged by the caller.
 type Report struct{ Err error }
 
 func (Send) isAction()           {}
--- a/lib/bfmember/detector.go
+++ b/lib/bfmember/detector.go
@@ -28,12 +28,15 @@
 	expires time.Time
 }
 
-// detector is the state of failure detection.
+// detector is the state of failure detection. Members are identified by the hash of
+// their ID.
 type detector struct {
-	nextProbe          time.Time
-	nonce              uint32
-	probes             map[uint32]*pendingProbe
-	relays             map[uint32]relayedProbe
+	nextProbe time.Time
+	nonce     uint32
+	// probes and relays are keyed by the nonce of the probe that was sent.
+	probes map[uint32]*pendingProbe
+	relays map[uint32]relayedProbe
+	// ring is the shuffled list of members to probe, position the next index in it.
 	ring               []uint64
 	position           int
 	suspicionDeadlines map[uint64]time.Time
@@ -132,7 +135,7 @@
 		hash := d.ring[d.position]
 		d.position++
 		member := m.table.Present(hash)
-		if member != nil && !member.Lost() && hash != m.hash {
+		if member != nil && !member.Lost() && hash != m.selfHash {
 			return member, true
 		}
 	}
@@ -150,14 +153,15 @@
 
 func (m *Members) probe(target *bfroster.Member) uint32 {
 	nonce := m.detector.newNonce()
-	m.send(target.Row().Peer, bfgossip.Probe{From: m.hash, Nonce: nonce, Advert: m.advert, News: m.piggyback(target.Key().Hash)})
+	m.send(target.Row().Peer, bfgossip.Probe{From: m.selfHash, Nonce: nonce, Advert: m.advert, News: m.piggyback(target.Key().Hash)})
 	return nonce
 }
 
-// piggyback packs the updates sent to a member, any loss of the member itself first.
+// piggyback packs the updates sent with a probe or an ack to a member. A suspicion or
+// death of that member itself comes first.
 //
-// A member that was suspected during a pause must be notified at once; if this
-// were left to random gossip, its refutation would often arrive after it was
+// A member that was suspected during a pause must receive the suspicion at once; if
+// this were left to random gossip, its refutation would often arrive after it was
 // declared dead.
 func (m *Members) piggyback(to uint64) bfgossip.News {
 	var news bfgossip.News
@@ -172,7 +176,8 @@
 	return news
 }
 
-// lossOf returns the loss of a member that the member itself must refute.
+// lossOf returns the suspicion or death of a member held here, which the member must
+// receive to refute it.
 func (m *Members) lossOf(hash uint64) (bfgossip.Loss, bool) {
 	if tombstone, dropped := m.table.Grave(hash); dropped {
 		loss := bfgossip.Loss{State: bfroster.Dead}
@@ -205,8 +210,8 @@
 }
 
 func (m *Members) probeIndirectly(nonce uint32, target uint64) {
-	for _, helper := range m.pickAlive(m.options.IndirectProbes, target) {
-		m.send(helper.Row().Peer, bfgossip.ProbeRequest{From: m.hash, Nonce: nonce, Target: target})
+	for _, relay := range m.pickAlive(m.options.IndirectProbes, target) {
+		m.send(relay.Row().Peer, bfgossip.ProbeRequest{From: m.selfHash, Nonce: nonce, Target: target})
 	}
 }
 
@@ -239,7 +244,7 @@
 //
 // After a pause all timers of this process have expired at once. Without the
 // reset, the node would declare dead every member it had probed or suspected,
-// although their acks and refutations wait in its socket buffers. Restarting all
+// although their acks and refutations are still in its socket buffers. Restarting all
 // timeouts lets those messages be processed first.
 func (m *Members) resetAfterPause(now time.Time) {
 	clear(m.detector.probes)
@@ -265,7 +270,7 @@
 // probeNow gossips to a few members at once, without waiting for the next probe interval.
 func (m *Members) probeNow() {
 	const fanout = 4
-	for _, member := range m.pickAlive(fanout, m.hash) {
+	for _, member := range m.pickAlive(fanout, m.selfHash) {
 		m.probe(member)
 	}
 }
@@ -280,7 +285,7 @@
 		}
 		member := m.table.Sorted()[m.rand.IntN(len(m.table.Sorted()))]
 		hash := member.Key().Hash
-		if hash != m.hash && hash != except && member.Alive() && !slices.Contains(picked, member) {
+		if hash != m.selfHash && hash != except && member.Alive() && !slices.Contains(picked, member) {
 			picked = append(picked, member)
 		}
 	}
@@ -293,7 +298,7 @@
 	if m.Self().State == bfroster.Left {
 		return
 	}
-	ack := bfgossip.Ack{From: m.hash, Nonce: probe.Nonce, News: m.piggyback(probe.From)}
+	ack := bfgossip.Ack{From: m.selfHash, Nonce: probe.Nonce, News: m.piggyback(probe.From)}
 	ack.News.Losses = append(ack.News.Losses, m.barredLosses()...)
 	row, known := m.table.Row(probe.From)
 	ack.Introduce = !known
@@ -307,7 +312,7 @@
 	m.reportAdvert(probe.From, probe.Advert)
 }
 
-// barredLosses returns losses for the rows of the message in progress whose
+// barredLosses returns losses for the rows of the message being handled whose
 // incarnation was dropped as dead here, for its sender to apply.
 func (m *Members) barredLosses() []bfgossip.Loss {
 	slices.SortFunc(m.barred, func(a, b bfroster.Row) int { return cmp.Compare(a.ID, b.ID) })
@@ -337,12 +342,13 @@
 	}
 	delete(m.detector.probes, ack.Nonce)
 	if ack.Introduce {
-		m.gossip.Add(m.hash, true)
+		m.gossip.Add(m.selfHash, true)
 	}
 	m.reportAdvert(ack.From, ack.Advert)
 	m.compareViews(now, ack)
 }
 
+// onProbeRequest probes a member on behalf of another node; onAck relays the ack.
 func (m *Members) onProbeRequest(now time.Time, from string, request bfgossip.ProbeRequest) {
 	target := m.table.Member(request.Target)
 	if target == nil {
@@ -357,7 +363,7 @@
 }
 
 func (m *Members) reportAdvert(from uint64, advert bfgossip.Advert) {
-	if from != m.hash {
+	if from != m.selfHash {
 		m.emit(AdvertReceived{From: from, Advert: advert})
 	}
 }
--- a/lib/bfmember/figures_test.go
+++ b/lib/bfmember/figures_test.go
@@ -77,7 +77,7 @@
 
 func size(m bfgossip.Message) int { return bfgossip.EncodedSize(m) + 1 }
 
-// writeTraffic sums up what one idle node sends; on average it receives as much.
+// writeTraffic prints the bytes a second that one idle node sends; on average it receives as much.
 func writeTraffic(page *strings.Builder, name string, o Options, row bfroster.Row, mark bfgossip.Mark, loss bfgossip.Loss, pair int) {
 	seconds := o.ProbeInterval.Seconds()
 	probes := float64(pair) / seconds
@@ -154,8 +154,8 @@
 	return count
 }
 
-// BenchmarkMassLoss measures the time until every node has noticed that a rack or
-// a domain is down, and that it is back after ten minutes.
+// BenchmarkMassLoss measures the time until every node has detected the loss of a rack
+// or a domain, and its return after ten minutes.
 func BenchmarkMassLoss(b *testing.B) {
 	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
 		for _, domains := range []int{26, 5} {
@@ -281,7 +281,7 @@
 	b.ReportMetric(float64(before.HeapAlloc-after.HeapAlloc)/(1<<20), "MB-held")
 }
 
-// BenchmarkProbe measures the answer to one probe while twenty changes are queued.
+// BenchmarkProbe measures the handling of one probe while twenty changes are queued.
 func BenchmarkProbe(b *testing.B) {
 	f := newFleet(3)
 	core, err := New(Convergence(), f.row(0, 26), f.rng)
--- a/lib/bfmember/fleet_test.go
+++ b/lib/bfmember/fleet_test.go
@@ -22,6 +22,7 @@
 	message bfgossip.Message
 }
 
+// events is a heap ordered by time, then by order of creation.
 type events []event
 
 func (q events) Len() int { return len(q) }
@@ -193,7 +194,7 @@
 }
 
 // resume ends the pause of a node: its timers run first, as they may in a real
-// process, then it handles the messages it received meanwhile.
+// process, then it handles the messages received during the pause.
 func (f *fleet) resume(n *node) {
 	n.paused, n.timer, n.dead = false, time.Time{}, 0
 	f.execute(n, n.core.Tick(f.now))
--- a/lib/bfmember/join.go
+++ b/lib/bfmember/join.go
@@ -70,7 +70,7 @@
 
 func (m *Members) nextPageSource() (string, bool) {
 	if m.join.sampled {
-		if picked := m.pickAlive(1, m.hash); len(picked) > 0 {
+		if picked := m.pickAlive(1, m.selfHash); len(picked) > 0 {
 			return picked[0].Row().Peer, true
 		}
 	}
--- a/lib/bfmember/members.go
+++ b/lib/bfmember/members.go
@@ -16,16 +16,16 @@
 // Members is one node's view of the fleet and its failure detector. It isn't safe
 // for concurrent use, except for Order.
 type Members struct {
-	options Options
-	rand    *rand.Rand
-	hash    uint64
-	table   *bfview.Table
-	gossip  *bfgossip.Queue
-	order   atomic.Pointer[bfroster.Order]
-	advert  bfgossip.Advert
-	// out holds the actions of the call in progress.
-	out []Action
-	// barred holds the rows of the message in progress whose incarnation was
+	options  Options
+	rand     *rand.Rand
+	selfHash uint64
+	table    *bfview.Table
+	gossip   *bfgossip.Queue
+	order    atomic.Pointer[bfroster.Order]
+	advert   bfgossip.Advert
+	// actions holds the actions that the call in progress will return.
+	actions []Action
+	// barred holds the rows of the message being handled whose incarnation was
 	// dropped as dead here.
 	barred []bfroster.Row
 	// missed counts updates that did not match the row held; anti-entropy transfers
@@ -52,12 +52,12 @@
 		return nil, err
 	}
 	m := &Members{
-		options: options, rand: rng, hash: bfroster.HashID(self.ID), table: bfview.NewTable(), gossip: bfgossip.NewQueue(),
+		options: options, rand: rng, selfHash: bfroster.HashID(self.ID), table: bfview.NewTable(), gossip: bfgossip.NewQueue(),
 		detector: newDetector(rng.Uint32()), outages: newOutages(),
 	}
 	m.order.Store(bfroster.NewOrder(nil))
 	m.table.Merge(time.Time{}, self)
-	m.gossip.Add(m.hash, true)
+	m.gossip.Add(m.selfHash, true)
 	m.publish()
 	return m, nil
 }
@@ -67,11 +67,11 @@
 
 // Self returns the node's own row.
 func (m *Members) Self() bfroster.Row {
-	row, _ := m.table.Row(m.hash)
+	row, _ := m.table.Row(m.selfHash)
 	return row
 }
 
-func (m *Members) self() *bfroster.Row { return m.table.Member(m.hash).Row() }
+func (m *Members) selfRow() *bfroster.Row { return m.table.Member(m.selfHash).Row() }
 
 // Row returns the row of a member, including dead members that are still held.
 func (m *Members) Row(id string) (bfroster.Row, bool) {
@@ -194,7 +194,7 @@
 }
 
 func (m *Members) begin(now time.Time) {
-	m.out, m.barred = nil, nil
+	m.actions, m.barred = nil, nil
 	if !m.lastCall.IsZero() && now.Sub(m.lastCall) > m.options.pauseThreshold() {
 		m.resetAfterPause(now)
 	}
@@ -205,7 +205,7 @@
 	if m.changed {
 		m.publish()
 	}
-	return m.out
+	return m.actions
 }
 
 func (m *Members) publish() {
@@ -214,7 +214,7 @@
 	m.order.Store(m.table.NextOrder(m.order.Load()))
 }
 
-func (m *Members) emit(a Action) { m.out = append(m.out, a) }
+func (m *Members) emit(a Action) { m.actions = append(m.actions, a) }
 
 func (m *Members) send(address string, message bfgossip.Message) {
 	m.emit(Send{Address: address, Message: message})
@@ -223,7 +223,7 @@
 // applyRow merges a row that was received or that this node's failure detector produced.
 func (m *Members) applyRow(now time.Time, row bfroster.Row, broadcast bool) {
 	hash := bfroster.HashID(row.ID)
-	if hash == m.hash && row.ID == m.Self().ID {
+	if hash == m.selfHash && row.ID == m.Self().ID {
 		m.refute(now, row)
 		return
 	}
@@ -242,6 +242,7 @@
 	}
 }
 
+// accept handles a row that was merged into the table in place of old.
 func (m *Members) accept(now time.Time, hash uint64, old, row bfroster.Row, broadcast bool) {
 	m.changed, m.lastChange = true, now
 	m.detector.trackSuspicion(now, hash, row, m.options.suspicionTimeout(m.memberCount()))
@@ -258,7 +259,7 @@
 // updateSelf replaces and gossips the node's own row; only the node itself changes it.
 func (m *Members) updateSelf(now time.Time, self bfroster.Row) {
 	_, old := m.table.Merge(now, self)
-	m.accept(now, m.hash, old, self, true)
+	m.accept(now, m.selfHash, old, self, true)
 }
 
 // DuplicateError reports a second process with this node's ID and another incarnation.
@@ -320,6 +321,8 @@
 	}
 }
 
+// applyMark applies an update of an alive member. It is skipped if the held row is of an
+// older incarnation, since a mark carries only some of the row's fields.
 func (m *Members) applyMark(now time.Time, mark bfgossip.Mark) {
 	row, found := m.table.Row(mark.Hash)
 	if !found || row.Incarnation < mark.Incarnation {
@@ -342,8 +345,8 @@
 		m.emit(Report{Err: err})
 		return
 	}
-	for _, l := range members {
-		m.applyLostMember(now, l, loss.State)
+	for _, lost := range members {
+		m.applyLostMember(now, lost, loss.State)
 	}
 }
 
@@ -351,27 +354,28 @@
 //
 // A loss carries neither target state nor slots. A suspicion with a sequence that
 // isn't held here is left to anti-entropy, since combining it with the held row
-// would make a row that no node ever sent. For members that are gone neither
-// field has a meaning.
-func (m *Members) applyLostMember(now time.Time, l bfgossip.LostMember, state bfroster.State) {
-	row, found := m.table.Row(l.Hash)
-	behind := !found || row.Incarnation < l.Incarnation
+// would make a row that no node ever sent. For dead members and those that left,
+// neither field has a meaning.
+func (m *Members) applyLostMember(now time.Time, lost bfgossip.LostMember, state bfroster.State) {
+	row, found := m.table.Row(lost.Hash)
+	behind := !found || row.Incarnation < lost.Incarnation
 	if !state.Present() {
-		behind = behind || row.Sequence > l.Sequence
+		behind = behind || row.Sequence > lost.Sequence
 	} else {
-		behind = behind || row.Sequence != l.Sequence
+		behind = behind || row.Sequence != lost.Sequence
 	}
-	if l.Hash != m.hash && (behind || row.Incarnation > l.Incarnation) {
+	if lost.Hash != m.selfHash && (behind || row.Incarnation > lost.Incarnation) {
 		m.missed++
 		return
 	}
-	row.Incarnation, row.Sequence, row.State = l.Incarnation, l.Sequence, state
+	row.Incarnation, row.Sequence, row.State = lost.Incarnation, lost.Sequence, state
 	m.applyRows(now, []bfroster.Row{row}, true)
 }
 
 func (m *Members) memberCount() int { return len(m.table.Sorted()) }
 
-// jitter returns a random duration below d, so that nodes started together don't act in step.
+// jitter returns a random duration below d, so that the timers of nodes started together
+// don't fire at the same time.
 func (m *Members) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.rand.Float64() * float64(d))
 }
--- a/lib/bfmember/members_test.go
+++ b/lib/bfmember/members_test.go
@@ -149,8 +149,8 @@
 	is.Equal(row.State, bfroster.Dead)
 }
 
-// Guards against a change that stays unknown: if all its gossip is lost,
-// anti-entropy must bring it to every node.
+// Guards against a change that never reaches some nodes: if all its gossip is lost,
+// anti-entropy must transfer it to every node.
 func TestRepairDeliversLostGossip(t *testing.T) {
 	is := is.New(t)
 	f := newJoinedFleet(21, Convergence(), 12, 3)
--- a/lib/bfmember/options.go
+++ b/lib/bfmember/options.go
@@ -16,7 +16,7 @@
 	// IndirectProbes is the number of members that probe indirectly.
 	IndirectProbes int
 	// SuspicionFactor times log10 of the fleet's size times ProbeInterval is the time
-	// a suspected member has to refute.
+	// after which a suspicion that wasn't refuted becomes a death.
 	SuspicionFactor float64
 	// RetransmitFactor times log2 of the fleet's size is the number of times a node
 	// gossips a change.
@@ -34,7 +34,8 @@
 	TombstoneRetention time.Duration
 	// MaxTombstones bounds the number of tombstones kept for dropped rows.
 	MaxTombstones int
-	// MeetingSlots is the number of meeting rows in the table.
+	// MeetingSlots is the number of meeting rows in the table, through which nodes find
+	// their first peer.
 	MeetingSlots int
 	// MeetingRate is the rate, per second, at which the whole fleet writes meeting rows.
 	MeetingRate float64
--- a/lib/bfmember/outage.go
+++ b/lib/bfmember/outage.go
@@ -20,15 +20,16 @@
 	outageSuspects = 5
 	// outageRecent is how long a death counts towards an outage.
 	outageRecent = time.Minute
-	// outageProbes is the number of random alive members that must all fail to answer.
+	// outageProbes is the number of random alive members whose probes must all fail.
 	outageProbes = 3
-	// outageHold is how long after its return a domain is not declared lost again.
+	// outageHold is the time after the end of an outage in which the same domain isn't
+	// declared lost again.
 	outageHold = 5 * time.Minute
 	// maxOutages bounds the number of domains with an outage record.
 	maxOutages = 1024
 )
 
-// outages is this node's state of whole failure domains.
+// outages is this node's state of the detection of lost failure domains.
 type outages struct {
 	records     *bfgossip.Outages
 	checks      map[bfroster.Key]*outageCheck
@@ -46,13 +47,13 @@
 
 // startOutageCheck probes random members of a domain with many suspected members.
 //
-// The suspicions alone may come from a lost rack. The domain is declared lost
-// only if further random members answer neither direct nor indirect probes. With
-// a tenth of the members alive, this is wrong three times in four; with half of
-// them alive, once in eight. Any message from a member ends the outage.
+// The suspicions alone may come from a lost rack. The domain is declared lost only
+// if the probes of outageProbes further random members fail, direct and indirect.
+// That is wrong with probability 1/8 if half of the members are alive, and 3/4 if a
+// tenth of them are. Any message from a member ends the outage.
 func (m *Members) startOutageCheck(now time.Time, row bfroster.Row) {
 	domain := row.DomainKey()
-	if row.State != bfroster.Suspect || m.outages.records.Lost(domain) || m.outages.checks[domain] != nil || domain == m.self().DomainKey() {
+	if row.State != bfroster.Suspect || m.outages.records.Lost(domain) || m.outages.checks[domain] != nil || domain == m.selfRow().DomainKey() {
 		return
 	}
 	since, known := m.outages.records.Since(domain)
@@ -109,8 +110,8 @@
 	m.changeOutage(now, bfgossip.Outage{Region: domain.Region, Domain: domain.Domain, Epoch: m.outages.records.Epoch(domain) + 1, Lost: true})
 }
 
-// recordContact handles the fact that a member sent a message: it cancels a check
-// of the member's domain and ends its outage.
+// recordContact records the receipt of a message from a member: it cancels a check of
+// the member's domain and ends an outage of it.
 func (m *Members) recordContact(now time.Time, from uint64) {
 	member := m.table.Present(from)
 	if member == nil {
@@ -137,7 +138,7 @@
 	m.changeOutage(now, o)
 	// This node is in the domain, or received a message from it just now, so it
 	// refutes the outage with a higher epoch.
-	if o.Lost && (domain == m.self().DomainKey() || m.recentContact(now, domain)) {
+	if o.Lost && (domain == m.selfRow().DomainKey() || m.recentContact(now, domain)) {
 		m.changeOutage(now, bfgossip.Outage{Region: o.Region, Domain: o.Domain, Epoch: o.Epoch + 1})
 	}
 }
--- a/lib/bfmember/repair.go
+++ b/lib/bfmember/repair.go
@@ -11,7 +11,7 @@
 
 // startRepair starts an anti-entropy exchange with a random member.
 func (m *Members) startRepair() {
-	for _, peer := range m.pickAlive(1, m.hash) {
+	for _, peer := range m.pickAlive(1, m.selfHash) {
 		m.send(peer.Row().Peer, m.summary())
 	}
 }
@@ -20,8 +20,8 @@
 	return bfgossip.Summary{Self: m.Self(), Buckets: m.table.Summary(), Outages: m.outages.records.All()}
 }
 
-// compareViews starts an exchange early if the views differ although this view
-// has not changed for a while.
+// compareViews starts an exchange early if the sender's view differs although this view
+// has not changed for a while, so that gossip in transit doesn't explain the difference.
 func (m *Members) compareViews(now time.Time, ack bfgossip.Ack) {
 	settled := m.options.suspicionTimeout(m.memberCount()) * 4
 	if ack.Advert.Members == m.table.Digest() || now.Sub(m.lastChange) < settled {
@@ -35,7 +35,7 @@
 	m.send(row.Peer, m.summary())
 }
 
-// applySender merges the sender's own row and reports whether the sender can be answered.
+// applySender merges the sender's own row and reports whether a reply can be sent to it.
 func (m *Members) applySender(now time.Time, self bfroster.Row) bool {
 	m.applyRows(now, []bfroster.Row{self}, true)
 	m.recordContact(now, bfroster.HashID(self.ID))
