--- a/lib/bfcommit/attempt.go
+++ b/lib/bfcommit/attempt.go
@@ -12,9 +12,10 @@
 type Limits struct {
 	// Timeout is the time after which the attempt ends without a decision.
 	Timeout time.Duration
-	// MaxConflicts is the number of times that another change may be committed first.
+	// MaxConflicts is the number of conflicts with other commits after which the attempt ends.
 	MaxConflicts int
-	// InitialBackoff and MaxBackoff bound the exponential backoff while a lost answer can't be resolved.
+	// InitialBackoff and MaxBackoff bound the exponential backoff between reads while the
+	// outcome of a commit is in doubt.
 	InitialBackoff, MaxBackoff time.Duration
 	// PageRows is the number of versions read at once.
 	PageRows int
@@ -51,8 +52,8 @@
 // Attempt is one attempt to confirm or withdraw one change.
 //
 // A write whose answer is lost may still take effect long after a read that
-// doesn't show it, so the absence of the change row alone never means "not
-// accepted". Each transaction is conditional on the revision of head and on the
+// doesn't show it, so the absence of the change row alone doesn't prove that the
+// change was not accepted. Each transaction is conditional on the revision of head and on the
 // absence of the change row, and revisions are never reused. A write in doubt
 // therefore can't take effect any more once a read shows another revision of head
 // and no change row. While head still has the same revision, the attempt repeats
@@ -67,11 +68,12 @@
 	backoff   time.Duration
 	conflicts int
 
-	// state is the newest version this attempt has applied, target the head it has read.
-	state  *bfconfig.State
-	target Head
-	staged Staged
-	rows   commitRows
+	// state is the newest version this attempt has applied, tableHead the newest version
+	// in the table at the last read.
+	state     *bfconfig.State
+	tableHead Head
+	staged    Staged
+	rows      commitRows
 
 	proposal *proposal
 	// inDoubt is set while it is unknown whether proposal has been, or will be, applied.
@@ -226,24 +228,25 @@
 		return a.done(Invalid{Err: err})
 	}
 	a.staged = staged
-	if a.target, err = DecodeHead(a.rows.head); err != nil {
+	if a.tableHead, err = DecodeHead(a.rows.head); err != nil {
 		return a.abort(err, 0)
 	}
-	if a.staged.Base() > a.target.Version {
-		return a.abort(&HeadError{Held: Head{Version: a.staged.Base()}, Table: a.target}, 0)
+	if a.staged.Base() > a.tableHead.Version {
+		return a.abort(&HeadError{Held: Head{Version: a.staged.Base()}, Table: a.tableHead}, 0)
 	}
 	return a.catchUp(now)
 }
 
+// catchUp applies the versions up to tableHead, a page at a time, then proposes the change.
 func (a *Attempt) catchUp(now time.Time) Action {
-	if a.state.Version() < a.target.Version {
+	if a.state.Version() < a.tableHead.Version {
 		a.phase = phaseCatchingUp
-		from, to := VersionRange(a.state.Version()+1, a.target.Version)
+		from, to := VersionRange(a.state.Version()+1, a.tableHead.Version)
 		return ReadRange{From: from, To: to, Limit: a.limits.PageRows}
 	}
 	held := Head{Version: a.state.Version(), Digest: a.state.Digest()}
-	if held != a.target {
-		return a.abort(&HeadError{Held: held, Table: a.target}, 0)
+	if held != a.tableHead {
+		return a.abort(&HeadError{Held: held, Table: a.tableHead}, 0)
 	}
 	return a.propose(now)
 }
@@ -275,6 +278,7 @@
 	return state, nil
 }
 
+// propose rebases the staged change on state and commits it as the next version.
 func (a *Attempt) propose(now time.Time) Action {
 	next, delta, err := a.staged.Rebase(a.state, now, LookupIn(nil))
 	var conflict *ConflictError
@@ -338,7 +342,7 @@
 func (a *Attempt) readConflict() Action {
 	const maxRows = 1_000
 	a.phase = phaseIdentifying
-	from, to := VersionRange(a.staged.Base()+1, a.target.Version)
+	from, to := VersionRange(a.staged.Base()+1, a.tableHead.Version)
 	if revision := a.state.Revision(a.conflict.Object); revision > 0 {
 		from, to = VersionRange(revision, revision)
 	}
@@ -360,7 +364,7 @@
 	return a.done(Conflict{Err: a.conflict})
 }
 
-// pause backs off before the next try to resolve a lost answer.
+// pause backs off before the next read of the rows while a commit is in doubt.
 func (a *Attempt) pause(now time.Time, reason error) Action {
 	if now.After(a.deadline) {
 		return a.abort(reason, 0)
--- a/lib/bfcommit/cases_test.go
+++ b/lib/bfcommit/cases_test.go
@@ -45,7 +45,7 @@
 	return answer(tx)
 }
 
-// fixture is a table with one confirmed change, on which tests stage others.
+// fixture is a table with one committed change, on which tests stage others.
 type fixture struct {
 	t     *testing.T
 	is    *is.I
@@ -119,10 +119,10 @@
 	})
 }
 
-// CASE 1, the late write. The answer is lost and the write is still in transit when
+// CASE 1, a late write. The answer is lost and the write is still in transit when
 // the node reads, so there is no change row yet. The node must not return
 // NotAccepted: it repeats the same transaction, so that the late one conflicts.
-func TestCase1LateWriteCannotLandUnseen(t *testing.T) {
+func TestCase1LateWriteConflicts(t *testing.T) {
 	withFixture(t, func(p *fixture) {
 		p.stage("mine", service("new"))
 		var late bfstore.Transaction
@@ -137,10 +137,10 @@
 	})
 }
 
-// CASE 1, the outage. The answer is lost and the table becomes unavailable. After
+// CASE 1, an outage. The answer is lost and the table becomes unavailable. After
 // the time limit the outcome must be Unknown. A withdrawal through another node
 // after the outage must prevent the late write from taking effect.
-func TestCase1UnknownStaysUnknownUntilBarred(t *testing.T) {
+func TestCase1UnknownUntilWithdrawn(t *testing.T) {
 	withFixture(t, func(p *fixture) {
 		p.stage("mine", service("new"))
 		var late bfstore.Transaction
@@ -196,7 +196,7 @@
 // CASE 6, a half-finished confirm. A node is paused between its read and its commit,
 // while another change of the same route is confirmed. The commit it sends when it
 // resumes must have no effect, and the outcome must be a Conflict with the other change.
-func TestCase6FrozenConfirmWakes(t *testing.T) {
+func TestCase6PausedConfirmHasNoEffect(t *testing.T) {
 	withFixture(t, func(p *fixture) {
 		p.stage("mine", route("logos", "/mine", "vault"))
 		p.stage("theirs", route("logos", "/theirs", "vault"))
@@ -239,8 +239,8 @@
 		p.is.Equal(skipped[1].Version, bfconfig.Version(6))
 		p.table.unavailable = true
 		_, _, err = Load(ctx, p.table, p.table, 2)
-		var away *bfstore.UnavailableError
-		p.is.True(errors.As(err, &away))
+		var unavailable *bfstore.UnavailableError
+		p.is.True(errors.As(err, &unavailable))
 	})
 }
 
@@ -302,7 +302,7 @@
 
 // Guards against corrupted staged rows: each must be rejected or decode to a complete
 // change, since a missing revision would let it overwrite other changes unnoticed.
-func TestStagedRowsDamaged(t *testing.T) {
+func TestCorruptedStagedRows(t *testing.T) {
 	withFixture(t, func(p *fixture) {
 		staged, err := Stage(p.held, "x", "ada", time.Now(), []bfconfig.Op{route("logos", "/x", "vault")})
 		p.is.NoErr(err)
--- a/lib/bfcommit/doc.go
+++ b/lib/bfcommit/doc.go
@@ -1,9 +1,9 @@
 // Package bfcommit commits changes of the configuration as versions: it stages and
-// rebases changes, detects conflicts, runs the commit transaction and resolves
-// lost answers to it.
+// rebases changes, detects conflicts, runs the commit transaction, and determines
+// its outcome if the answer is lost.
 //
 // Versions are totally ordered and stored in the platform's table. An Attempt is
-// one confirm as a deterministic state machine: it takes an event and returns the
+// one confirmation or withdrawal as a deterministic state machine: it takes an event and returns the
 // next action. Run carries the actions out on a table.
 //
 // The rows:
--- a/lib/bfcommit/model_test.go
+++ b/lib/bfcommit/model_test.go
@@ -152,11 +152,11 @@
 func (w *simulation) commit(c *confirm, tx bfstore.Transaction) Event {
 	fault := "none"
 	if w.faults {
-		fault = rapid.SampledFrom([]string{"none", "none", "away", "answer lost", "late", "late", "write lost"}).Draw(w.t, "fault")
+		fault = rapid.SampledFrom([]string{"none", "none", "unavailable", "answer lost", "late", "late", "write lost"}).Draw(w.t, "fault")
 	}
 	lost := &bfstore.UnknownError{Reason: fault}
 	switch fault {
-	case "away":
+	case "unavailable":
 		return commitEvent(&bfstore.UnavailableError{Reason: fault})
 	case "none":
 		return commitEvent(w.apply(tx, c))
@@ -169,7 +169,7 @@
 	return commitEvent(lost)
 }
 
-// checkOutcome fails the test if the outcome is not true at this moment.
+// checkOutcome fails the test if the outcome contradicts the history so far.
 func (w *simulation) checkOutcome(c *confirm) {
 	version := bfconfig.Version(0)
 	switch outcome := c.outcome.(type) {
@@ -200,8 +200,8 @@
 		return // the row of the conflicting change could not be read
 	}
 	other := w.history.deltas[conflict.Version-1]
-	known := other.Change().ID() == conflict.ChangeID && other.Change().Author() == conflict.Author
-	if !known || !modifies(other, conflict.Object) || other.Version() <= w.history.staged[id].Base() {
+	identified := other.Change().ID() == conflict.ChangeID && other.Change().Author() == conflict.Author
+	if !identified || !modifies(other, conflict.Object) || other.Version() <= w.history.staged[id].Base() {
 		w.t.Fatalf("%s has a wrong conflict: %v", id, conflict)
 	}
 }
@@ -232,9 +232,9 @@
 			id := fmt.Sprint("c", rapid.IntRange(1, len(w.history.staged)).Draw(w.t, "which"))
 			w.start(id, rapid.IntRange(0, 9).Draw(w.t, "withdraw") == 7)
 		case kind == 3 && len(w.late) > 0:
-			w.applyLate(rapid.IntRange(0, len(w.late)-1).Draw(w.t, "landing"))
+			w.applyLate(rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late write"))
 		default:
-			w.step(w.confirms[rapid.IntRange(0, len(w.confirms)-1).Draw(w.t, "who")])
+			w.step(w.confirms[rapid.IntRange(0, len(w.confirms)-1).Draw(w.t, "confirm")])
 		}
 	}
 	w.faults = false
--- a/lib/bfcommit/rebase.go
+++ b/lib/bfcommit/rebase.go
@@ -76,7 +76,7 @@
 // revision of the base and the result is valid. It returns a ConflictError if a
 // later change is the cause, and the validation error otherwise.
 func (s Staged) Rebase(state *bfconfig.State, at time.Time, lookup Lookup) (*bfconfig.State, bfconfig.Delta, error) {
-	for _, ref := range s.Reads() {
+	for _, ref := range s.Refs() {
 		if state.Revision(ref) != s.revisions[ref] {
 			return nil, bfconfig.Delta{}, newConflict(ref, s.base, nil, lookup)
 		}
--- a/lib/bfcommit/run.go
+++ b/lib/bfcommit/run.go
@@ -76,17 +76,18 @@
 	return failed
 }
 
-// commitEvent treats every error that doesn't exclude an effect as an unknown outcome.
+// commitEvent converts the result of a commit to an event. An error that doesn't prove
+// that nothing was written becomes CommitUnknown.
 func commitEvent(err error) Event {
 	var conflict *bfstore.ConflictError
-	var away *bfstore.UnavailableError
+	var unavailable *bfstore.UnavailableError
 	switch {
 	case err == nil:
 		return CommitApplied{}
 	case errors.As(err, &conflict):
 		return CommitConflicted{}
-	case errors.As(err, &away):
-		return CommitUnavailable{Reason: err, RetryAfter: away.RetryAfter}
+	case errors.As(err, &unavailable):
+		return CommitUnavailable{Reason: err, RetryAfter: unavailable.RetryAfter}
 	}
 	return CommitUnknown{Reason: err}
 }
--- a/lib/bfcommit/snapshot.go
+++ b/lib/bfcommit/snapshot.go
@@ -12,7 +12,7 @@
 // snapshot; that is so for every multiple of every.
 //
 // The committing node holds the state anyway, and no coordination is needed. If it
-// crashes first the snapshot is missing, and readers use the one before.
+// crashes before the write, the snapshot is missing, and readers use the previous one.
 func WritesSnapshot(version, every bfconfig.Version) bool {
 	return version > 0 && every > 0 && version%every == 0
 }
--- a/lib/bfcommit/staged.go
+++ b/lib/bfcommit/staged.go
@@ -41,8 +41,8 @@
 // Ops returns the operations in their original order.
 func (s Staged) Ops() []bfconfig.Op { return s.ops }
 
-// Reads returns all objects read or written, sorted by kind and name.
-func (s Staged) Reads() []bfconfig.Ref {
+// Refs returns all objects read or written, sorted by kind and name.
+func (s Staged) Refs() []bfconfig.Ref {
 	return slices.SortedFunc(maps.Keys(s.revisions), compareRefs)
 }
 
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	wire := stagedWire{ID: s.id, Author: s.author, At: s.at.UnixMilli(), Base: s.base, Ops: ops}
-	for _, ref := range s.Reads() {
+	for _, ref := range s.Refs() {
 		wire.Revisions = append(wire.Revisions, revisionWire{ref, s.revisions[ref]})
 	}
 	return encMode.Marshal(wire)
@@ -149,7 +149,7 @@
 		return Staged{}, &RowError{Key: row.Key, Reason: err}
 	}
 	if StagedKey(wire.ID) != row.Key {
-		return Staged{}, &RowError{Key: row.Key, Reason: fmt.Errorf("value is of change %q", wire.ID)}
+		return Staged{}, &RowError{Key: row.Key, Reason: fmt.Errorf("value belongs to change %q", wire.ID)}
 	}
 	staged := Staged{
 		id: wire.ID, author: wire.Author, at: time.UnixMilli(wire.At).UTC(), base: wire.Base, ops: ops,
@@ -161,7 +161,7 @@
 	return staged, staged.checkRevisions(row.Key)
 }
 
-// checkRevisions returns a RowError if the revision of a needed object is missing:
+// checkRevisions returns a RowError if the revision of an object read or written is missing:
 // without it, a conflicting change of that object would be overwritten unnoticed.
 func (s Staged) checkRevisions(key string) error {
 	for _, ref := range touchedRefs(s.ops) {
--- a/lib/bfcommit/step.go
+++ b/lib/bfcommit/step.go
@@ -8,40 +8,44 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Event is the sealed set of what can happen to an Attempt.
+// Event is the sealed set of inputs of an Attempt: its start, the results of its actions
+// and its cancellation.
 type Event interface{ isEvent() }
 
 // Begin starts the attempt; it is the first event.
 type Begin struct{}
 
-// RowsRead answers Read and ReadRange.
+// RowsRead is the result of a Read or ReadRange that succeeded.
 type RowsRead struct{ Rows []bfstore.Row }
 
-// ReadFailed answers Read and ReadRange.
+// ReadFailed is the result of a Read or ReadRange that failed.
 type ReadFailed struct {
 	Reason     error
 	RetryAfter time.Duration
 }
 
-// CommitApplied answers Commit: the transaction took effect.
+// CommitApplied is the result of a Commit whose transaction took effect.
 type CommitApplied struct{}
 
-// CommitConflicted answers Commit: a condition did not hold, nothing was written.
+// CommitConflicted is the result of a Commit of which a condition did not hold; nothing
+// was written.
 type CommitConflicted struct{}
 
-// CommitUnavailable answers Commit: nothing was written.
+// CommitUnavailable is the result of a Commit that the table did not process; nothing
+// was written.
 type CommitUnavailable struct {
 	Reason     error
 	RetryAfter time.Duration
 }
 
-// CommitUnknown answers Commit: the transaction has taken effect, or still may.
+// CommitUnknown is the result of a Commit whose answer is lost: the transaction may have
+// taken effect, or still may.
 type CommitUnknown struct{ Reason error }
 
-// Waited answers Wait.
+// Waited is the result of a Wait.
 type Waited struct{}
 
-// Canceled ends the attempt; it may replace any answer.
+// Canceled ends the attempt; it may replace the result of any action.
 type Canceled struct{ Reason error }
 
 func (Begin) isEvent()             {}
@@ -66,7 +70,7 @@
 	Limit    int
 }
 
-// Commit requests that the transaction is run once.
+// Commit requests one execution of the transaction.
 type Commit struct{ Transaction bfstore.Transaction }
 
 // Wait requests the event Waited at a time.
@@ -81,7 +85,8 @@
 func (Wait) isAction()      {}
 func (Done) isAction()      {}
 
-// Outcome is the sealed set of outcomes of an attempt; each stays true whatever happens later.
+// Outcome is the sealed set of outcomes of an attempt; each remains true regardless of
+// later events.
 type Outcome interface{ isOutcome() }
 
 // Committed means that this attempt committed the change as a version.
@@ -156,7 +161,8 @@
 // Error names the version.
 func (e *GapError) Error() string { return fmt.Sprintf("row of version %d is missing", e.Version) }
 
-// StepError reports an event that doesn't answer the requested action: a bug in the driver.
+// StepError reports an event that isn't a result of the requested action: a bug in the
+// caller of Next.
 type StepError struct {
 	Event Event
 	Phase string
