--- a/lib/bfcommit/doc.go
+++ b/lib/bfcommit/doc.go
@@ -3,8 +3,8 @@
 // its outcome if the answer is lost.
 //
 // Versions are totally ordered and stored in the platform's table. An Attempt is
-// one confirmation or withdrawal as a deterministic state machine: it takes an event and returns the
-// next action. Run carries the actions out on a table.
+// one confirmation or withdrawal as a deterministic state machine: it takes an event
+// and returns the next action. Run carries the actions out on a table.
 //
 // The rows:
 //
