--- a/lib/bfroute/doc.go
+++ b/lib/bfroute/doc.go
@@ -1,8 +1,8 @@
-// Package bfroute finds the route of a request: the longest prefix on whole
-// path segments, then the method.
+// Package bfroute matches requests to routes by the longest prefix of whole
+// path segments, then by method.
 //
-// A View is built once for each version and read from an atomic pointer. Match
-// takes only paths that CleanPath returned, and the same path must be sent to
-// the target: if the target read the path in another way than Match did, a
-// caller could have a request run under another route's policy.
+// A View is immutable, built once per configuration version and safe for
+// concurrent reads. Match accepts only paths returned by CleanPath, and the same
+// path must be forwarded to the target: if the target parsed the path
+// differently from Match, a request could run under another route's policy.
 package bfroute
--- a/lib/bfroute/path.go
+++ b/lib/bfroute/path.go
@@ -6,35 +6,35 @@
 	"unicode/utf8"
 )
 
-// PathError reports a path that servers read in different ways.
+// PathError reports a malformed path, or one that servers may parse differently.
 type PathError struct {
 	Path   string
 	Reason string
 }
 
-// Error gives the path and what is wrong with it.
+// Error includes the path and the reason for its rejection.
 func (e *PathError) Error() string { return fmt.Sprintf("path %q: %s", e.Path, e.Reason) }
 
 const (
 	upperHex = "0123456789ABCDEF"
-	// escapeLength is the length of %XX.
+	// escapeLength is the length in bytes of %XX.
 	escapeLength = 3
 )
 
-// CleanPath gives the one form of a path as it came in the request line, without its query.
+// CleanPath returns the canonical form of raw, the path of a request line
+// without its query, or a *PathError.
 //
-// Escapes of unreserved characters are undone, the rest are written in upper
-// case. A path that could be read as another one further on is refused and not
-// repaired: an encoded slash or dot segment that this node takes for a plain
-// name and the target for a separator would reach another route under this
-// one's policy.
+// Escapes of unreserved characters are decoded, other escapes are written in
+// upper case. An ambiguous path is rejected, not repaired: an encoded slash or
+// dot segment that this node treats as part of a name and the target as a
+// separator would reach another route under this route's policy.
 func CleanPath(raw string) (string, error) {
 	if !strings.HasPrefix(raw, "/") {
 		return "", &PathError{Path: raw, Reason: "does not start with a slash"}
 	}
-	clean, reason := unescape(raw)
+	clean, reason := canonicalizeEscapes(raw)
 	if reason == "" {
-		reason = badSegment(clean)
+		reason = rejectSegment(clean)
 	}
 	if reason != "" {
 		return "", &PathError{Path: raw, Reason: reason}
@@ -42,9 +42,9 @@
 	return clean, nil
 }
 
-// unescape gives the canonical escaping of raw, or the reason to refuse it.
-func unescape(raw string) (clean, reason string) {
-	if reason := badBytes(raw); reason != "" {
+// canonicalizeEscapes returns raw with canonical escapes, or the reason to reject it.
+func canonicalizeEscapes(raw string) (clean, reason string) {
+	if reason := rejectBytes(raw); reason != "" {
 		return "", reason
 	}
 	if !strings.Contains(raw, "%") {
@@ -61,25 +61,25 @@
 		if len(raw)-i < escapeLength {
 			return "", "cut escape"
 		}
-		b, ok := escaped(raw[i+1], raw[i+2])
+		b, ok := decodeHexByte(raw[i+1], raw[i+2])
 		if !ok {
 			return "", "escape that is not two hexadecimal digits"
 		}
-		if reason := badEscape(b, raw[i+escapeLength:]); reason != "" {
+		if reason := rejectEscape(b, raw[i+escapeLength:]); reason != "" {
 			return "", reason
 		}
 		writeEscaped(&out, b)
 		decoded = append(decoded, b)
 		i += escapeLength - 1
 	}
-	// Overlong forms of a slash or a dot are invalid UTF-8 that lenient servers decode.
+	// Overlong encodings of a slash or a dot are invalid UTF-8 that lenient servers decode.
 	if !utf8.Valid(decoded) {
 		return "", "escapes that are not UTF-8"
 	}
 	return out.String(), ""
 }
 
-func badBytes(raw string) string {
+func rejectBytes(raw string) string {
 	for i := range len(raw) {
 		switch b := raw[i]; {
 		case b <= ' ' || b >= 0x7f:
@@ -93,15 +93,15 @@
 	return ""
 }
 
-func badEscape(b byte, rest string) string {
+func rejectEscape(b byte, rest string) string {
 	switch {
 	case b == '/' || b == '\\':
 		return "encoded slash"
 	case b < ' ' || b == 0x7f:
 		return "encoded control character"
 	case b == '%' && len(rest) >= 2:
-		// A server that decodes twice would read %252F as a slash.
-		if twice, ok := escaped(rest[0], rest[1]); ok && strings.IndexByte(`/\.;%`, twice) >= 0 {
+		// A server that decodes twice would decode %252F to a slash.
+		if decoded, ok := decodeHexByte(rest[0], rest[1]); ok && strings.IndexByte(`/\.;%`, decoded) >= 0 {
 			return "escape encoded twice"
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 func writeEscaped(out *strings.Builder, b byte) {
-	if unreserved(b) {
+	if isUnreserved(b) {
 		out.WriteByte(b)
 		return
 	}
@@ -118,30 +118,30 @@
 	out.WriteByte(upperHex[b&0xf])
 }
 
-// unreserved characters mean the same escaped or not, by RFC 3986.
-func unreserved(b byte) bool {
+// isUnreserved reports whether b is unreserved in RFC 3986: equivalent whether escaped or not.
+func isUnreserved(b byte) bool {
 	return 'a' <= b && b <= 'z' || 'A' <= b && b <= 'Z' || '0' <= b && b <= '9' || strings.IndexByte("-._~", b) >= 0
 }
 
-func escaped(high, low byte) (byte, bool) {
-	h, l := digit(high), digit(low)
+func decodeHexByte(high, low byte) (byte, bool) {
+	h, l := hexDigit(high), hexDigit(low)
 	return byte(h<<4 | l), h >= 0 && l >= 0
 }
 
-func digit(b byte) int {
+func hexDigit(b byte) int {
 	if 'a' <= b && b <= 'f' {
 		b -= 'a' - 'A'
 	}
 	return strings.IndexByte(upperHex, b)
 }
 
-// badSegment finds dot segments and empty ones; only the last may be empty.
-func badSegment(clean string) string {
+// rejectSegment returns the reason to reject a dot segment or an empty segment; only the last may be empty.
+func rejectSegment(clean string) string {
 	rest, more := clean[1:], true
 	for more {
 		var segment string
 		segment, rest, more = strings.Cut(rest, "/")
-		switch name := withoutParameters(segment); {
+		switch name := stripParameters(segment); {
 		case name == "." || name == "..":
 			return "dot segment"
 		case name == "" && (more || segment != ""):
--- a/lib/bfroute/view.go
+++ b/lib/bfroute/view.go
@@ -9,31 +9,32 @@
 	"bilberryflow.org/lib/bfevent"
 )
 
-// entry is one route with what it refers to.
+// entry is a route with the service and the policy that it references.
 type entry struct {
 	route   bfconfig.RouteSpec
 	service bfconfig.ServiceSpec
 	policy  bfconfig.PolicySpec
 }
 
-// node is one path segment in the tree of prefixes.
+// node is one path segment in the prefix tree.
 type node struct {
 	children map[string]*node
-	// everyMethod is the route of this prefix without methods, if there is one.
-	everyMethod *entry
-	byMethod    map[string]*entry
+	// anyMethod is the route of this prefix that lists no methods, or nil.
+	anyMethod *entry
+	byMethod  map[string]*entry
 }
 
-func (n *node) hasRoutes() bool { return n.everyMethod != nil || len(n.byMethod) > 0 }
+func (n *node) hasRoutes() bool { return n.anyMethod != nil || len(n.byMethod) > 0 }
 
-// View is the routes of one version; it never changes once made.
+// View is the immutable routing table of one configuration version.
 type View struct {
 	version bfconfig.Version
 	root    *node
 	events  *bfevent.Schedule
 }
 
-// NewView builds the view of state; an error means that state is not closed, which bfconfig rules out.
+// NewView builds the routing table of state. It returns a *bfconfig.DanglingError
+// for an unresolved reference, which a state validated by bfconfig does not have.
 func NewView(state *bfconfig.State) (*View, error) {
 	events, err := bfevent.NewSchedule(state)
 	if err != nil {
@@ -41,11 +42,11 @@
 	}
 	v := &View{version: state.Version(), root: &node{}, events: events}
 	for object := range state.All(bfconfig.KindRoute) {
-		resolved, err := resolve(state, object.(bfconfig.RouteSpec))
+		e, err := resolve(state, object.(bfconfig.RouteSpec))
 		if err != nil {
 			return nil, err
 		}
-		v.add(resolved)
+		v.add(e)
 	}
 	return v, nil
 }
@@ -74,7 +75,7 @@
 		}
 	}
 	if len(e.route.Methods) == 0 {
-		at.everyMethod = e
+		at.anyMethod = e
 		return
 	}
 	if at.byMethod == nil {
@@ -97,64 +98,65 @@
 	return child
 }
 
-// Version is the version the view was built from.
+// Version returns the configuration version that the view was built from.
 func (v *View) Version() bfconfig.Version { return v.version }
 
-// Events is the schedule of the same version.
+// Events returns the event schedule of the same version.
 func (v *View) Events() *bfevent.Schedule { return v.events }
 
-// Match is the route found for a request.
+// Match is the route that View.Match selected for a request.
 type Match struct{ entry *entry }
 
-// Route is the route that matched.
+// Route returns the matching route.
 func (m Match) Route() bfconfig.RouteSpec { return m.entry.route }
 
-// Service is the service of the route.
+// Service returns the service of the route.
 func (m Match) Service() bfconfig.ServiceSpec { return m.entry.service }
 
-// Base is the route's own policy, in force while no event overrides it.
+// Base returns the route's configured policy, which applies while no event overrides it.
 func (m Match) Base() bfconfig.PolicySpec { return m.entry.policy }
 
-// NoRouteError reports a path under no route's prefix.
+// NoRouteError reports a path that no route's prefix covers.
 type NoRouteError struct{ Path string }
 
-// Error names the path.
+// Error includes the path.
 func (e *NoRouteError) Error() string { return fmt.Sprintf("no route for path %q", e.Path) }
 
-// MethodError reports a path whose longest prefix has routes for other methods only.
+// MethodError reports a path whose longest matching prefix has routes for other methods only.
 type MethodError struct {
 	Method string
 	Prefix string
-	// Allowed are the methods of that prefix, ordered.
+	// Allowed lists the methods of that prefix in sorted order.
 	Allowed []string
 }
 
-// Error names the method and those allowed.
+// Error includes the method, the prefix and the allowed methods.
 func (e *MethodError) Error() string {
 	return fmt.Sprintf("method %s not allowed at %s, allowed: %s", e.Method, e.Prefix, strings.Join(e.Allowed, ", "))
 }
 
-// Match finds the route of a request by a path that CleanPath returned.
+// Match returns the route of a request, for a path returned by CleanPath. Its
+// errors are *NoRouteError and *MethodError.
 //
-// The longest prefix decides alone. A method that it does not allow is not
-// looked up under a shorter one: an operator who gives /assets/logos a route
-// for GET would else find DELETE there run under the policy of /assets.
+// Only the longest matching prefix is considered. A method that it does not
+// allow does not fall back to a shorter prefix: with a GET-only route at
+// /assets/logos, a DELETE there would otherwise run under the policy of /assets.
 func (v *View) Match(method, path string) (Match, error) {
-	best, end := v.longest(path)
+	best, end := v.longestPrefix(path)
 	if best == nil {
 		return Match{}, &NoRouteError{Path: path}
 	}
 	if found := best.byMethod[method]; found != nil {
 		return Match{found}, nil
 	}
-	if best.everyMethod != nil {
-		return Match{best.everyMethod}, nil
+	if best.anyMethod != nil {
+		return Match{best.anyMethod}, nil
 	}
-	return Match{}, &MethodError{Method: method, Prefix: path[:end], Allowed: best.allowed()}
+	return Match{}, &MethodError{Method: method, Prefix: path[:end], Allowed: best.allowedMethods()}
 }
 
-// longest finds the deepest node with routes along path, and where its prefix ends in path.
-func (v *View) longest(path string) (*node, int) {
+// longestPrefix returns the deepest node with routes along path, and the length of its prefix in path.
+func (v *View) longestPrefix(path string) (*node, int) {
 	if !strings.HasPrefix(path, "/") {
 		return nil, 0
 	}
@@ -169,7 +171,7 @@
 		if slash := strings.IndexByte(path[start:], '/'); slash >= 0 {
 			stop = start + slash
 		}
-		if at = at.children[withoutParameters(path[start:stop])]; at == nil {
+		if at = at.children[stripParameters(path[start:stop])]; at == nil {
 			break
 		}
 		if at.hasRoutes() {
@@ -180,10 +182,10 @@
 	return best, end
 }
 
-// withoutParameters cuts a segment at its first semicolon, escaped or not. Some
-// servers drop what follows before they look up the path, so /approvals;a=1
-// would run as /approvals at the target but under a shorter prefix's policy here.
-func withoutParameters(segment string) string {
+// stripParameters truncates a segment at its first semicolon, escaped or not.
+// Some servers strip path parameters before routing, so /approvals;a=1 would run
+// as /approvals at the target but match a shorter prefix's policy here.
+func stripParameters(segment string) string {
 	const escapedSemicolon = "%3B"
 	if i := strings.IndexByte(segment, ';'); i >= 0 {
 		segment = segment[:i]
@@ -194,7 +196,7 @@
 	return segment
 }
 
-func (n *node) allowed() []string {
+func (n *node) allowedMethods() []string {
 	methods := make([]string, 0, len(n.byMethod))
 	for method := range n.byMethod {
 		methods = append(methods, method)
--- a/lib/bfroute/view_test.go
+++ b/lib/bfroute/view_test.go
@@ -18,7 +18,7 @@
 	"bilberryflow.org/lib/bfconfig"
 )
 
-// TestMain fixes rapid's seed so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -47,36 +47,36 @@
 	return view
 }
 
-// naiveMatch asks every route whether its prefix holds path, and keeps the longest.
-func naiveMatch(routes []bfconfig.RouteSpec, method, path string) string {
+// linearMatch is the reference implementation: a linear scan of all routes for the longest prefix of path.
+func linearMatch(routes []bfconfig.RouteSpec, method, path string) string {
 	longest := -1
 	for _, r := range routes {
-		if under(r.Prefix, path) {
+		if hasPathPrefix(r.Prefix, path) {
 			longest = max(longest, len(r.Prefix))
 		}
 	}
-	answer := "no route"
+	result := "no route"
 	for _, r := range routes {
-		if len(r.Prefix) != longest || !under(r.Prefix, path) {
+		if len(r.Prefix) != longest || !hasPathPrefix(r.Prefix, path) {
 			continue
 		}
 		if slices.Contains(r.Methods, method) {
 			return r.Name
 		}
 		if len(r.Methods) == 0 {
-			answer = r.Name
-		} else if answer == "no route" {
-			answer = "not allowed"
+			result = r.Name
+		} else if result == "no route" {
+			result = "not allowed"
 		}
 	}
-	return answer
+	return result
 }
 
-func under(prefix, path string) bool {
+func hasPathPrefix(prefix, path string) bool {
 	return prefix == "/" || path == prefix || strings.HasPrefix(path, prefix+"/")
 }
 
-func realMatch(view *View, method, path string) string {
+func matchedRoute(view *View, method, path string) string {
 	match, err := view.Match(method, path)
 	var wrongMethod *MethodError
 	switch {
@@ -107,16 +107,16 @@
 		view := newView(t, routes)
 		for range 30 {
 			method := rapid.SampledFrom([]string{"GET", "PUT", "DELETE"}).Draw(t, "method")
-			asked := prefix.Draw(t, "path") + rapid.SampledFrom([]string{"", "/", "/a", "/c", "x"}).Draw(t, "tail")
-			asked = strings.ReplaceAll(asked, "//", "/")
-			if got, want := realMatch(view, method, asked), naiveMatch(routes, method, asked); got != want {
-				t.Fatalf("%s %s: got %s, linear scan %s", method, asked, got, want)
+			requestPath := prefix.Draw(t, "path") + rapid.SampledFrom([]string{"", "/", "/a", "/c", "x"}).Draw(t, "tail")
+			requestPath = strings.ReplaceAll(requestPath, "//", "/")
+			if got, want := matchedRoute(view, method, requestPath), linearMatch(routes, method, requestPath); got != want {
+				t.Fatalf("%s %s: got %s, linear scan %s", method, requestPath, got, want)
 			}
 		}
 	})
 }
 
-func TestMethodErrorListsWhatIsAllowed(t *testing.T) {
+func TestMethodErrorListsAllowedMethods(t *testing.T) {
 	is := is.New(t)
 	view := newView(t, []bfconfig.RouteSpec{
 		{Name: "all", Prefix: "/assets"}, {Name: "logos", Prefix: "/assets/logos", Methods: []string{"PUT", "GET"}},
@@ -127,11 +127,9 @@
 	is.Equal(*wrongMethod, MethodError{Method: "DELETE", Prefix: "/assets/logos", Allowed: []string{"GET", "PUT"}})
 }
 
-// A caller writes a path so that this node sees a look-up and the target an
-// approval: with escaped slashes, dot segments, doubled slashes, path
-// parameters. Such a path is refused, or every reading of it must lead to the
-// same route; else the approval would run as an idempotent look-up and twice.
-func TestNoReadingOfACleanPathReachesAnotherRoute(t *testing.T) {
+// Guards against policy bypass by ambiguous paths (escaped slashes, dot segments,
+// path parameters): CleanPath rejects a path or all its interpretations match one route.
+func TestCleanPathIsUnambiguous(t *testing.T) {
 	view := newView(t, []bfconfig.RouteSpec{
 		{Name: "rest", Prefix: "/"}, {Name: "look-up", Prefix: "/assets"}, {Name: "approve", Prefix: "/assets/approve"},
 	})
@@ -149,22 +147,22 @@
 		accepted++
 		again, err := CleanPath(clean)
 		if err != nil || again != clean {
-			t.Fatalf("%q is cleaned to %q and that to %q, %v", raw, clean, again, err)
+			t.Fatalf("CleanPath is not idempotent: %q gives %q, which gives %q, %v", raw, clean, again, err)
 		}
-		want := realMatch(view, "GET", clean)
-		for _, reading := range readings(clean) {
-			if got := realMatch(view, "GET", reading); got != want {
-				t.Fatalf("%q matches %s, but read as %q %s", raw, want, reading, got)
+		want := matchedRoute(view, "GET", clean)
+		for _, interpretation := range interpretations(clean) {
+			if got := matchedRoute(view, "GET", interpretation); got != want {
+				t.Fatalf("%q matches %s, but interpreted as %q it matches %s", raw, want, interpretation, got)
 			}
 		}
 	})
 	if accepted < 10 {
-		t.Fatalf("only %d paths were accepted, too few to test anything", accepted)
+		t.Fatalf("only %d paths were accepted, want at least 10", accepted)
 	}
 }
 
-// readings are the ways in which servers are known to take a path.
-func readings(clean string) []string {
+// interpretations returns the interpretations of a path by servers that decode, clean or strip it differently.
+func interpretations(clean string) []string {
 	list := []string{clean}
 	if once, err := url.PathUnescape(clean); err == nil {
 		list = append(list, once)
@@ -195,7 +193,7 @@
 	for _, raw := range []string{"", "a", "/a//b", "/;/a", "/a/..;/b", "/a/../b", "/a/%2E%2e/b", "/a%2fb", "/a%252Fb", "/a?b", "/a b", "/é"} {
 		_, err := CleanPath(raw)
 		var wrong *PathError
-		is.True(errors.As(err, &wrong)) // refused, as a PathError
+		is.True(errors.As(err, &wrong)) // rejected with a PathError
 	}
 }
 
@@ -231,11 +229,11 @@
 func TestMatchDoesNotAllocate(t *testing.T) {
 	view := newView(t, []bfconfig.RouteSpec{{Name: "logos", Prefix: "/assets/logos", Methods: []string{"GET"}}})
 	if n := testing.AllocsPerRun(100, func() { _, _ = view.Match("GET", "/assets/logos/7") }); n != 0 {
-		t.Fatalf("%v allocations a match", n)
+		t.Fatalf("%v allocations per match", n)
 	}
 }
 
-// The configuration of the fleet in two years: 5,000 objects, built anew with each version.
+// BenchmarkNewView builds a view of 5,000 objects, as on every new configuration version.
 func BenchmarkNewView(b *testing.B) {
 	var ops []bfconfig.Op
 	for i := range 810 {
