--- a/lib/bfroute/path.go
+++ b/lib/bfroute/path.go
@@ -101,7 +101,7 @@
 		return "encoded control character"
 	case b == '%' && len(rest) >= 2:
 		// A server that decodes twice would decode %252F to a slash.
-		if decoded, ok := decodeHexByte(rest[0], rest[1]); ok && strings.IndexByte(`/\.;%`, decoded) >= 0 {
+		if nested, ok := decodeHexByte(rest[0], rest[1]); ok && strings.IndexByte(`/\.;%`, nested) >= 0 {
 			return "escape encoded twice"
 		}
 	}
--- a/lib/bfroute/view.go
+++ b/lib/bfroute/view.go
@@ -42,11 +42,11 @@
 	}
 	v := &View{version: state.Version(), root: &node{}, events: events}
 	for object := range state.All(bfconfig.KindRoute) {
-		e, err := resolve(state, object.(bfconfig.RouteSpec))
+		routeEntry, err := resolve(state, object.(bfconfig.RouteSpec))
 		if err != nil {
 			return nil, err
 		}
-		v.add(e)
+		v.add(routeEntry)
 	}
 	return v, nil
 }
--- a/lib/bfview/digest.go
+++ b/lib/bfview/digest.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	buckets       = 64
-	cellsInBucket = 64
-	// Cells is how many cells the digests of a view have.
-	Cells = buckets * cellsInBucket
+	bucketCount    = 64
+	cellsPerBucket = 64
+	// Cells is the number of digest cells of a view.
+	Cells = bucketCount * cellsPerBucket
 )
 
-// cellOf is the cell of the digest that a member falls into.
-func cellOf(hash uint64) uint16 { return uint16(hash >> 52) }
+// cellIndex returns the digest cell of a member's hash.
+func cellIndex(hash uint64) uint16 { return uint16(hash >> 52) }
 
-// flip adds a member to the digests or takes it out again.
-func (t *Table) flip(m *bfroster.Member) {
-	print := m.Fingerprint()
-	t.digests[cellOf(m.Key().Hash)] ^= print
-	t.total ^= print
+// toggleDigest adds a member to the digests, or removes one already added: XOR is its own inverse.
+func (t *Table) toggleDigest(m *bfroster.Member) {
+	fingerprint := m.Fingerprint()
+	t.cellDigests[cellIndex(m.Key().Hash)] ^= fingerprint
+	t.digest ^= fingerprint
 }
 
-// Summary is the digests of the buckets.
+// Summary returns the digests of all buckets, 8 bytes each in little-endian order.
 func (t *Table) Summary() []byte {
-	data := make([]byte, 0, 8*buckets)
-	for b := range uint8(buckets) {
+	data := make([]byte, 0, 8*bucketCount)
+	for b := range uint8(bucketCount) {
 		var sum uint64
 		for _, d := range t.cells(b) {
 			sum ^= d
@@ -37,9 +37,9 @@
 	return data
 }
 
-// Detail is the digests of the cells of a bucket that a Summary has.
+// Detail returns the cell digests of one bucket, 8 bytes each in little-endian order.
 func (t *Table) Detail(bucket uint8) []byte {
-	data := make([]byte, 0, 8*cellsInBucket)
+	data := make([]byte, 0, 8*cellsPerBucket)
 	for _, d := range t.cells(bucket) {
 		data = binary.LittleEndian.AppendUint64(data, d)
 	}
@@ -47,28 +47,30 @@
 }
 
 func (t *Table) cells(bucket uint8) []uint64 {
-	first := int(bucket) * cellsInBucket
-	return t.digests[first : first+cellsInBucket]
+	first := int(bucket) * cellsPerBucket
+	return t.cellDigests[first : first+cellsPerBucket]
 }
 
-// DifferingBuckets lists the buckets in which another view's Summary differs.
-func (t *Table) DifferingBuckets(summary []byte) []uint8 { return differing(t.Summary(), summary) }
+// DifferingBuckets returns the buckets whose digests differ from those in another view's Summary.
+func (t *Table) DifferingBuckets(summary []byte) []uint8 {
+	return differingIndexes(t.Summary(), summary)
+}
 
-// DifferingCells lists the cells in which another view's Detail of a bucket
-// differs; a bucket that doesn't exist has none.
+// DifferingCells returns the cells whose digests differ from those in another
+// view's Detail of a bucket, and none for a bucket that doesn't exist.
 func (t *Table) DifferingCells(bucket uint8, detail []byte) []uint16 {
-	if bucket >= buckets {
+	if bucket >= bucketCount {
 		return nil
 	}
 	var list []uint16
-	for _, c := range differing(t.Detail(bucket), detail) {
-		list = append(list, uint16(bucket)*cellsInBucket+uint16(c))
+	for _, c := range differingIndexes(t.Detail(bucket), detail) {
+		list = append(list, uint16(bucket)*cellsPerBucket+uint16(c))
 	}
 	return list
 }
 
-// differing lists which 8-byte digests in theirs are not those in ours.
-func differing(ours, theirs []byte) []uint8 {
+// differingIndexes returns the positions at which the 8-byte digests differ.
+func differingIndexes(ours, theirs []byte) []uint8 {
 	var list []uint8
 	for i := 0; i+8 <= min(len(ours), len(theirs)); i += 8 {
 		if binary.LittleEndian.Uint64(ours[i:]) != binary.LittleEndian.Uint64(theirs[i:]) {
@@ -78,11 +80,11 @@
 	return list
 }
 
-// InCells lists the rows, dead ones included, that fall into the cells.
-func (t *Table) InCells(wanted []uint16) []bfroster.Row {
+// InCells returns the rows in the cells, dead ones included, sorted by key.
+func (t *Table) InCells(cells []uint16) []bfroster.Row {
 	var rows []bfroster.Row
 	for hash, e := range t.entries {
-		if slices.Contains(wanted, cellOf(hash)) {
+		if slices.Contains(cells, cellIndex(hash)) {
 			rows = append(rows, *e.member.Row())
 		}
 	}
--- a/lib/bfview/doc.go
+++ b/lib/bfview/doc.go
@@ -1,6 +1,6 @@
-// Package bfview holds one node's view of the fleet and merges into it what others tell.
+// Package bfview holds one node's membership view and merges received rows into it.
 //
-// Table keeps the latest row of each member and a grave for each that was
-// dropped as dead. Its digests, in buckets of cells, let two nodes find the few
-// rows in which their views differ. It is for one goroutine at a time.
+// Table keeps the latest row of each member and a tombstone for each row dropped
+// as dead. Its two-level digests (buckets of cells) let anti-entropy between two
+// nodes find the few rows that differ. A Table is not safe for concurrent use.
 package bfview
--- a/lib/bfview/table.go
+++ b/lib/bfview/table.go
@@ -8,66 +8,67 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// Verdict is what became of a row offered to the table.
-type Verdict int
+// MergeResult is the result of merging a row into the table.
+type MergeResult int
 
-// The verdicts.
+// The results of a merge.
 const (
-	// Stale rows tell nothing that is not known.
-	Stale Verdict = iota
+	// Stale reports a row that is not newer than the stored one.
+	Stale MergeResult = iota
+	// Accepted reports a row that was stored.
 	Accepted
-	// Barred rows are of an incarnation that was dropped as dead.
+	// Barred reports a row whose incarnation has a tombstone.
 	Barred
-	// Clashing rows have the hash of another member.
+	// Clashing reports a row whose ID has the same hash as another member's ID.
 	Clashing
 )
 
 // CollisionError reports two members whose IDs have the same hash.
 type CollisionError struct{ Held, Refused string }
 
-// Error names both members.
+// Error includes both IDs.
 func (e *CollisionError) Error() string {
 	return fmt.Sprintf("member %q refused: same hash as %q", e.Refused, e.Held)
 }
 
 type entry struct {
 	member *bfroster.Member
-	// since is when the row came to its state here.
+	// since is the local time at which the row entered its state.
 	since time.Time
 }
 
 // Table holds the rows of one node's view.
 //
-// digests and sorted cover only members that are present, so that dropping a
-// dead row at different times on different nodes makes no difference to repair.
+// The digests and sorted cover only present members, so that nodes dropping a
+// dead row at different times don't differ in their digests.
 type Table struct {
-	entries map[uint64]entry
-	sorted  []*bfroster.Member
-	digests [Cells]uint64
-	total   uint64
-	graves  map[uint64]Grave
-	// buried lists hashes of graves, the oldest first.
-	buried []uint64
-	texts  map[string]string
-	// touched are the members changed since the last order was made, nil for
-	// those no longer present, and moved says that some of them came or went.
-	touched map[uint64]*bfroster.Member
-	moved   bool
-	lost    map[bfroster.Key]bool
-}
-
-// NewTable makes an empty table.
+	entries     map[uint64]entry
+	sorted      []*bfroster.Member
+	cellDigests [Cells]uint64
+	digest      uint64
+	tombstones  map[uint64]Grave
+	// tombstoneQueue holds the hashes of the tombstones, oldest first.
+	tombstoneQueue []uint64
+	interned       map[string]string
+	// changed maps the members changed since the last NextOrder, with nil for those
+	// no longer present; reordered reports that members were added or removed.
+	changed     map[uint64]*bfroster.Member
+	reordered   bool
+	lostDomains map[bfroster.Key]bool
+}
+
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		entries: map[uint64]entry{}, graves: map[uint64]Grave{}, texts: map[string]string{},
-		touched: map[uint64]*bfroster.Member{}, lost: map[bfroster.Key]bool{},
+		entries: map[uint64]entry{}, tombstones: map[uint64]Grave{}, interned: map[string]string{},
+		changed: map[uint64]*bfroster.Member{}, lostDomains: map[bfroster.Key]bool{},
 	}
 }
 
-// Member is what is held of a member, dead ones included, or nil.
+// Member returns the member with a hash, dead ones included, or nil.
 func (t *Table) Member(hash uint64) *bfroster.Member { return t.entries[hash].member }
 
-// Present is a member that belongs to the order, or nil.
+// Present returns the member with a hash if it is in the order, else nil.
 func (t *Table) Present(hash uint64) *bfroster.Member {
 	if member := t.Member(hash); member != nil && member.Row().State.Present() {
 		return member
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// Row is what is known of a member, dead ones included.
+// Row returns the row of a member, dead ones included, and whether there is one.
 func (t *Table) Row(hash uint64) (bfroster.Row, bool) {
 	member := t.Member(hash)
 	if member == nil {
@@ -84,24 +85,24 @@
 	return *member.Row(), true
 }
 
-// Sorted lists the present members by key; the list must not be kept or changed.
+// Sorted returns the present members by key; the caller must not retain or modify the slice.
 func (t *Table) Sorted() []*bfroster.Member { return t.sorted }
 
-// Digest identifies the view.
-func (t *Table) Digest() uint64 { return t.total }
+// Digest returns the digest over all present members.
+func (t *Table) Digest() uint64 { return t.digest }
 
-// Merge takes row if it is later knowledge than what is held, and returns what was held.
-func (t *Table) Merge(now time.Time, row bfroster.Row) (Verdict, bfroster.Row) {
+// Merge stores row if it is newer than the stored row, and returns the previously stored row.
+func (t *Table) Merge(now time.Time, row bfroster.Row) (MergeResult, bfroster.Row) {
 	hash := bfroster.HashID(row.ID)
 	held, found := t.Row(hash)
 	if found && held.ID != row.ID {
 		return Clashing, held
 	}
-	// A partitioned node may still hold as alive what the others dropped as
-	// dead long ago; without the grave its row would come back on every node,
-	// be probed, die and come back again. A member that really lives outdoes
-	// the grave by a higher incarnation.
-	if g, dropped := t.graves[hash]; dropped && row.Incarnation <= g.Incarnation {
+	// A partitioned node may still have as alive a row that the others dropped as
+	// dead long ago; without the tombstone that row would be resurrected on every
+	// node, probed, declared dead and resurrected again. A live member overrides
+	// its tombstone with a higher incarnation.
+	if g, dropped := t.tombstones[hash]; dropped && row.Incarnation <= g.Incarnation {
 		return Barred, held
 	}
 	if found && bfroster.Compare(row, held) <= 0 {
@@ -112,80 +113,83 @@
 }
 
 func (t *Table) put(now time.Time, hash uint64, row bfroster.Row) {
-	row.Region, row.Domain, row.Service = t.text(row.Region), t.text(row.Domain), t.text(row.Service)
+	row.Region, row.Domain, row.Service = t.intern(row.Region), t.intern(row.Domain), t.intern(row.Service)
 	held, found := t.entries[hash]
 	since := now
 	if found && held.member.Row().State == row.State {
 		since = held.since
 	}
 	old := t.Present(hash)
-	t.entries[hash] = entry{member: bfroster.NewMember(row, t.lost[row.DomainKey()]), since: since}
-	t.touched[hash] = t.Present(hash)
-	t.place(old, t.touched[hash])
+	t.entries[hash] = entry{member: bfroster.NewMember(row, t.lostDomains[row.DomainKey()]), since: since}
+	t.changed[hash] = t.Present(hash)
+	t.updateIndexes(old, t.changed[hash])
 }
 
-// place keeps sorted and the digests in step with one member's old and new row.
-func (t *Table) place(old, member *bfroster.Member) {
+// updateIndexes updates sorted and the digests for one member; old or member is nil if not present.
+func (t *Table) updateIndexes(old, member *bfroster.Member) {
 	if old != nil {
-		t.flip(old)
+		t.toggleDigest(old)
 	}
 	if member != nil {
-		t.flip(member)
+		t.toggleDigest(member)
 	}
 	if old != nil && member != nil && old.Key() == member.Key() {
-		t.sorted[t.search(member)] = member
+		t.sorted[t.sortedIndex(member)] = member
 		return
 	}
 	if old != nil {
-		i := t.search(old)
+		i := t.sortedIndex(old)
 		t.sorted = slices.Delete(t.sorted, i, i+1)
-		t.moved = true
+		t.reordered = true
 	}
 	if member != nil {
-		t.sorted = slices.Insert(t.sorted, t.search(member), member)
-		t.moved = true
+		t.sorted = slices.Insert(t.sorted, t.sortedIndex(member), member)
+		t.reordered = true
 	}
 }
 
-func (t *Table) search(member *bfroster.Member) int {
+func (t *Table) sortedIndex(member *bfroster.Member) int {
 	i, _ := slices.BinarySearchFunc(t.sorted, member, bfroster.CompareMembers)
 	return i
 }
 
-// NextOrder is the order after previous, which the last call returned.
+// NextOrder returns the order of the present members; previous is the order that the last call returned.
 func (t *Table) NextOrder(previous *bfroster.Order) *bfroster.Order {
-	next := previous.Next(bfroster.Change{Sorted: t.sorted, Touched: t.touched, Moved: t.moved, Digest: t.total})
-	clear(t.touched)
-	t.moved = false
+	next := previous.Next(bfroster.Change{Sorted: t.sorted, Touched: t.changed, Moved: t.reordered, Digest: t.digest})
+	clear(t.changed)
+	t.reordered = false
 	return next
 }
 
-// After lists the present members behind a key; the list must not be kept or changed.
-func (t *Table) After(key bfroster.Key) []*bfroster.Member { return t.sorted[t.rank(key.After()):] }
+// After returns the present members with greater keys; the caller must not retain or modify the slice.
+func (t *Table) After(key bfroster.Key) []*bfroster.Member {
+	return t.sorted[t.lowerBound(key.After()):]
+}
 
-// InDomain lists the present members of a domain; the list must not be kept or changed.
+// InDomain returns the present members of a failure domain; the caller must not retain or modify the slice.
 func (t *Table) InDomain(domain bfroster.Key) []*bfroster.Member {
-	return t.sorted[t.rank(domain):t.rank(domain.DomainEnd())]
+	return t.sorted[t.lowerBound(domain):t.lowerBound(domain.DomainEnd())]
 }
 
-// rank is the place of the first member whose key is at least key.
-func (t *Table) rank(key bfroster.Key) int {
+// lowerBound returns the index of the first present member whose key is at least key.
+func (t *Table) lowerBound(key bfroster.Key) int {
 	i, _ := slices.BinarySearchFunc(t.sorted, key, func(m *bfroster.Member, k bfroster.Key) int { return m.Key().Compare(k) })
 	return i
 }
 
-// Lost reports whether a domain is marked as out of reach.
-func (t *Table) Lost(domain bfroster.Key) bool { return t.lost[domain] }
+// Lost reports whether a failure domain is marked as unreachable.
+func (t *Table) Lost(domain bfroster.Key) bool { return t.lostDomains[domain] }
 
-// SetLost marks the members of a domain, and lists those whose suspicion it voids.
+// SetLost marks or unmarks a failure domain as unreachable, and returns the
+// hashes of its suspected members, which it resets to alive.
 //
-// Each node suspects others of a lost domain. Kept until the domain is back,
-// these suspicions would run out before their members could hear of them, and
-// the fleet would tell and refute a death for nearly each.
+// Without the reset, suspicions raised during the outage would expire when the
+// domain returns, before their members could refute them, and the fleet would
+// gossip and refute a death for nearly every member of the domain.
 func (t *Table) SetLost(domain bfroster.Key, lost bool) []uint64 {
-	delete(t.lost, domain)
+	delete(t.lostDomains, domain)
 	if lost {
-		t.lost[domain] = true
+		t.lostDomains[domain] = true
 	}
 	var voided []uint64
 	members := t.InDomain(domain)
@@ -195,15 +199,15 @@
 			row.State = bfroster.Alive
 			voided = append(voided, hash)
 		}
-		// Orders in use keep the unmarked member.
+		// Members are shared with published orders, so replace instead of modifying.
 		members[i] = bfroster.NewMember(row, lost)
 		t.entries[hash] = entry{member: members[i], since: t.entries[hash].since}
-		t.touched[hash] = members[i]
+		t.changed[hash] = members[i]
 	}
 	return voided
 }
 
-// Unreachable lists by key the members held dead or lost.
+// Unreachable returns by key the members that are dead or in an unreachable failure domain.
 func (t *Table) Unreachable() []*bfroster.Member {
 	var list []*bfroster.Member
 	for _, e := range t.entries {
@@ -215,26 +219,26 @@
 	return list
 }
 
-// DeadSince counts the members of a domain that died here after a time.
-func (t *Table) DeadSince(domain bfroster.Key, after time.Time) int {
+// DeadSince counts the members of a failure domain that were marked dead locally after a time.
+func (t *Table) DeadSince(domain bfroster.Key, since time.Time) int {
 	count := 0
 	for _, e := range t.entries {
 		row := e.member.Row()
-		if row.State == bfroster.Dead && e.since.After(after) && row.DomainKey() == domain {
+		if row.State == bfroster.Dead && e.since.After(since) && row.DomainKey() == domain {
 			count++
 		}
 	}
 	return count
 }
 
-// text keeps one copy of a name that thousands of rows share.
-func (t *Table) text(s string) string {
-	const limit = 1 << 13
-	if known, found := t.texts[s]; found {
+// intern returns a shared copy of a string that many rows have.
+func (t *Table) intern(s string) string {
+	const limit = 1 << 13 // strings; bounds memory against hostile rows
+	if known, found := t.interned[s]; found {
 		return known
 	}
-	if len(t.texts) < limit {
-		t.texts[s] = s
+	if len(t.interned) < limit {
+		t.interned[s] = s
 	}
 	return s
 }
--- a/lib/bfview/table_test.go
+++ b/lib/bfview/table_test.go
@@ -13,7 +13,7 @@
 	"bilberryflow.org/lib/bfroster"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-func rowGen() *rapid.Generator[bfroster.Row] {
+func rowGenerator() *rapid.Generator[bfroster.Row] {
 	return rapid.Custom(func(t *rapid.T) bfroster.Row {
 		id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 		return bfroster.Row{
@@ -45,45 +45,43 @@
 	}
 }
 
-// Rows of one fleet reach two nodes in different orders, some twice. Both must
-// hold the same in the end, and that is what a naive reader of all rows at once
-// would keep: the largest row of each member.
+// Guards against views that diverge: rows merged in different orders, some twice,
+// must give the same table, with the largest row of each member.
 func TestMergeIsCommutativeAssociativeIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rows := rapid.SliceOfN(rowGen(), 1, 20).Draw(t, "rows")
-		again := rapid.Permutation(append(slices.Clone(rows), rows[:len(rows)/2]...)).Draw(t, "again")
-		naive := map[string]bfroster.Row{}
+		rows := rapid.SliceOfN(rowGenerator(), 1, 20).Draw(t, "rows")
+		permuted := rapid.Permutation(append(slices.Clone(rows), rows[:len(rows)/2]...)).Draw(t, "again")
+		expected := map[string]bfroster.Row{}
 		for _, row := range rows {
-			if held, found := naive[row.ID]; !found || bfroster.Compare(row, held) > 0 {
-				naive[row.ID] = row
+			if held, found := expected[row.ID]; !found || bfroster.Compare(row, held) > 0 {
+				expected[row.ID] = row
 			}
 		}
 		first, second := NewTable(), NewTable()
 		for _, row := range rows {
 			first.Merge(time.Unix(1, 0), row)
 		}
-		for _, row := range again {
+		for _, row := range permuted {
 			second.Merge(time.Unix(2, 0), row)
 		}
-		for id, want := range naive {
+		for id, want := range expected {
 			a, _ := first.Row(bfroster.HashID(id))
 			b, _ := second.Row(bfroster.HashID(id))
 			if a != want || b != want {
-				t.Fatalf("held %v and %v instead of %v", a, b, want)
+				t.Fatalf("stored %v and %v, want %v", a, b, want)
 			}
 		}
-		if first.total != second.total || first.digests != second.digests {
-			t.Fatalf("equal rows, different digests")
+		if first.digest != second.digest || first.cellDigests != second.cellDigests {
+			t.Fatalf("digests differ for equal rows")
 		}
 	})
 }
 
-// Rows change one by one or by the page, and each order shares what it can with
-// the one before. Whatever the changes, it must be the order that a naive sort
-// of all rows gives, or a caller would be sent to a target that has gone.
-func TestOrderIsTheNaiveSort(t *testing.T) {
+// Guards against stale entries in an incrementally built order, which would route
+// requests to departed targets: it must equal a full sort of all rows.
+func TestOrderMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewTable()
+		table := NewTable()
 		order := bfroster.NewOrder(nil)
 		rows := map[string]bfroster.Row{}
 		for range rapid.IntRange(1, 20).Draw(t, "orders") {
@@ -93,17 +91,17 @@
 				row.State = bfroster.State(rapid.IntRange(0, 3).Draw(t, "state"))
 				row.Sequence = rows[row.ID].Sequence + 1
 				rows[row.ID] = row
-				held.Merge(time.Unix(1, 0), row)
+				table.Merge(time.Unix(1, 0), row)
 			}
-			order = held.NextOrder(order)
-			compareOrders(t, order, rows)
+			order = table.NextOrder(order)
+			checkOrder(t, order, rows)
 		}
 	})
 }
 
-func compareOrders(t *rapid.T, order *bfroster.Order, rows map[string]bfroster.Row) {
+func checkOrder(t *rapid.T, order *bfroster.Order, rows map[string]bfroster.Row) {
 	var present []bfroster.Row
-	alive, grouped := 0, 0
+	alive, inDomainGroups := 0, 0
 	for _, row := range rows {
 		if row.State == bfroster.Alive || row.State == bfroster.Suspect {
 			present = append(present, row)
@@ -120,22 +118,22 @@
 		}
 		for _, g := range order.Targets(row.Service) {
 			if g.Domain() == row.Domain && slices.Contains(g.Members(), order.At(i)) {
-				grouped++
+				inDomainGroups++
 			}
 		}
 	}
-	served, services := 0, 0
+	withService, inServiceGroups := 0, 0
 	for _, row := range present {
 		if row.Service != "" {
-			served++
+			withService++
 		}
 	}
 	for _, service := range []string{"portal-core", "asset-vault"} {
 		for _, g := range order.Targets(service) {
-			services += len(g.Members())
+			inServiceGroups += len(g.Members())
 		}
 	}
-	if order.Len() != len(present) || order.Alive() != alive || grouped != served || services != served {
-		t.Fatalf("%d members, %d alive, %d and %d in groups; want %d, %d, %d", order.Len(), order.Alive(), grouped, services, len(present), alive, served)
+	if order.Len() != len(present) || order.Alive() != alive || inDomainGroups != withService || inServiceGroups != withService {
+		t.Fatalf("%d members, %d alive, %d and %d in groups; want %d, %d, %d", order.Len(), order.Alive(), inDomainGroups, inServiceGroups, len(present), alive, withService)
 	}
 }
