--- a/lib/bfview/digest.go
+++ b/lib/bfview/digest.go
@@ -81,10 +81,10 @@
 }
 
 // InCells returns the rows in the cells, dead ones included, sorted by key.
-func (t *Table) InCells(cells []uint16) []bfroster.Row {
+func (t *Table) InCells(cellIndexes []uint16) []bfroster.Row {
 	var rows []bfroster.Row
 	for hash, e := range t.entries {
-		if slices.Contains(cells, cellIndex(hash)) {
+		if slices.Contains(cellIndexes, cellIndex(hash)) {
 			rows = append(rows, *e.member.Row())
 		}
 	}
--- a/lib/bfview/table.go
+++ b/lib/bfview/table.go
@@ -220,11 +220,11 @@
 }
 
 // DeadSince counts the members of a failure domain that were marked dead locally after a time.
-func (t *Table) DeadSince(domain bfroster.Key, since time.Time) int {
+func (t *Table) DeadSince(domain bfroster.Key, cutoff time.Time) int {
 	count := 0
 	for _, e := range t.entries {
 		row := e.member.Row()
-		if row.State == bfroster.Dead && e.since.After(since) && row.DomainKey() == domain {
+		if row.State == bfroster.Dead && e.since.After(cutoff) && row.DomainKey() == domain {
 			count++
 		}
 	}
@@ -233,7 +233,7 @@
 
 // intern returns a shared copy of a string that many rows have.
 func (t *Table) intern(s string) string {
-	const limit = 1 << 13 // strings; bounds memory against hostile rows
+	const limit = 1 << 13 // strings; bounds the memory of unused ones
 	if known, found := t.interned[s]; found {
 		return known
 	}
