--- a/lib/bfrecord/bfclaim/claim.go
+++ b/lib/bfrecord/bfclaim/claim.go
@@ -8,52 +8,53 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Spec is what a request wants to claim.
+// Spec describes the claim of a request.
 type Spec struct {
 	Key     Key
 	Content bfrecord.Digest
-	// Home is the claiming node; it holds a running record of ID and an admission slot.
+	// Home is the claiming node; it has a running record of ID and an admission slot.
 	Home bfrecord.Home
 	ID   bfrecord.ID
-	// Deadline is after when a grant is of no use.
+	// Deadline is the time from which the request must not be started.
 	Deadline time.Time
-	// Retention is how long the outcome is kept.
+	// Retention is how long the outcome is kept after Deadline.
 	Retention time.Duration
 }
 
 const (
-	// maxRounds bounds the transactions and reads of one claim: a caller waits for them.
-	maxRounds = 6
-	// DefaultRetryAfter is told to callers where the table gives no time.
+	// maxSteps bounds the actions of one claim, since its caller waits for them.
+	maxSteps = 6
+	// DefaultRetryAfter is the retry delay reported to callers if the table gives none.
 	DefaultRetryAfter = time.Second
 )
 
-// Claim is the step machine that claims a key for one request.
+// Claim is the state machine that claims a key for one request.
 //
-// It writes first and reads only where that was not the end of it. All its
-// writes of one row version have the same content, so it may repeat one whose
-// answer was lost: whichever lands, the row names this request.
+// It writes optimistically and reads only if the write was inconclusive. All its
+// writes over one revision have the same content, so a write with an unknown
+// outcome may be retried: whichever takes effect, the row holds this request.
 type Claim struct {
-	spec   Spec
-	rounds int
-	// outstanding says that a write may yet take effect after the claim ended.
-	outstanding bool
-	// asked is the revision whose home has been asked, and final is what to end with if the row still has it.
-	asked uint64
-	final Result
-	other Row
-	done  *Done
+	spec  Spec
+	steps int
+	// mayHaveWritten reports that a write took effect or may still take effect.
+	mayHaveWritten bool
+	// queriedRevision is the row revision whose home was queried; if a second read
+	// finds it unchanged, the claim ends with fallback. holder is the row at that revision.
+	queriedRevision uint64
+	fallback        Result
+	holder          Row
+	done            *Done
 }
 
-// NewClaim begins a claim.
+// NewClaim returns a claim in its initial state; its first event is Start.
 func NewClaim(spec Spec) *Claim { return &Claim{spec: spec} }
 
-// Next takes the end of the last action and returns the next one; once Done, it stays so.
+// Next takes the result of the last action and returns the next action; after Done it returns Done again.
 func (c *Claim) Next(now time.Time, event Event) Action {
 	if c.done != nil {
 		return *c.done
 	}
-	c.rounds++
+	c.steps++
 	switch e := event.(type) {
 	case Start, Elapsed:
 		return c.write(now, 0)
@@ -67,7 +68,7 @@
 	case HomeAnswered:
 		return c.homeAnswered(now, e.Resolution)
 	case HomeSilent:
-		return c.end(InProgress{home: c.other.Home, id: c.other.ID})
+		return c.end(InProgress{home: c.holder.Home, id: c.holder.ID})
 	}
 	return c.refuse(DefaultRetryAfter)
 }
@@ -79,9 +80,9 @@
 	return DefaultRetryAfter
 }
 
-// write claims the row over the revision.
+// write claims the row, conditional on its revision.
 func (c *Claim) write(now time.Time, revision uint64) Action {
-	if c.rounds > maxRounds || !now.Before(c.spec.Deadline) {
+	if c.steps > maxSteps || !now.Before(c.spec.Deadline) {
 		return c.refuse(DefaultRetryAfter)
 	}
 	row := Row{
@@ -103,25 +104,25 @@
 	case commitConflicted:
 		return c.decide(now, row)
 	case commitUnknown:
-		// Whether the write took effect, and when it still may, only the row
-		// tells; to go on without it could run the request under no claim.
-		c.outstanding = true
+		// Only the row shows whether the write took effect; proceeding without
+		// reading it could run the request without a claim.
+		c.mayHaveWritten = true
 		return Read{key: c.spec.Key.String()}
-	case commitWithoutEffect:
+	case commitNotApplied:
 	}
 	return c.refuse(max(wait, DefaultRetryAfter))
 }
 
-// granted: a holder that was paused past its deadline gives the key back instead of running late.
+// granted ends with Granted, or releases the key if the holder was paused past its deadline.
 func (c *Claim) granted(now time.Time) Action {
-	c.outstanding = true
+	c.mayHaveWritten = true
 	if !now.Before(c.spec.Deadline) {
 		return c.refuse(DefaultRetryAfter)
 	}
 	return c.end(Granted{})
 }
 
-// decide says what the row as it is now means for this claim.
+// decide returns the next action for the current row.
 func (c *Claim) decide(now time.Time, row bfstore.Row) Action {
 	if row.Revision == 0 {
 		return c.write(now, 0)
@@ -131,9 +132,9 @@
 		return c.refuse(DefaultRetryAfter)
 	}
 	if held.ID == c.spec.ID && held.Home == c.spec.Home {
-		return c.own(now, held)
+		return c.resumeOwn(now, held)
 	}
-	if held.free(now) {
+	if held.claimable(now) {
 		return c.write(now, row.Revision)
 	}
 	if held.Content != c.spec.Content {
@@ -142,49 +143,49 @@
 	if held.State == StateDone {
 		return c.end(RecordedOutcome{id: held.ID, answer: held.Answer.Answer(), object: held.Object})
 	}
-	return c.running(held, row.Revision)
+	return c.queryHolder(held, row.Revision)
 }
 
-// own: the row is this claim's own write, whose answer was lost or crossed a repetition.
-func (c *Claim) own(now time.Time, held Row) Action {
+// resumeOwn handles a row written by this claim, after a lost response or a retried write.
+func (c *Claim) resumeOwn(now time.Time, held Row) Action {
 	if held.State == StateRunning {
 		return c.granted(now)
 	}
-	// Another machine settled this ID already, so this one must not run it.
+	// A Settlement has already written this ID's final state, so it must not run.
 	return c.end(HomeGone{home: held.Home, id: held.ID})
 }
 
-func (c *Claim) running(held Row, revision uint64) Action {
-	if c.final != nil && c.asked == revision {
-		return c.end(c.final)
+func (c *Claim) queryHolder(held Row, revision uint64) Action {
+	if c.fallback != nil && c.queriedRevision == revision {
+		return c.end(c.fallback)
 	}
-	c.asked = revision
-	c.other = held
+	c.queriedRevision = revision
+	c.holder = held
 	return AskHome{request: bfrecord.ResolveRequest{ID: held.ID, Home: held.Home}}
 }
 
-// homeAnswered acts on what the row's home says of its request.
+// homeAnswered returns the next action for the resolution by the row's home.
 func (c *Claim) homeAnswered(now time.Time, resolution bfrecord.Resolution) Action {
 	switch r := resolution.(type) {
 	case bfrecord.NeverSeen:
-		// The home has barred that request, so its claim can't run any more,
-		// even if its write landed late or its holder wakes. The revision keeps
-		// two that heard the same from both taking over.
-		return c.write(now, c.asked)
+		// The home has barred that request, so it can't run even if its write
+		// took effect late or its holder resumes. The revision condition lets
+		// only one of several concurrent claims take the row over.
+		return c.write(now, c.queriedRevision)
 	case bfrecord.Running:
-		return c.end(InProgress{home: c.other.Home, id: c.other.ID})
+		return c.end(InProgress{home: c.holder.Home, id: c.holder.ID})
 	case bfrecord.Finished:
-		return c.end(RecordedOutcome{id: c.other.ID, answer: r.Answer()})
+		return c.end(RecordedOutcome{id: c.holder.ID, answer: r.Answer()})
 	case bfrecord.Forgotten, bfrecord.HomeLost:
-		// The home may have recorded the outcome since the row was read.
-		c.final = HomeGone{home: c.other.Home, id: c.other.ID}
+		// The home may have recorded the outcome since the row was read, so read it again.
+		c.fallback = HomeGone{home: c.holder.Home, id: c.holder.ID}
 		return Read{key: c.spec.Key.String()}
 	}
-	return c.end(InProgress{home: c.other.Home, id: c.other.ID})
+	return c.end(InProgress{home: c.holder.Home, id: c.holder.ID})
 }
 
 func (c *Claim) refuse(wait time.Duration) Action {
-	return c.end(Refused{retryAfter: wait, release: c.outstanding})
+	return c.end(Refused{retryAfter: wait, release: c.mayHaveWritten})
 }
 
 func (c *Claim) end(result Result) Action {
@@ -192,7 +193,7 @@
 	return *c.done
 }
 
-// String names the claim in logs.
+// String formats the claim for logs.
 func (c *Claim) String() string {
 	return fmt.Sprintf("claim of %s by %s", c.spec.Key, c.spec.ID)
 }
--- a/lib/bfrecord/bfclaim/claim_rapid_test.go
+++ b/lib/bfrecord/bfclaim/claim_rapid_test.go
@@ -11,27 +11,27 @@
 	"bilberryflow.org/lib/bfrecord"
 )
 
-// task is one request at one home: its claim, its run, its settlement.
+// task is one request at one home, with its claim, run and settlement.
 type task struct {
 	at      *node
 	spec    Spec
-	machine machine
-	// next is what the machine asked for; nil once it ended or waits in a group.
+	machine stateMachine
+	// next is the state machine's pending action; nil once it ended or while its commit is in a group.
 	next    Action
 	granted bool
-	// aborted and ran are the ledger's: what was true of this request ID.
+	// aborted and ran are the actual history of this request ID.
 	aborted, ran bool
 }
 
 // fleet is several nodes with interleaved tasks over a faulty table. A task that
-// is not picked for long is a paused holder; one of a replaced node goes on as
-// a process that was believed dead.
+// is not picked for a while models a paused holder; a task of a replaced node
+// models a process that still runs after it was assumed dead.
 type fleet struct {
 	t      *rapid.T
 	now    time.Time
 	table  *faultyTable
 	minter *bfrecord.Minter
-	// nodes are the present incarnations; processes are all that may still act.
+	// nodes are the current incarnations; processes also include replaced ones that may still act.
 	nodes     []*node
 	processes []*node
 	groups    map[*node]*Group[*task]
@@ -62,7 +62,7 @@
 	f.groups[n] = NewGroup[*task](time.Hour, 3)
 }
 
-func (f *fleet) pass(t *rapid.T) {
+func (f *fleet) advanceTime(t *rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.SampledFrom([]int{1, 1, 100, 4000, 11000}).Draw(t, "ms")) * time.Millisecond)
 }
 
@@ -75,12 +75,12 @@
 	f.begin(job, claim)
 }
 
-func (f *fleet) begin(job *task, m machine) {
+func (f *fleet) begin(job *task, m stateMachine) {
 	job.machine = m
 	f.take(job, m.Next(f.now, Start{}))
 }
 
-// take holds the task's next action, or acts on its machine's end.
+// take stores the task's next action, or processes the final result.
 func (f *fleet) take(job *task, action Action) {
 	job.next = action
 	done, ended := action.(Done)
@@ -108,7 +108,7 @@
 func (f *fleet) checkRecorded(job *task, result RecordedOutcome) {
 	body := string(result.Answer().(bfrecord.WholeAnswer).Body())
 	if want := f.answer[job.spec.Key.Key]; body != want {
-		f.t.Fatalf("resend of %s got %q, the run gave %q", job.spec.Key.Key, body, want)
+		f.t.Fatalf("resend of %s received %q, the run returned %q", job.spec.Key.Key, body, want)
 	}
 }
 
@@ -132,7 +132,7 @@
 	return rapid.SampledFrom(found).Draw(t, "task")
 }
 
-// step carries out one action of one task; a batch leaves at once, or waits for others.
+// step executes one action of one task; a commit is sent at once or stays in its group.
 func (f *fleet) step(t *rapid.T) {
 	job := f.pick(t, func(job *task) bool { return job.next != nil })
 	action := job.next
@@ -153,11 +153,11 @@
 }
 
 func (f *fleet) drawFault(t *rapid.T) fault {
-	faults := []fault{faultNone, faultNone, faultNone, faultNone, faultAway, faultAnswerLost, faultWriteLost, faultLandsLate}
+	faults := []fault{faultNone, faultNone, faultNone, faultNone, faultUnavailable, faultAnswerLost, faultWriteLost, faultLandsLate}
 	return rapid.SampledFrom(faults).Draw(t, "fault")
 }
 
-// ask reaches the instance's newest incarnation, or nobody.
+// ask queries the instance's newest incarnation, which may be unreachable.
 func (f *fleet) ask(t *rapid.T, request bfrecord.ResolveRequest) Event {
 	if rapid.IntRange(0, 4).Draw(t, "silent") == 0 {
 		return HomeSilent{}
@@ -183,7 +183,7 @@
 	f.sendBatch(t, rapid.SampledFrom(waiting).Draw(t, "process"))
 }
 
-// sendBatch sends one process's batch, and what is left of it after conflicts.
+// sendBatch commits one process's batch and the retries after conflicts.
 func (f *fleet) sendBatch(t *rapid.T, n *node) {
 	first, ok := f.groups[n].Take(f.now.Add(2 * time.Hour))
 	if !ok {
@@ -203,10 +203,10 @@
 	if len(f.table.late) == 0 {
 		t.Skip("nothing late")
 	}
-	f.table.land()
+	f.table.applyLate()
 }
 
-// run hands a granted request to the target and records the outcome.
+// run runs a granted request at the target and records the outcome, or cancels and releases it.
 func (f *fleet) run(t *rapid.T) {
 	job := f.pick(t, func(job *task) bool { return job.granted })
 	job.granted = false
@@ -226,7 +226,7 @@
 	f.begin(job, Record(job.spec, answer, ""))
 }
 
-// replace puts a new incarnation in a node's place; the old process's tasks end, or go on unseen.
+// replace starts a new incarnation of a node; the old process's tasks end, or continue.
 func (f *fleet) replace(t *rapid.T) {
 	i := rapid.IntRange(0, 2).Draw(t, "node")
 	old := f.nodes[i]
@@ -246,22 +246,20 @@
 	}
 	for _, job := range f.tasks {
 		if job.aborted && job.ran {
-			t.Fatalf("%s was refused and ran", job.spec.ID)
+			t.Fatalf("%s was refused but ran", job.spec.ID)
 		}
 	}
 }
 
-// Three nodes claim two keys over a table whose answers get lost, whose writes
-// land late and which goes away, in groups that conflict; homes are silent, die
-// or are replaced while their old process goes on. Whatever the order, each key
-// runs at most once, and a recorded outcome is the one run's.
+// Guards against a second run of a key, or a wrong recorded outcome, under lost, late
+// and failed table writes, batch conflicts, unreachable homes and replaced nodes.
 func TestClaimsInterleaved(t *testing.T) {
 	ran := 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"":     f.check,
-			"pass": f.pass,
+			"pass": f.advanceTime,
 			"send": f.send, "send2": f.send,
 			"step": f.step, "step2": f.step, "step3": f.step, "step4": f.step, "step5": f.step,
 			"flush": f.flush, "land": f.land,
@@ -270,7 +268,7 @@
 		})
 		ran += len(f.runs)
 	})
-	// A table that is down throughout would pass too.
+	// Without this check, a table that always fails would pass.
 	if ran < 1000 {
 		t.Errorf("only %d keys ran", ran)
 	}
--- a/lib/bfrecord/bfclaim/doc.go
+++ b/lib/bfrecord/bfclaim/doc.go
@@ -1,11 +1,13 @@
-// Package bfclaim decides who may run a request that carries its caller's
-// idempotency key, by a row of the platform's table.
+// Package bfclaim makes requests with a caller's idempotency key run at most
+// once, by conditional writes to a row of the platform's table.
 //
 // The node beside the target claims the key before it runs the request and
-// records the outcome after. Claim, Settlement and Group are pure: they are fed
-// events and return the next action, and the caller does the input and output.
+// records the outcome afterwards. Claim, Settlement and Group do no I/O: Claim
+// and Settlement are state machines that take events and return the next action
+// for the caller to perform.
 //
-// A running row is never taken over because of its age: a paused holder could
-// wake and run. It is taken over only once its home has said that the request
-// never ran and is barred, and then by a transaction on the revision read.
+// A running row never expires: its holder may only be paused, and could resume
+// and run the request. Another request takes the row over only after the row's
+// home has confirmed that its request never ran and is barred, by a transaction
+// conditional on the revision read.
 package bfclaim
--- a/lib/bfrecord/bfclaim/fake_test.go
+++ b/lib/bfrecord/bfclaim/fake_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	values := map[string]string{
@@ -29,18 +29,18 @@
 
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// fault is what goes wrong with one call of the table.
+// fault is the failure of one table call.
 type fault string
 
 const (
-	faultNone       fault = "none"
-	faultAway       fault = "away"        // certainly without effect
-	faultAnswerLost fault = "answer lost" // took effect
-	faultWriteLost  fault = "write lost"  // took none, and the caller can't know
-	faultLandsLate  fault = "lands late"  // takes effect after the caller gave up on it
+	faultNone        fault = "none"
+	faultUnavailable fault = "away"        // not applied, and reported so
+	faultAnswerLost  fault = "answer lost" // applied, but the response was lost
+	faultWriteLost   fault = "write lost"  // not applied, but reported as unknown
+	faultLandsLate   fault = "lands late"  // reported as unknown, applied later
 )
 
-// faultyTable is the table with faults that a test chooses call by call.
+// faultyTable is an in-memory table with a fault injected per call.
 type faultyTable struct {
 	*bfstore.Memory
 	late []bfstore.Transaction
@@ -48,7 +48,7 @@
 
 func (t *faultyTable) commit(tx bfstore.Transaction, f fault) error {
 	switch f {
-	case faultAway:
+	case faultUnavailable:
 		return &bfstore.UnavailableError{Reason: "away", RetryAfter: 3 * time.Second}
 	case faultWriteLost:
 		return &bfstore.UnknownError{Reason: "lost"}
@@ -74,15 +74,15 @@
 	return RowRead{Row: rows[0]}
 }
 
-// land makes the late writes take effect, if their conditions still hold.
-func (t *faultyTable) land() {
+// applyLate applies the late writes whose conditions still hold.
+func (t *faultyTable) applyLate() {
 	for _, tx := range t.late {
 		_ = t.Commit(context.Background(), tx)
 	}
 	t.late = nil
 }
 
-// node is one home: an instance's present incarnation and its book.
+// node is one home: an incarnation of an instance and its Book.
 type node struct {
 	home bfrecord.Home
 	book *bfrecord.Book
@@ -93,7 +93,7 @@
 	return &node{home: home, book: bfrecord.NewBook(home, bfrecord.DefaultLimits())}
 }
 
-// arrive begins a request with the key at the node; the claim is nil if the book refuses it.
+// arrive begins a request with the key at the node; the claim is nil if the Book refuses it.
 func (n *node) arrive(now time.Time, id bfrecord.ID, key string, content byte) (Spec, *Claim) {
 	spec := Spec{
 		Key: Key{Tenant: "derwent", Route: "nominations", Key: key}, Content: bfrecord.Digest{content},
@@ -106,7 +106,7 @@
 	return spec, NewClaim(spec)
 }
 
-// machine is Claim or Settlement.
-type machine interface {
+// stateMachine is implemented by Claim and Settlement.
+type stateMachine interface {
 	Next(now time.Time, event Event) Action
 }
--- a/lib/bfrecord/bfclaim/group_test.go
+++ b/lib/bfrecord/bfclaim/group_test.go
@@ -18,9 +18,7 @@
 
 func newMemory() *bfstore.Memory { return bfstore.NewMemory() }
 
-// Eight claims share a transaction; three of their keys were claimed elsewhere
-// meanwhile. Those three must hear of it, and the other five callers must not
-// be refused for them.
+// Guards against conflicts on some rows of a batch failing its other commits.
 func TestGroupConflicts(t *testing.T) {
 	is := is.New(t)
 	table := newMemory()
@@ -33,7 +31,7 @@
 			is.NoErr(table.Commit(context.Background(), other))
 		}
 	}
-	// A resend of the first key waits for another transaction.
+	// A resend of the first key must go into another transaction.
 	group.Add(start, 8, firstCommit(0))
 	_, ok := group.Take(start.Add(4 * time.Millisecond))
 	is.True(!ok)
@@ -46,7 +44,7 @@
 		is.Equal(ends[i] == commitConflicted, i%3 == 0)
 		is.Equal(ends[i] == commitApplied, i%3 != 0)
 	}
-	// Two conflicts in common, then the six that are left one by one.
+	// Two batch transactions end in conflicts; the remaining six commits go one by one.
 	is.Equal(transactions, 8)
 }
 
@@ -57,8 +55,8 @@
 	return claim.Next(start, Start{}).(Commit)
 }
 
-func runBatches(table *bfstore.Memory, first *Batch[int]) (ends map[int]commitEnd, transactions int) {
-	ends = map[int]commitEnd{}
+func runBatches(table *bfstore.Memory, first *Batch[int]) (ends map[int]commitStatus, transactions int) {
+	ends = map[int]commitStatus{}
 	for batches := []*Batch[int]{first}; len(batches) > 0; batches = batches[1:] {
 		transactions++
 		ended, again := batches[0].End(table.Commit(context.Background(), batches[0].Transaction()))
@@ -70,11 +68,9 @@
 	return ends, transactions
 }
 
-// What grouping saves depends on how many nodes the claims are spread over. The
-// table counts transactions a second for claim and record, by Poisson arrivals
-// of 4,000 commits through the real Group, at 1,000 keyed requests a second (0.1 %
-// of the letter's million calls) and at the brief's own sizes.
-func TestGroupingFigures(t *testing.T) {
+// Guards against changes of the transaction rates that batching achieves, for claims
+// and records, by request rate, number of nodes and batching windows (Poisson arrivals).
+func TestGroupingTransactionRates(t *testing.T) {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%-34s %9s %9s %9s %9s %9s\n", "transactions a second", "none", "5ms/5ms", "20ms/20ms", "20ms/1s", "20ms/10s")
 	rows := []struct {
@@ -112,7 +108,7 @@
 	}
 }
 
-// transactionRate is how many batches a second one node's group sends for rate commits a second.
+// transactionRate returns the batches per second of one node's group at rate commits per second.
 func transactionRate(rate float64, window time.Duration) float64 {
 	const commits, maxBatch = 4000, 64
 	random := rand.New(rand.NewPCG(1, 2))
--- a/lib/bfrecord/bfclaim/settlement.go
+++ b/lib/bfrecord/bfclaim/settlement.go
@@ -7,8 +7,8 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Settlement is the step machine that writes the end of a claim: its outcome or
-// its release. Many may share a table call, through a Group.
+// Settlement is the state machine that writes the final state of a claim: its
+// outcome or its release. A Group batches the commits of several into one transaction.
 type Settlement struct {
 	key      string
 	final    Row
@@ -18,12 +18,13 @@
 }
 
 const (
-	// firstWait doubles up to maxWait while the table is away.
-	firstWait = 200 * time.Millisecond
-	maxWait   = 10 * time.Second
+	// minBackoff doubles up to maxBackoff while the table is unavailable.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 10 * time.Second
 )
 
-// Record writes the outcome of a request that ran; object names its body in the object store, if it is there.
+// Record returns a Settlement that writes the outcome of a request that ran; object
+// is the name of its body in the object store, or empty if the row holds the body.
 func Record(spec Spec, answer bfrecord.Answer, object string) *Settlement {
 	message := bfrecord.NewAnswerMessage(answer)
 	if object != "" {
@@ -32,11 +33,12 @@
 	return newSettlement(spec, Row{State: StateDone, Answer: &message, Object: object})
 }
 
-// Release gives back the key of a request that was certainly not handed to its target.
+// Release returns a Settlement that frees the key of a request that was not
+// forwarded to its target.
 //
-// The row is not removed: a write of the claim whose answer was lost may land
-// later, and would find the key free once more and claim it for a request that
-// is over. A released row has another revision than any such write expects.
+// The row is not removed: a claim's write with an unknown outcome may still take
+// effect, and without a row it would claim the key for a request that has ended.
+// A released row has a revision that no such write expects.
 func Release(spec Spec) *Settlement {
 	return newSettlement(spec, Row{State: StateReleased})
 }
@@ -45,12 +47,12 @@
 	final.Content, final.Home, final.ID = spec.Content, spec.Home, spec.ID
 	final.Expires = spec.Deadline.Add(spec.Retention).UnixMilli()
 	return &Settlement{
-		key: spec.Key.String(), final: final, wait: firstWait,
+		key: spec.Key.String(), final: final, wait: minBackoff,
 		deadline: spec.Deadline.Add(spec.Retention),
 	}
 }
 
-// Next takes the end of the last action and returns the next one; once Done, it stays so.
+// Next takes the result of the last action and returns the next action; after Done it returns Done again.
 func (s *Settlement) Next(now time.Time, event Event) Action {
 	if s.done != nil {
 		return *s.done
@@ -76,7 +78,7 @@
 func (s *Settlement) decide(row bfstore.Row) Action {
 	if row.Revision == 0 {
 		if s.final.State != StateReleased {
-			// Someone removed a running row by hand; nothing of this claim is left to settle.
+			// The running row was removed manually, so there is no claim to settle.
 			return s.end(false)
 		}
 		return s.write(0)
@@ -108,14 +110,14 @@
 		return s.decide(row)
 	case commitUnknown:
 		return Read{key: s.key}
-	case commitWithoutEffect:
+	case commitNotApplied:
 	}
 	return s.backOff()
 }
 
 func (s *Settlement) backOff() Action {
 	wait := s.wait
-	s.wait = min(2*s.wait, maxWait)
+	s.wait = min(2*s.wait, maxBackoff)
 	return Wait{wait: wait}
 }
 
--- a/lib/bfrecord/bfclaim/step.go
+++ b/lib/bfrecord/bfclaim/step.go
@@ -8,29 +8,29 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Event is the sealed set of what a step machine is told: Start, RowRead,
-// CommitEnded, HomeAnswered, HomeSilent and Elapsed.
+// Event is an input of a state machine. It is a sealed interface: Start, RowRead,
+// CommitEnded, HomeAnswered, HomeSilent or Elapsed.
 type Event interface{ event() }
 
-// Start is the first event.
+// Start is the first event of each state machine.
 type Start struct{}
 
-// RowRead is the end of a Read.
+// RowRead is the result of a Read.
 type RowRead struct {
 	Row bfstore.Row
 	Err error
 }
 
-// CommitEnded is the end of a Commit; Err is what the table returned.
+// CommitEnded is the result of a Commit; Err is the table's error or nil.
 type CommitEnded struct{ Err error }
 
-// HomeAnswered is a home's answer to AskHome.
+// HomeAnswered is the home's response to AskHome.
 type HomeAnswered struct{ Resolution bfrecord.Resolution }
 
-// HomeSilent says that a home can't be reached.
+// HomeSilent reports that the home of an AskHome is unreachable.
 type HomeSilent struct{}
 
-// Elapsed is the end of a Wait.
+// Elapsed reports that the duration of a Wait has passed.
 type Elapsed struct{}
 
 func (Start) event()        {}
@@ -40,44 +40,44 @@
 func (HomeSilent) event()   {}
 func (Elapsed) event()      {}
 
-// Action is the sealed set of what a step machine asks for: Read, Commit,
-// AskHome, Wait and Done.
+// Action is an output of a state machine. It is a sealed interface: Read, Commit,
+// AskHome, Wait or Done.
 type Action interface{ action() }
 
-// Read asks for a row.
+// Read requests a row of the table.
 type Read struct{ key string }
 
-// Key is the row's key.
+// Key returns the row's key.
 func (r Read) Key() string { return r.key }
 
-// Commit asks for a transaction on one row.
+// Commit requests a transaction on one row.
 type Commit struct {
 	key string
 	tx  bfstore.Transaction
 }
 
-// Key is the row's key.
+// Key returns the row's key.
 func (c Commit) Key() string { return c.key }
 
-// Transaction is what to commit.
+// Transaction returns the transaction to commit.
 func (c Commit) Transaction() bfstore.Transaction { return c.tx }
 
-// AskHome asks a home to resolve a request.
+// AskHome requests the resolution of a request by its home.
 type AskHome struct{ request bfrecord.ResolveRequest }
 
-// Request is what to ask.
+// Request returns the request to send to the home.
 func (a AskHome) Request() bfrecord.ResolveRequest { return a.request }
 
-// Wait asks for Elapsed after a time.
+// Wait requests an Elapsed event after a duration.
 type Wait struct{ wait time.Duration }
 
-// Duration is how long to wait.
+// Duration returns how long to wait.
 func (w Wait) Duration() time.Duration { return w.wait }
 
-// Done ends the machine.
+// Done is the final action of a state machine.
 type Done struct{ result Result }
 
-// Result is what it came to.
+// Result returns the final result.
 func (d Done) Result() Result { return d.result }
 
 func (Read) action()    {}
@@ -86,73 +86,74 @@
 func (Wait) action()    {}
 func (Done) action()    {}
 
-// Result is the sealed set of what a claim comes to: Granted, RecordedOutcome,
-// InProgress, ContentMismatch, Refused and HomeGone; and Settled of a Settlement.
+// Result is the final result of a state machine. It is a sealed interface: Granted,
+// RecordedOutcome, InProgress, ContentMismatch, Refused or HomeGone for a Claim,
+// and Settled for a Settlement.
 type Result interface{ result() }
 
-// Granted says that the key is this request's: it may be handed to the target now.
+// Granted means that this request holds the key and may be forwarded to the target.
 type Granted struct{}
 
-// RecordedOutcome gives the outcome of the key's one run.
+// RecordedOutcome is the outcome of the key's only run.
 type RecordedOutcome struct {
 	id     bfrecord.ID
 	answer bfrecord.Answer
 	object string
 }
 
-// ID is the request that ran.
+// ID returns the request that ran.
 func (r RecordedOutcome) ID() bfrecord.ID { return r.id }
 
-// Answer is the outcome.
+// Answer returns the outcome.
 func (r RecordedOutcome) Answer() bfrecord.Answer { return r.answer }
 
-// Object is the name in the object store of the answer's body; empty if the answer has it.
+// Object returns the object store name of the answer's body, or "" if the answer holds its body.
 func (r RecordedOutcome) Object() string { return r.object }
 
-// InProgress says that another request of the key may be running at its home.
+// InProgress means that another request with the key may be running at its home.
 type InProgress struct {
 	home bfrecord.Home
 	id   bfrecord.ID
 }
 
-// Home is who may be running it.
+// Home returns the incarnation that may be running it.
 func (p InProgress) Home() bfrecord.Home { return p.home }
 
-// ID is the request that may be running.
+// ID returns the request that may be running.
 func (p InProgress) ID() bfrecord.ID { return p.id }
 
-// ContentMismatch says that the key was claimed for other content.
+// ContentMismatch means that the key was claimed for other content.
 type ContentMismatch struct{}
 
-// Refused says that this request must not run: the table did not let the key be claimed.
+// Refused means that this request must not run, since its claim could not be established.
 type Refused struct {
 	retryAfter time.Duration
 	release    bool
 }
 
-// RetryAfter is how long to wait before a new sending.
+// RetryAfter returns the suggested delay before a retry.
 func (r Refused) RetryAfter() time.Duration { return r.retryAfter }
 
-// NeedsRelease says that a write of the claim did or may yet take effect, so a
-// Settlement with Release must follow.
+// NeedsRelease reports whether a write of the claim took effect or may still take
+// effect, so that the caller must run the Settlement that Release returns.
 func (r Refused) NeedsRelease() bool { return r.release }
 
-// HomeGone says that the key's home can't say any more whether it ran: it never runs again.
+// HomeGone means that the key's home no longer has a record of whether its request ran; it is not run again.
 type HomeGone struct {
 	home bfrecord.Home
 	id   bfrecord.ID
 }
 
-// Home is who claimed the key.
+// Home returns the incarnation that claimed the key.
 func (h HomeGone) Home() bfrecord.Home { return h.home }
 
-// ID is the request that may have run.
+// ID returns the request that may have run.
 func (h HomeGone) ID() bfrecord.ID { return h.id }
 
-// Settled says that a Settlement ended; written tells whether its row is the table's.
+// Settled is the final result of a Settlement.
 type Settled struct{ written bool }
 
-// Written reports whether the row was written.
+// Written reports whether the table holds the settlement's final state.
 func (s Settled) Written() bool { return s.written }
 
 func (Granted) result()         {}
@@ -163,26 +164,26 @@
 func (HomeGone) result()        {}
 func (Settled) result()         {}
 
-// commitEnd is what the end of a commit says about the row.
-type commitEnd uint8
+// commitStatus is the effect of a commit on the row.
+type commitStatus uint8
 
 const (
-	commitApplied commitEnd = iota
+	commitApplied commitStatus = iota
 	commitConflicted
-	commitWithoutEffect
+	commitNotApplied
 	commitUnknown
 )
 
-// classify takes every error that it does not know as a write that may yet land.
-func classify(err error) (end commitEnd, row bfstore.Row, retryAfter time.Duration) {
+// classify treats every unrecognized error as a write that may still take effect.
+func classify(err error) (status commitStatus, row bfstore.Row, retryAfter time.Duration) {
 	if err == nil {
 		return commitApplied, bfstore.Row{}, 0
 	}
 	if conflict, ok := errors.AsType[*bfstore.ConflictError](err); ok {
 		return commitConflicted, conflict.Row, 0
 	}
-	if away, ok := errors.AsType[*bfstore.UnavailableError](err); ok {
-		return commitWithoutEffect, bfstore.Row{}, away.RetryAfter
+	if unavailable, ok := errors.AsType[*bfstore.UnavailableError](err); ok {
+		return commitNotApplied, bfstore.Row{}, unavailable.RetryAfter
 	}
 	return commitUnknown, bfstore.Row{}, 0
 }
