--- a/lib/bfrecord/answer.go
+++ b/lib/bfrecord/answer.go
@@ -1,35 +1,35 @@
 package bfrecord
 
-// Answer is the sealed set of ends that a request handed to its target can
-// have: WholeAnswer, DroppedAnswer and LostAnswer.
+// Answer is the result of a request that was forwarded to its target. It is a
+// sealed interface: WholeAnswer, DroppedAnswer or LostAnswer.
 type Answer interface {
-	// size is what the answer takes in a book, in bytes.
+	// size is the answer's approximate memory in a Book, in bytes.
 	size() int
 }
 
-// WholeAnswer is the target's answer, complete.
+// WholeAnswer is the target's complete answer.
 type WholeAnswer struct {
 	status int
 	header map[string][]string
 	body   []byte
 }
 
-// NewWholeAnswer makes an answer; header and body must not be changed afterwards.
+// NewWholeAnswer returns a complete answer; the caller must not modify header or body afterwards.
 func NewWholeAnswer(status int, header map[string][]string, body []byte) WholeAnswer {
 	return WholeAnswer{status: status, header: header, body: body}
 }
 
-// Status is the HTTP status.
+// Status returns the HTTP status.
 func (a WholeAnswer) Status() int { return a.status }
 
-// Header is the HTTP header.
+// Header returns the HTTP header.
 func (a WholeAnswer) Header() map[string][]string { return a.header }
 
-// Body is the whole body.
+// Body returns the response body.
 func (a WholeAnswer) Body() []byte { return a.body }
 
 func (a WholeAnswer) size() int {
-	const perField = 48
+	const perField = 48 // bytes of map and slice overhead
 	n := len(a.body)
 	for name, values := range a.header {
 		n += perField + len(name)
@@ -40,24 +40,24 @@
 	return n
 }
 
-// DroppedAnswer says that the request ran to its end and its answer was too large or too old to keep.
+// DroppedAnswer is the answer of a completed request whose header and body were too large or too old to keep.
 type DroppedAnswer struct{ status int }
 
-// NewDroppedAnswer makes an answer of which only the status is left.
+// NewDroppedAnswer returns an answer of which only the status was kept.
 func NewDroppedAnswer(status int) DroppedAnswer { return DroppedAnswer{status: status} }
 
-// Status is the HTTP status.
+// Status returns the HTTP status.
 func (a DroppedAnswer) Status() int { return a.status }
 
 func (a DroppedAnswer) size() int { return 0 }
 
-// LostAnswer says that the request was handed to its target and what came of it can't be known.
+// LostAnswer is the result of a request that was forwarded to its target and whose outcome is unknown.
 type LostAnswer struct{ reason string }
 
-// NewLostAnswer makes the answer of a target that was lost in the middle.
+// NewLostAnswer returns the result of a request whose target or connection failed before it answered.
 func NewLostAnswer(reason string) LostAnswer { return LostAnswer{reason: reason} }
 
-// Reason is why it was lost, for logs.
+// Reason returns why the answer was lost, for logs.
 func (a LostAnswer) Reason() string { return a.reason }
 
 func (a LostAnswer) size() int { return len(a.reason) }
--- a/lib/bfrecord/attempt.go
+++ b/lib/bfrecord/attempt.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// KeyKind is what kind of idempotency key a request has.
+// KeyKind is the kind of idempotency key of a request.
 type KeyKind uint8
 
-// The kinds of keys.
+// The kinds of idempotency keys.
 const (
-	// KeyNone is a request of which there is one sending.
+	// KeyNone marks a request without a key; the caller sends it once.
 	KeyNone KeyKind = iota
-	// KeyCaller is a caller's own key, claimed in the table.
+	// KeyCaller marks a key chosen by the caller, claimed in the platform's table.
 	KeyCaller
-	// KeyMinted is a MintedKey.
+	// KeyMinted marks a MintedKey.
 	KeyMinted
 )
 
-// Attempt is what the entry node knows of one request that it sends to one home.
+// Attempt tracks, at the entry node, one request sent to one home.
 //
-// It settles once, on the first message that decides; the caller is told that
-// and nothing else. It is not safe for concurrent use.
+// It settles once, on the first conclusive message, and only that outcome is
+// reported to the caller. It is not safe for concurrent use.
 type Attempt struct {
-	id       ID
-	home     Home
-	key      KeyKind
-	sendings int
-	outcome  Outcome
-	err      error
+	id      ID
+	home    Home
+	key     KeyKind
+	sends   int
+	outcome Outcome
+	err     error
 }
 
-// NewAttempt begins the attempt to run id at home.
+// NewAttempt returns the attempt to run id at home.
 func NewAttempt(id ID, home Home, key KeyKind) *Attempt {
 	return &Attempt{id: id, home: home, key: key}
 }
 
-// ID is the request ID.
+// ID returns the request ID.
 func (a *Attempt) ID() ID { return a.id }
 
-// Home is where the request is sent.
+// Home returns the incarnation to which the request is sent.
 func (a *Attempt) Home() Home { return a.home }
 
-// Outcome is what the caller is told; nil while that is open.
+// Outcome returns the settled outcome, or nil while the attempt is open.
 func (a *Attempt) Outcome() Outcome { return a.outcome }
 
-// Err is a ContradictionError if a later message contradicted the outcome.
+// Err returns a *ContradictionError if a later message contradicted the outcome,
+// or a *MessageError if a message was invalid.
 func (a *Attempt) Err() error { return a.err }
 
-// Sending must be called before the first byte of each sending is handed to a connection.
-func (a *Attempt) Sending() { a.sendings++ }
+// Sending records a send; call it before writing the first byte of each send to a connection.
+func (a *Attempt) Sending() { a.sends++ }
 
-// Answered takes the target's answer.
+// Answered processes the target's answer and returns the outcome.
 func (a *Attempt) Answered(answer Answer) Outcome {
 	if _, lost := answer.(LostAnswer); lost {
 		return a.settle(Unknown{id: a.id})
@@ -59,35 +60,36 @@
 	return a.settle(Done{answer: answer})
 }
 
-// Refused takes the home's refusal.
+// Refused processes the home's refusal and returns the outcome.
 func (a *Attempt) Refused(refusal Refusal) Outcome {
 	if refusal.ID != a.id {
-		return a.mistaken("refusal of another request")
+		return a.recordInvalid("refusal of another request")
 	}
-	if !a.proves(refusal) {
+	if !a.provesNotRun(refusal) {
 		return a.settle(Unknown{id: a.id})
 	}
 	proof := RefusedBeforeRun{id: a.id, home: refusal.Home}
 	return a.notRun(proof, refusal.Reason, refusal.RetryAfter)
 }
 
-// proves reports whether no arrival of the request can have run or ever will.
+// provesNotRun reports whether a refusal proves that no arrival of the request
+// has run or will run.
 //
-// A home that has not barred the ID speaks of one arrival only. That is enough
-// where there can be no other: the request was sent once, and its ID is not a
-// minted key that another node may have sent.
-func (a *Attempt) proves(refusal Refusal) bool {
+// Unless the home has barred the ID, a refusal covers one arrival only. That
+// suffices if there can be no other: the request was sent once, and its ID is
+// not a minted key, which another node may have sent too.
+func (a *Attempt) provesNotRun(refusal Refusal) bool {
 	if refusal.Barred {
 		return refusal.Home == a.home
 	}
 	if refusal.Reason == ReasonMismatch {
-		// This sending is not what the ID stands for; its own content never runs.
-		return a.sendings == 1
+		// The ID is registered with other content, so the content of this send never runs.
+		return a.sends == 1
 	}
-	return a.sendings == 1 && a.key != KeyMinted
+	return a.sends == 1 && a.key != KeyMinted
 }
 
-// StillRunning takes the home's word that another sending of the key is running.
+// StillRunning processes a response that the key's request other is still running, and returns the outcome.
 func (a *Attempt) StillRunning(other ID) Outcome {
 	if other == a.id && a.key != KeyMinted {
 		return a.outcome
@@ -95,15 +97,15 @@
 	return a.settle(InProgress{id: other})
 }
 
-// Resolved takes the home's answer to "what became of it?"; the outcome stays nil while it runs.
+// Resolved processes a ResolveReply; the outcome stays nil while the request runs.
 func (a *Attempt) Resolved(reply ResolveReply) Outcome {
 	resolution, err := reply.Resolution()
 	if err != nil || reply.ID != a.id {
-		return a.mistaken("unusable resolution")
+		return a.recordInvalid("unusable resolution")
 	}
 	switch r := resolution.(type) {
 	case NeverSeen:
-		// Another incarnation's "never seen" is no proof: this one may have run it.
+		// A "never seen" of another incarnation is no proof: the addressed one may have run it.
 		if reply.Home != a.home {
 			return a.settle(Unknown{id: a.id})
 		}
@@ -117,20 +119,21 @@
 	return a.outcome
 }
 
-// GiveUp ends an attempt that can learn no more.
+// GiveUp settles an attempt for which no further message is expected: NotRun if nothing was sent, else Unknown.
 func (a *Attempt) GiveUp(reason Reason, retryAfter time.Duration) Outcome {
-	if a.sendings == 0 {
+	if a.sends == 0 {
 		return a.notRun(NeverSent{id: a.id}, reason, retryAfter)
 	}
 	return a.settle(Unknown{id: a.id})
 }
 
 func (a *Attempt) notRun(proof Proof, reason Reason, retryAfter time.Duration) Outcome {
-	return a.settle(notRun{proof: proof, reason: reason, retryAfter: retryAfter, earlier: a.earlierMayHaveRun(proof, reason)})
+	return a.settle(notRun{proof: proof, reason: reason, retryAfter: retryAfter, earlierMayHaveRun: a.earlierMayHaveRun(proof, reason)})
 }
 
-// earlierMayHaveRun: a proof speaks of one ID. A caller's key has a new ID with
-// each sending, and a minted key that never left this node may have left another.
+// earlierMayHaveRun reports whether the key's request may have run in another
+// send. A proof covers one ID: a caller's key has a new ID with each send, and a
+// minted key not sent from this node may have been sent from another.
 func (a *Attempt) earlierMayHaveRun(proof Proof, reason Reason) bool {
 	if reason == ReasonMismatch {
 		return true
@@ -146,16 +149,16 @@
 	return false
 }
 
-// ContradictionError reports a message that can't be true beside what the caller was told.
+// ContradictionError reports a message that contradicts the settled outcome.
 type ContradictionError struct {
 	ID    ID
 	First Outcome
 	Later Outcome
 }
 
-// Error names the request and both outcomes.
+// Error includes the request ID and both outcomes.
 func (e *ContradictionError) Error() string {
-	return fmt.Sprintf("request %s was %T and then %T", e.ID, e.First, e.Later)
+	return fmt.Sprintf("request %s: contradictory outcomes %T, then %T", e.ID, e.First, e.Later)
 }
 
 func (a *Attempt) settle(outcome Outcome) Outcome {
@@ -163,15 +166,15 @@
 		a.outcome = outcome
 		return outcome
 	}
-	_, toldNotRun := a.outcome.(NotRun)
-	_, saysDone := outcome.(Done)
-	if toldNotRun && saysDone {
+	_, wasNotRun := a.outcome.(NotRun)
+	_, isDone := outcome.(Done)
+	if wasNotRun && isDone {
 		a.err = &ContradictionError{ID: a.id, First: a.outcome, Later: outcome}
 	}
 	return a.outcome
 }
 
-func (a *Attempt) mistaken(what string) Outcome {
+func (a *Attempt) recordInvalid(what string) Outcome {
 	if a.err == nil {
 		a.err = &MessageError{What: what, ID: a.id}
 	}
--- a/lib/bfrecord/bench_test.go
+++ b/lib/bfrecord/bench_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// entries is how many entry nodes a home hears from: its service's share of the fleet's callers.
-const entries = 1000
+// entryNodes is the number of entry nodes that send requests to the home.
+const entryNodes = 1000
 
 func benchmarkMinters() []*Minter {
-	minters := make([]*Minter, entries)
+	minters := make([]*Minter, entryNodes)
 	for i := range minters {
 		minters[i] = NewMinter(Home{Instance: "portal-core-" + strconv.Itoa(i), Incarnation: 1})
 	}
 	return minters
 }
 
-// BenchmarkBeginFinish is the cost of one request's record, with the book at its limit.
+// BenchmarkBeginFinish measures recording one request, with the record limit reached.
 func BenchmarkBeginFinish(b *testing.B) {
 	book := NewBook(home1, DefaultLimits())
 	minters := benchmarkMinters()
@@ -27,7 +27,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(4 * time.Millisecond)
-		id := minters[i%entries].Next(now)
+		id := minters[i%entryNodes].Next(now)
 		book.Begin(now, request(id, home1))
 		if err := book.Finish(now, id, answer); err != nil {
 			b.Fatal(err)
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkShardedBeginFinish is the same from every core at once.
+// BenchmarkShardedBeginFinish measures recording requests concurrently on all cores.
 func BenchmarkShardedBeginFinish(b *testing.B) {
 	books := NewSharded(home1, DefaultLimits(), 16)
 	answer := NewWholeAnswer(200, nil, make([]byte, 200))
@@ -44,7 +44,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
 			now := start.Add(time.Duration(i) * time.Millisecond)
-			id := minters[i%entries].Next(now)
+			id := minters[i%entryNodes].Next(now)
 			books.Begin(now, request(id, home1))
 			if err := books.Finish(now, id, answer); err != nil {
 				b.Fatal(err)
@@ -53,7 +53,7 @@
 	})
 }
 
-// BenchmarkRecordBytes fills a book to its limit with answers that were dropped, and with answers of 200 bytes.
+// BenchmarkRecordBytes measures memory per record at the record limit, with dropped answers and with 200-byte bodies.
 func BenchmarkRecordBytes(b *testing.B) {
 	for name, size := range map[string]int{"dropped": 0, "body200": 200} {
 		b.Run(name, func(b *testing.B) {
@@ -72,8 +72,8 @@
 	runtime.ReadMemStats(&before)
 	book := NewBook(home1, limits)
 	for i := range limits.Records {
-		id := minters[i%entries].Next(start)
-		// As from the wire: each message brings its own bytes of the instance's name.
+		id := minters[i%entryNodes].Next(start)
+		// Each decoded message has its own copy of the instance name.
 		id.Entry.Instance = string([]byte(id.Entry.Instance))
 		book.Begin(start, request(id, home1))
 		var answer Answer = NewDroppedAnswer(200)
--- a/lib/bfrecord/book.go
+++ b/lib/bfrecord/book.go
@@ -8,23 +8,23 @@
 // Digest identifies the content of a request.
 type Digest [16]byte
 
-// Limits bounds what a Book keeps.
+// Limits bounds the memory of a Book.
 type Limits struct {
-	// Records is how many records are kept, running ones included.
+	// Records is the maximum number of records, running ones included.
 	Records int
-	// Running is how many requests may run at once; a running record is never dropped.
+	// Running is the maximum number of concurrently running requests; a running record is never dropped.
 	Running int
-	// Scopes is how many entry incarnations are known at once.
+	// Scopes is the maximum number of tracked ID sources: entry incarnations, and the home's minted keys.
 	Scopes int
-	// Bytes is how much all kept answers take.
+	// Bytes is the maximum total size of the kept answers.
 	Bytes int
-	// AnswerBytes is the largest single answer that is kept whole.
+	// AnswerBytes is the maximum size of a single kept answer.
 	AnswerBytes int
-	// Retention is how long a settled record is kept while there is room.
+	// Retention is how long a settled record is kept, if Records permits.
 	Retention time.Duration
 }
 
-// DefaultLimits suit a node at the fleet's size: 240 requests a second for two minutes.
+// DefaultLimits returns limits for 240 requests per second kept for two minutes.
 func DefaultLimits() Limits {
 	return Limits{
 		Records: 32_768, Running: 4_096, Scopes: 32_768,
@@ -32,11 +32,11 @@
 	}
 }
 
-// Request is an arrival as the book needs it.
+// Request describes an arrival to Book.Begin.
 type Request struct {
 	// ID is the arrival's request ID.
 	ID ID
-	// Home is the incarnation that the arrival was sent to.
+	// Home is the incarnation to which the request was sent.
 	Home Home
 	// Content is the digest of method, path and body.
 	Content Digest
@@ -53,52 +53,53 @@
 )
 
 type record struct {
-	id      ID
-	scope   *scope
-	class   string
-	answer  Answer
-	settled time.Time
-	content Digest
-	state   state
+	id        ID
+	scope     *scope
+	class     string
+	answer    Answer
+	settledAt time.Time
+	content   Digest
+	state     state
 }
 
-// Book is the memory of one home. It is not safe for concurrent use.
+// Book deduplicates the requests of one home and keeps their results. It is not
+// safe for concurrent use.
 //
-// Invariants: Begin returns Run at most once for an ID; an ID that was barred
-// never gets Run; a running record is never dropped; for each dropped record
-// the watermark of its scope is at or above its counter.
+// Invariants: Begin returns Run at most once for an ID, and never for a barred
+// ID; a running record is never dropped; the watermark of a scope is at or above
+// the counter of each of its dropped records.
 type Book struct {
 	home    Home
 	limits  Limits
 	records map[ID]*record
 	scopes  scopeSet
-	// settled holds barred and finished records, oldest first.
-	settled queue[*record]
-	// answers holds finished records whose answer takes room, oldest first.
-	answers queue[*record]
-	running int
-	bytes   int
+	// settledQueue holds barred and finished records, oldest first.
+	settledQueue queue[*record]
+	// answerQueue holds finished records with answers of non-zero size, oldest first.
+	answerQueue queue[*record]
+	running     int
+	answerBytes int
 }
 
-// NewBook makes the empty book of home.
+// NewBook returns an empty Book for home.
 func NewBook(home Home, limits Limits) *Book {
 	return &Book{home: home, limits: limits, records: map[ID]*record{}, scopes: newScopeSet(limits.Scopes)}
 }
 
-// Begin decides on an arrival; only Run lets it go on to the target.
+// Begin registers an arrival and decides on it; only a Run verdict permits forwarding it to the target.
 func (b *Book) Begin(now time.Time, request Request) Verdict {
-	b.collect(now)
-	// A request sent to an earlier incarnation may have run there, and this
-	// book knows nothing of it; to run it here could be the second time.
+	b.expire(now)
+	// A request sent to an earlier incarnation may have run there, and its
+	// record was lost in the restart; running it here could be a second run.
 	if request.Home != b.home {
 		return HomeChanged{home: b.home}
 	}
 	if r, found := b.records[request.ID]; found {
 		return r.verdict(request.Content)
 	}
-	// Its record may have been dropped: it could have run, or its caller could
-	// have been told that it never will.
-	if b.scopes.dropped(request.ID) {
+	// Its record may have been dropped: the request may have run, or NotRun may
+	// have been reported to its caller.
+	if b.scopes.mayHaveDropped(request.ID) {
 		return TooLate{}
 	}
 	if b.running >= b.limits.Running {
@@ -111,7 +112,7 @@
 	r.content = request.Content
 	r.class = request.Class
 	b.running++
-	b.shrink()
+	b.enforceLimits()
 	return Run{}
 }
 
@@ -127,18 +128,18 @@
 	return Replay{answer: r.answer}
 }
 
-// StateError reports the end of a request that the book does not have as running.
+// StateError reports a Finish or Abort of a request that is not running.
 type StateError struct {
 	ID   ID
 	Call string
 }
 
-// Error names the call and the request.
+// Error includes the call and the request ID.
 func (e *StateError) Error() string {
-	return fmt.Sprintf("%s of request %s, which is not running", e.Call, e.ID)
+	return fmt.Sprintf("%s: request %s is not running", e.Call, e.ID)
 }
 
-// Finish records the end of a request that was handed to its target.
+// Finish records the answer of a request that was forwarded to its target. Its error is a *StateError.
 func (b *Book) Finish(now time.Time, id ID, answer Answer) error {
 	r, found := b.records[id]
 	if !found || r.state != stateRunning {
@@ -150,53 +151,53 @@
 		r.answer = DroppedAnswer{status: whole.status}
 	}
 	if size := r.answer.size(); size > 0 {
-		b.bytes += size
-		b.answers.push(r)
+		b.answerBytes += size
+		b.answerQueue.push(r)
 	}
-	b.collect(now)
+	b.expire(now)
 	return nil
 }
 
-// Abort records that a request was certainly never handed to its target; it never will be.
+// Abort bars a running request that was not forwarded to its target and must not be. Its error is a *StateError.
 func (b *Book) Abort(now time.Time, id ID) error {
 	r, found := b.records[id]
 	if !found || r.state != stateRunning {
 		return &StateError{ID: id, Call: "abort"}
 	}
 	b.settle(now, r, stateBarred)
-	b.collect(now)
+	b.expire(now)
 	return nil
 }
 
 func (b *Book) settle(now time.Time, r *record, to state) {
 	r.state = to
-	r.settled = now
+	r.settledAt = now
 	b.running--
-	b.settled.push(r)
+	b.settledQueue.push(r)
 }
 
-// Resolve tells what became of a request that was sent to home.
+// Resolve returns the state of a request that was sent to home.
 //
-// One that was never seen is barred first: the request may still be on its way,
-// and its caller is about to be told that it was not run.
+// An unknown request is barred first: it may still be in transit, and the entry
+// node will report to its caller that it was not run.
 func (b *Book) Resolve(now time.Time, id ID, home Home) Resolution {
-	b.collect(now)
+	b.expire(now)
 	if home != b.home {
 		return HomeLost{home: b.home}
 	}
 	if r, found := b.records[id]; found {
 		return r.resolution()
 	}
-	if b.scopes.dropped(id) {
+	if b.scopes.mayHaveDropped(id) {
 		return Forgotten{}
 	}
 	r := b.insert(id, stateBarred)
 	if r == nil {
 		return Forgotten{}
 	}
-	r.settled = now
-	b.settled.push(r)
-	b.shrink()
+	r.settledAt = now
+	b.settledQueue.push(r)
+	b.enforceLimits()
 	return NeverSeen{}
 }
 
@@ -210,40 +211,41 @@
 	return Finished{answer: r.answer}
 }
 
-// insert returns nil if the scope is new and there is no room for it.
+// insert adds a record; it returns nil if its scope is new and the scopes are at their limit.
 func (b *Book) insert(id ID, in state) *record {
-	scope := b.scopes.hold(id.scope())
+	scope := b.scopes.acquire(id.scope())
 	if scope == nil {
 		return nil
 	}
-	// The decoded instance name is shared, so a record keeps no bytes of its message alive.
+	// Share the scope's copy of the instance name, so that a record does not retain its message's buffer.
 	id.Entry = scope.key.entry
 	r := &record{id: id, scope: scope, state: in}
 	b.records[id] = r
 	return r
 }
 
-// collect drops what is past its retention.
-func (b *Book) collect(now time.Time) {
-	for b.settled.len() > 0 && now.Sub(b.settled.front().settled) >= b.limits.Retention {
+// expire drops records and scopes past their retention.
+func (b *Book) expire(now time.Time) {
+	for b.settledQueue.len() > 0 && now.Sub(b.settledQueue.front().settledAt) >= b.limits.Retention {
 		b.dropOldest()
 	}
-	b.shrink()
-	b.scopes.collect(now.Add(-b.limits.Retention))
+	b.enforceLimits()
+	b.scopes.foldIdle(now.Add(-b.limits.Retention))
 }
 
-// shrink holds the bounds; an answer goes before the record that says its request ran.
-func (b *Book) shrink() {
-	for b.bytes > b.limits.Bytes && b.answers.len() > 0 {
-		b.stripAnswer(b.answers.pop())
+// enforceLimits drops the oldest answers over the byte limit and the oldest settled
+// records over the record limit. A record outlives its answer, to prevent a second run.
+func (b *Book) enforceLimits() {
+	for b.answerBytes > b.limits.Bytes && b.answerQueue.len() > 0 {
+		b.dropAnswer(b.answerQueue.pop())
 	}
-	for len(b.records) > b.limits.Records && b.settled.len() > 0 {
+	for len(b.records) > b.limits.Records && b.settledQueue.len() > 0 {
 		b.dropOldest()
 	}
 }
 
-func (b *Book) stripAnswer(r *record) {
-	b.bytes -= r.answer.size()
+func (b *Book) dropAnswer(r *record) {
+	b.answerBytes -= r.answer.size()
 	if whole, isWhole := r.answer.(WholeAnswer); isWhole {
 		r.answer = DroppedAnswer{status: whole.status}
 		return
@@ -252,33 +254,33 @@
 }
 
 func (b *Book) dropOldest() {
-	r := b.settled.pop()
-	// Answers settle in the order of records, so the record's is at the front or gone.
-	if b.answers.len() > 0 && b.answers.front() == r {
-		b.stripAnswer(b.answers.pop())
+	r := b.settledQueue.pop()
+	// Both queues are in settling order, so the record is at the front of answerQueue or not in it.
+	if b.answerQueue.len() > 0 && b.answerQueue.front() == r {
+		b.dropAnswer(b.answerQueue.pop())
 	}
 	delete(b.records, r.id)
 	b.scopes.release(r.scope, r.id.Counter)
 }
 
-// Stats counts what a book holds.
+// Stats holds the size counters of a Book.
 type Stats struct {
 	records, running, scopes, bytes int
 }
 
-// Records counts all records.
+// Records returns the number of records.
 func (s Stats) Records() int { return s.records }
 
-// Running counts the requests that have not ended.
+// Running returns the number of running requests.
 func (s Stats) Running() int { return s.running }
 
-// Scopes counts the entry incarnations known.
+// Scopes returns the number of tracked ID sources.
 func (s Stats) Scopes() int { return s.scopes }
 
-// Bytes is what the kept answers take.
+// Bytes returns the total size of the kept answers.
 func (s Stats) Bytes() int { return s.bytes }
 
-// Stats counts what the book holds now.
+// Stats returns the current size counters.
 func (b *Book) Stats() Stats {
-	return Stats{records: len(b.records), running: b.running, scopes: len(b.scopes.known), bytes: b.bytes}
+	return Stats{records: len(b.records), running: b.running, scopes: len(b.scopes.byKey), bytes: b.answerBytes}
 }
--- a/lib/bfrecord/book_rapid_test.go
+++ b/lib/bfrecord/book_rapid_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// naiveBook never forgets, so it needs no watermarks; it holds what a further arrival is told.
-type naiveBook struct {
+// modelTracker is the reference model: it never drops records, and maps each ID to the verdict of its next arrival.
+type modelTracker struct {
 	home    Home
 	records map[ID]string
 }
 
-func (n *naiveBook) begin(r Request) string {
+func (n *modelTracker) begin(r Request) string {
 	if r.Home != n.home {
 		return "HomeChanged"
 	}
@@ -26,7 +26,7 @@
 	return "Run"
 }
 
-func (n *naiveBook) resolve(id ID, home Home) string {
+func (n *modelTracker) resolve(id ID, home Home) string {
 	if home != n.home {
 		return "HomeLost"
 	}
@@ -36,32 +36,32 @@
 	return map[string]string{"Barred": "NeverSeen", "StillRunning": "Running", "Replay": "Finished"}[n.records[id]]
 }
 
-// flight is a message on its way; messages are delivered in any order.
-type flight struct {
+// inFlightMessage is an undelivered message; messages are delivered in any order.
+type inFlightMessage struct {
 	attempt *Attempt
 	arrival bool
 	reply   func()
 }
 
-// world is one home with restarts, entries that send, and the ledger of what really happened.
-type world struct {
-	t        *rapid.T
-	now      time.Time
-	roomy    bool
-	limits   Limits
-	real     *Book
-	naive    *naiveBook
-	minters  []*Minter
-	attempts []*Attempt
-	flights  []flight
-	running  []ID
-	ran      map[ID]int
-	answers  map[ID]string
+// simulation is one home that restarts, the entry nodes that send to it, and the true number of runs per request.
+type simulation struct {
+	t         *rapid.T
+	now       time.Time
+	unbounded bool
+	limits    Limits
+	tracker   *Book
+	model     *modelTracker
+	minters   []*Minter
+	attempts  []*Attempt
+	inFlight  []inFlightMessage
+	running   []ID
+	ran       map[ID]int
+	answers   map[ID]string
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		t: t, now: start, roomy: rapid.Bool().Draw(t, "roomy"),
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
+		t: t, now: start, unbounded: rapid.Bool().Draw(t, "roomy"),
 		ran: map[ID]int{}, answers: map[ID]string{},
 		minters: []*Minter{
 			NewMinter(entry), NewMinter(Home{Instance: "portal-core-5", Incarnation: 1}),
@@ -69,70 +69,70 @@
 		},
 	}
 	w.limits = Limits{Records: 4, Running: 3, Scopes: 2, Bytes: 24, AnswerBytes: 16, Retention: 2 * time.Second}
-	if w.roomy {
+	if w.unbounded {
 		w.limits = Limits{Records: 1e6, Running: 1e6, Scopes: 1e6, Bytes: 1e9, AnswerBytes: 1e6, Retention: 1e6 * time.Second}
 	}
 	w.startHome(home1)
 	return w
 }
 
-func (w *world) startHome(home Home) {
-	w.real = NewBook(home, w.limits)
-	w.naive = &naiveBook{home: home, records: map[ID]string{}}
+func (w *simulation) startHome(home Home) {
+	w.tracker = NewBook(home, w.limits)
+	w.model = &modelTracker{home: home, records: map[ID]string{}}
 	w.running = nil
 }
 
-// pass moves the time on, a little or past the retention.
-func (w *world) pass(t *rapid.T) {
+// advanceTime advances the clock by less or more than the retention.
+func (w *simulation) advanceTime(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{1, 10, 500, 3000}).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (w *world) send(t *rapid.T) {
-	// An entry's clock may be far off; safety must not depend on it.
+func (w *simulation) send(t *rapid.T) {
+	// Safety must not depend on the entries' clocks.
 	skew := time.Duration(rapid.SampledFrom([]int{0, 0, -5000, 5000}).Draw(t, "skew ms")) * time.Millisecond
 	id := rapid.SampledFrom(w.minters).Draw(t, "entry").Next(w.now.Add(skew))
-	w.launch(NewAttempt(id, w.real.home, KeyNone), rapid.IntRange(0, 2).Draw(t, "sendings"))
+	w.enqueueSends(NewAttempt(id, w.tracker.home, KeyNone), rapid.IntRange(0, 2).Draw(t, "sendings"))
 }
 
-// sendKey has two entries send one minted key.
-func (w *world) sendKey(*rapid.T) {
-	minter := NewMinter(w.real.home)
+// sendKey sends one minted key from two entries.
+func (w *simulation) sendKey(*rapid.T) {
+	minter := NewMinter(w.tracker.home)
 	minter.counter.Store(uint64(w.now.UnixMicro()) + uint64(len(w.attempts)))
 	id := minter.NextKey(w.now).ID()
-	w.launch(NewAttempt(id, w.real.home, KeyMinted), 1)
-	w.launch(NewAttempt(id, w.real.home, KeyMinted), 1)
+	w.enqueueSends(NewAttempt(id, w.tracker.home, KeyMinted), 1)
+	w.enqueueSends(NewAttempt(id, w.tracker.home, KeyMinted), 1)
 }
 
-func (w *world) launch(attempt *Attempt, sendings int) {
+func (w *simulation) enqueueSends(attempt *Attempt, sendings int) {
 	w.attempts = append(w.attempts, attempt)
 	for range sendings {
 		attempt.Sending()
-		w.flights = append(w.flights, flight{attempt: attempt, arrival: true})
+		w.inFlight = append(w.inFlight, inFlightMessage{attempt: attempt, arrival: true})
 	}
 }
 
-func (w *world) askAbout(t *rapid.T) {
+func (w *simulation) sendResolve(t *rapid.T) {
 	if len(w.attempts) == 0 {
 		t.Skip("nothing sent")
 	}
 	attempt := rapid.SampledFrom(w.attempts).Draw(t, "attempt")
-	w.flights = append(w.flights, flight{attempt: attempt})
+	w.inFlight = append(w.inFlight, inFlightMessage{attempt: attempt})
 }
 
-func (w *world) giveUp(t *rapid.T) {
+func (w *simulation) abandon(t *rapid.T) {
 	if len(w.attempts) == 0 {
 		t.Skip("nothing sent")
 	}
 	rapid.SampledFrom(w.attempts).Draw(t, "attempt").GiveUp(ReasonUnreachable, 0)
 }
 
-func (w *world) deliver(t *rapid.T) {
-	if len(w.flights) == 0 {
+func (w *simulation) deliver(t *rapid.T) {
+	if len(w.inFlight) == 0 {
 		t.Skip("nothing in flight")
 	}
-	i := rapid.IntRange(0, len(w.flights)-1).Draw(t, "flight")
-	f := w.flights[i]
-	w.flights = append(w.flights[:i], w.flights[i+1:]...)
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "flight")
+	f := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	switch {
 	case f.reply != nil:
 		f.reply()
@@ -143,17 +143,17 @@
 	}
 }
 
-func (w *world) arrive(attempt *Attempt) {
+func (w *simulation) arrive(attempt *Attempt) {
 	id := attempt.ID()
-	verdict := w.real.Begin(w.now, request(id, attempt.Home()))
+	verdict := w.tracker.Begin(w.now, request(id, attempt.Home()))
 	name := fmt.Sprintf("%T", verdict)[len("bfrecord."):]
-	// What the bounded book refuses for want of memory must not count as seen by the naive one.
+	// A refusal due to the limits must not register the request in the model.
 	if name == "TooLate" || name == "Full" {
-		if w.roomy {
-			w.t.Fatalf("%s for %s with room for everything", name, id)
+		if w.unbounded {
+			w.t.Fatalf("%s for %s without limits", name, id)
 		}
-	} else if want := w.naive.begin(request(id, attempt.Home())); name != want {
-		w.t.Fatalf("arrival of %s: %s, naive %s", id, name, want)
+	} else if want := w.model.begin(request(id, attempt.Home())); name != want {
+		w.t.Fatalf("arrival of %s: %s, model %s", id, name, want)
 	}
 	switch v := verdict.(type) {
 	case Run:
@@ -163,28 +163,30 @@
 	case StillRunning:
 		w.reply(func() { attempt.StillRunning(id) })
 	default:
-		refusal, _ := NewVerdictRefusal(id, w.real.home, verdict)
+		refusal, _ := NewVerdictRefusal(id, w.tracker.home, verdict)
 		w.reply(func() { attempt.Refused(refusal) })
 	}
 }
 
-func (w *world) reply(deliver func()) { w.flights = append(w.flights, flight{reply: deliver}) }
+func (w *simulation) reply(deliver func()) {
+	w.inFlight = append(w.inFlight, inFlightMessage{reply: deliver})
+}
 
-func (w *world) resolve(attempt *Attempt) {
-	resolution := w.real.Resolve(w.now, attempt.ID(), attempt.Home())
+func (w *simulation) resolve(attempt *Attempt) {
+	resolution := w.tracker.Resolve(w.now, attempt.ID(), attempt.Home())
 	name := fmt.Sprintf("%T", resolution)[len("bfrecord."):]
 	if name == "Forgotten" {
-		if w.roomy {
-			w.t.Fatalf("%s for %s with room for everything", name, attempt.ID())
+		if w.unbounded {
+			w.t.Fatalf("%s for %s without limits", name, attempt.ID())
 		}
-	} else if want := w.naive.resolve(attempt.ID(), attempt.Home()); name != want {
-		w.t.Fatalf("resolve of %s: %s, naive %s", attempt.ID(), name, want)
+	} else if want := w.model.resolve(attempt.ID(), attempt.Home()); name != want {
+		w.t.Fatalf("resolve of %s: %s, model %s", attempt.ID(), name, want)
 	}
-	reply := NewResolveReply(attempt.ID(), w.real.home, resolution)
+	reply := NewResolveReply(attempt.ID(), w.tracker.home, resolution)
 	w.reply(func() { attempt.Resolved(reply) })
 }
 
-func (w *world) takeRunning(t *rapid.T) ID {
+func (w *simulation) takeRunning(t *rapid.T) ID {
 	if len(w.running) == 0 {
 		t.Skip("nothing runs")
 	}
@@ -194,14 +196,14 @@
 	return id
 }
 
-// finish hands the request to the target and records its end.
-func (w *world) finish(t *rapid.T) {
+// finish runs the request at the target and records its answer.
+func (w *simulation) finish(t *rapid.T) {
 	id := w.takeRunning(t)
 	w.ran[id]++
 	body := fmt.Sprintf("%d-%s", w.ran[id], strings.Repeat("x", rapid.SampledFrom([]int{0, 12, 20}).Draw(t, "length")))
 	w.answers[id] = body
-	w.naive.records[id] = "Replay"
-	if err := w.real.Finish(w.now, id, NewWholeAnswer(200, nil, []byte(body))); err != nil {
+	w.model.records[id] = "Replay"
+	if err := w.tracker.Finish(w.now, id, NewWholeAnswer(200, nil, []byte(body))); err != nil {
 		w.t.Fatal(err)
 	}
 	for _, attempt := range w.attempts {
@@ -211,13 +213,13 @@
 	}
 }
 
-func (w *world) abort(t *rapid.T) {
+func (w *simulation) abort(t *rapid.T) {
 	id := w.takeRunning(t)
-	w.naive.records[id] = "Barred"
-	if err := w.real.Abort(w.now, id); err != nil {
+	w.model.records[id] = "Barred"
+	if err := w.tracker.Abort(w.now, id); err != nil {
 		w.t.Fatal(err)
 	}
-	refusal := NewAbortRefusal(id, w.real.home, ReasonOverload, time.Second)
+	refusal := NewAbortRefusal(id, w.tracker.home, ReasonOverload, time.Second)
 	for _, attempt := range w.attempts {
 		if attempt.ID() == id {
 			w.reply(func() { attempt.Refused(refusal) })
@@ -225,67 +227,65 @@
 	}
 }
 
-// restart loses everything the home knew; what ran at its target may have run whole.
-func (w *world) restart(t *rapid.T) {
+// restart discards the home's records; requests running at its target may have completed.
+func (w *simulation) restart(t *rapid.T) {
 	for _, id := range w.running {
 		if rapid.Bool().Draw(t, "reached the target") {
 			w.ran[id]++
 		}
 	}
-	w.startHome(Home{Instance: home1.Instance, Incarnation: w.real.home.Incarnation + 1})
+	w.startHome(Home{Instance: home1.Instance, Incarnation: w.tracker.home.Incarnation + 1})
 }
 
-// check holds the ledger against what callers were told, after every action.
-func (w *world) check(t *rapid.T) {
+// check compares the true runs with the reported outcomes, after every action.
+func (w *simulation) check(t *rapid.T) {
 	for id, n := range w.ran {
 		if n > 1 {
 			t.Fatalf("%s ran %d times", id, n)
 		}
 	}
 	for _, attempt := range w.attempts {
-		w.checkTold(t, attempt)
+		w.checkOutcome(t, attempt)
 	}
-	stats := w.real.Stats()
-	if !w.roomy && (stats.Records() > w.limits.Records || stats.Scopes() > w.limits.Scopes || stats.Bytes() > w.limits.Bytes) {
+	stats := w.tracker.Stats()
+	if !w.unbounded && (stats.Records() > w.limits.Records || stats.Scopes() > w.limits.Scopes || stats.Bytes() > w.limits.Bytes) {
 		t.Fatalf("over the limits: %+v", stats)
 	}
 }
 
-func (w *world) checkTold(t *rapid.T, attempt *Attempt) {
+func (w *simulation) checkOutcome(t *rapid.T, attempt *Attempt) {
 	if attempt.Err() != nil {
 		t.Fatal(attempt.Err())
 	}
 	id := attempt.ID()
-	switch told := attempt.Outcome().(type) {
+	switch outcome := attempt.Outcome().(type) {
 	case NotRun:
-		if w.ran[id] > 0 && !told.EarlierMayHaveRun() {
-			t.Fatalf("caller of %s was told not run (%s, %T), and it ran", id, told.Reason(), told.Proof())
+		if w.ran[id] > 0 && !outcome.EarlierMayHaveRun() {
+			t.Fatalf("%s was reported as not run (%s, %T), but ran", id, outcome.Reason(), outcome.Proof())
 		}
 	case Done:
-		whole, isWhole := told.Answer().(WholeAnswer)
+		whole, isWhole := outcome.Answer().(WholeAnswer)
 		if w.ran[id] != 1 || isWhole && string(whole.Body()) != w.answers[id] {
-			t.Fatalf("caller of %s got %q, the run gave %q", id, whole.Body(), w.answers[id])
+			t.Fatalf("caller of %s received %q, the run returned %q", id, whole.Body(), w.answers[id])
 		}
 	}
 }
 
-// The real book, roomy or cramped, against one that never forgets, while
-// arrivals, refusals, answers and questions are sent twice, cross and are
-// overtaken, clocks are wrong and the home restarts. A caller who is told "not
-// run" and then sees the nomination delivered has fuel nobody ordered.
-func TestBookAgainstNaive(t *testing.T) {
+// Guards against a second run, or NotRun reported for a request that ran, under
+// duplicated and reordered messages, clock skew, memory limits and restarts.
+func TestTrackerAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"":        w.check,
-			"pass":    w.pass,
+			"pass":    w.advanceTime,
 			"send":    w.send,
 			"sendKey": w.sendKey,
-			"ask":     w.askAbout,
+			"ask":     w.sendResolve,
 			"deliver": w.deliver, "deliver2": w.deliver, "deliver3": w.deliver,
 			"finish":  w.finish,
 			"abort":   w.abort,
-			"giveUp":  w.giveUp,
+			"giveUp":  w.abandon,
 			"restart": w.restart,
 		})
 	})
--- a/lib/bfrecord/case_test.go
+++ b/lib/bfrecord/case_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func told(outcome Outcome) string {
+func outcomeName(outcome Outcome) string {
 	switch o := outcome.(type) {
 	case Done:
 		return fmt.Sprintf("done (%T)", o.Answer())
@@ -30,10 +30,8 @@
 	return "open"
 }
 
-// Case 10. A connection goes silent with eight requests on it, two of them
-// nominations, while new connections work. The entry asks the home over a new
-// one: what never arrived is barred, so that the old connection's bytes, coming
-// loose later, run nothing; what runs is waited for; what ended is handed on.
+// Guards against running requests delayed on a stalled connection after they were
+// resolved over a new one: unseen requests are barred, running ones stay open.
 func TestSilentConnectionIsResolved(t *testing.T) {
 	is := is.New(t)
 	book := NewBook(home1, DefaultLimits())
@@ -43,7 +41,7 @@
 		attempts[i] = NewAttempt(minter.Next(start), home1, KeyNone)
 		attempts[i].Sending()
 	}
-	// 0 to 2 arrive before the silence; 0 ends, 1 is refused, 2 runs; 3 to 7 are stuck.
+	// 0 to 2 arrive before the stall: 0 finishes, 1 is refused, 2 runs. 3 to 7 are delayed.
 	for _, a := range attempts[:3] {
 		is.Equal(book.Begin(start, request(a.ID(), home1)), Run{})
 	}
@@ -53,22 +51,20 @@
 		return a.Resolved(NewResolveReply(a.ID(), home1, book.Resolve(start, a.ID(), a.Home())))
 	}
 	is.Equal(string(resolve(attempts[0]).(Done).Answer().(WholeAnswer).Body()), "nominated")
-	is.Equal(told(resolve(attempts[1])), "not run")
-	is.Equal(told(resolve(attempts[2])), "open")
+	is.Equal(outcomeName(resolve(attempts[1])), "not run")
+	is.Equal(outcomeName(resolve(attempts[2])), "open")
 	for _, a := range attempts[3:] {
-		is.Equal(told(resolve(a)), "not run")
+		is.Equal(outcomeName(resolve(a)), "not run")
 	}
 	for _, a := range attempts[3:] {
 		is.Equal(book.Begin(start.Add(time.Minute), request(a.ID(), home1)), Barred{})
 	}
 	is.NoErr(book.Finish(start, attempts[2].ID(), NewLostAnswer("target died")))
-	is.Equal(told(resolve(attempts[2])), "unknown")
+	is.Equal(outcomeName(resolve(attempts[2])), "unknown")
 }
 
-// Case 11. The home refuses a nomination for overload and the refusal crosses
-// the entry's timeout, whose question is already on its way. Whichever comes
-// first, the caller hears "not run" once, and a copy of the request still in a
-// socket buffer does not run afterwards.
+// Guards against contradictory outcomes or a late run when a refusal crosses the
+// entry's resolve request: in either order the outcome is NotRun and the ID barred.
 func TestRefusalCrossesTimeout(t *testing.T) {
 	for _, refusalFirst := range []bool{true, false} {
 		is := is.New(t)
@@ -86,16 +82,15 @@
 			attempt.Resolved(reply)
 			attempt.Refused(refusal)
 		}
-		is.Equal(told(attempt.Outcome()), "not run")
+		is.Equal(outcomeName(attempt.Outcome()), "not run")
 		is.NoErr(attempt.Err())
 		is.Equal(book.Begin(start, request(attempt.ID(), home1)), Barred{})
 		is.True(book.Finish(start, attempt.ID(), NewDroppedAnswer(200)) != nil)
 	}
 }
 
-// Keys are typed and cut by people's tools. Any one wrong character must be
-// told as such: the key would name another home, which knows nothing of it.
-func TestMintedKeyForm(t *testing.T) {
+// Guards against accepting a truncated or mistyped key, which would identify another home.
+func TestParseMintedKeyRejectsTypos(t *testing.T) {
 	is := is.New(t)
 	key := NewMinter(home1).NextKey(start)
 	parsed, err := ParseMintedKey(key.String())
@@ -112,10 +107,9 @@
 	}
 }
 
-// Case 12, with a minted key. The caller sends it again through another node
-// while it runs, then after it finished, then with another stem's nomination in
-// the body: the last must be told as a mistake, not answered with the first's.
-func TestMintedKeySentAgain(t *testing.T) {
+// Guards against a second run or a wrong answer when a minted key is resent through
+// another node: while running, after it finished, and with other content.
+func TestMintedKeyResend(t *testing.T) {
 	is := is.New(t)
 	book := NewBook(home1, DefaultLimits())
 	id := NewMinter(home1).NextKey(start).ID()
@@ -126,7 +120,7 @@
 	other := request(id, home1)
 	other.Content = Digest{2}
 	is.Equal(book.Begin(start, other), Mismatch{})
-	// The answer reaches the other node unchanged by the wire.
+	// The answer survives encoding and decoding unchanged.
 	data, err := cbor.Marshal(NewResolveReply(id, home1, Finished{answer: resent}))
 	is.NoErr(err)
 	var reply ResolveReply
@@ -136,13 +130,13 @@
 	is.Equal(attempt.Resolved(reply), Done{answer: NewWholeAnswer(201, nil, []byte("nominated"))})
 }
 
-// What callers of each kind of key hear for each thing the entry can learn; an
-// entry that told more than its proof shows would have a nomination doubled.
-func TestTruthTable(t *testing.T) {
+// Guards against outcomes stronger than their proof, for each event at the entry
+// and each kind of key; a wrong NotRun would cause the caller to run a request twice.
+func TestOutcomeByEventAndKeyKind(t *testing.T) {
 	var out bytes.Buffer
 	kinds := []KeyKind{KeyNone, KeyCaller, KeyMinted}
 	fmt.Fprintf(&out, "%-44s %-38s %-38s %s\n", "what the entry learns", "no key", "caller's key", "minted key")
-	for _, learn := range lessons() {
+	for _, testCase := range attemptCases() {
 		cells := make([]string, 0, len(kinds))
 		for _, kind := range kinds {
 			id := NewMinter(entry).Next(start)
@@ -150,13 +144,13 @@
 				id = NewMinter(home1).NextKey(start).ID()
 			}
 			attempt := NewAttempt(id, home1, kind)
-			for range learn.sendings {
+			for range testCase.sendings {
 				attempt.Sending()
 			}
-			learn.teach(attempt)
-			cells = append(cells, told(attempt.Outcome()))
+			testCase.apply(attempt)
+			cells = append(cells, outcomeName(attempt.Outcome()))
 		}
-		line := fmt.Sprintf("%-44s %-38s %-38s %s", learn.name, cells[0], cells[1], cells[2])
+		line := fmt.Sprintf("%-44s %-38s %-38s %s", testCase.name, cells[0], cells[1], cells[2])
 		fmt.Fprintln(&out, strings.TrimRight(line, " "))
 	}
 	const golden = "testdata/truth.golden"
@@ -171,13 +165,13 @@
 	}
 }
 
-type lesson struct {
+type attemptCase struct {
 	name     string
 	sendings int
-	teach    func(*Attempt)
+	apply    func(*Attempt)
 }
 
-func lessons() []lesson {
+func attemptCases() []attemptCase {
 	refused := func(home Home, verdict Verdict) func(*Attempt) {
 		return func(a *Attempt) {
 			refusal, _ := NewVerdictRefusal(a.ID(), home, verdict)
@@ -187,11 +181,11 @@
 	resolved := func(home Home, r Resolution) func(*Attempt) {
 		return func(a *Attempt) { a.Resolved(NewResolveReply(a.ID(), home, r)) }
 	}
-	giveUp := func(a *Attempt) { a.GiveUp(ReasonUnreachable, 0) }
+	abandon := func(a *Attempt) { a.GiveUp(ReasonUnreachable, 0) }
 	overload := func(a *Attempt) { a.Refused(NewAbortRefusal(a.ID(), home1, ReasonOverload, time.Second)) }
-	return []lesson{
-		{"no connection, nothing sent", 0, giveUp},
-		{"sent, home can't be reached any more", 1, giveUp},
+	return []attemptCase{
+		{"no connection, nothing sent", 0, abandon},
+		{"sent, home can't be reached any more", 1, abandon},
 		{"refused: overload", 1, overload},
 		{"refused: barred", 1, refused(home1, Barred{})},
 		{"refused: too late", 1, refused(home1, TooLate{})},
@@ -210,8 +204,7 @@
 	}
 }
 
-// Arrivals of one ID on many connections at once: the shards' locks must let
-// one of them run, whichever it is.
+// Guards against two concurrent arrivals of one ID both being run.
 func TestShardedRunsOnce(t *testing.T) {
 	is := is.New(t)
 	books := NewSharded(home1, DefaultLimits(), 16)
--- a/lib/bfrecord/doc.go
+++ b/lib/bfrecord/doc.go
@@ -1,10 +1,11 @@
-// Package bfrecord decides, at the node beside the target and at the entry
-// node, that a request runs at most once and that its caller is told the truth.
+// Package bfrecord implements at-most-once execution of requests and determines
+// the outcome that is reported to the caller.
 //
-// The home of a request is the node beside its target. Its Book holds a record
-// for each request ID and is the only thing that may let a request run. The
-// entry node holds an Attempt for each request it sent; it turns what it hears
-// into an Outcome, and can form NotRun only from a Proof.
+// The home of a request is the node beside its target. Its Book deduplicates
+// arrivals by request ID, and a request runs only if Book.Begin returns Run. The
+// entry node holds an Attempt for each request that it sent; it derives an
+// Outcome from the messages received, and NotRun requires a Proof.
 //
-// Both are pure: they take the time and a message and return what to do.
+// Both are free of I/O and clocks: they take the time and a message and return
+// the decision.
 package bfrecord
--- a/lib/bfrecord/main_test.go
+++ b/lib/bfrecord/main_test.go
@@ -9,7 +9,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "1000", "rapid.steps": "60"} {
--- a/lib/bfrecord/message.go
+++ b/lib/bfrecord/message.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Reason is why an arrival was not run.
+// Reason is the reason why an arrival was not run.
 type Reason string
 
-// The reasons of refusals.
+// The reasons of a Refusal or NotRun.
 const (
 	ReasonBarred      Reason = "barred"
 	ReasonTooLate     Reason = "too late"
@@ -21,41 +21,41 @@
 	ReasonCanceled    Reason = "canceled"
 	ReasonTableAway   Reason = "table away"
 	ReasonUnreachable Reason = "unreachable"
-	// ReasonQuarantined means that several targets have ended under the request.
+	// ReasonQuarantined means that several targets crashed while running the request.
 	ReasonQuarantined Reason = "quarantined"
 )
 
-// Refusal is the home's answer to an arrival that it did not run.
+// Refusal is the home's response to an arrival that it did not run.
 type Refusal struct {
 	ID         ID            `json:"id" cbor:"1,keyasint"`
 	Home       Home          `json:"home" cbor:"2,keyasint"`
 	Reason     Reason        `json:"reason" cbor:"3,keyasint"`
 	RetryAfter time.Duration `json:"retryAfter,omitempty" cbor:"4,keyasint,omitempty"`
-	// Barred says that the home has barred every arrival of the ID, not only refused this one.
+	// Barred reports that the home rejects every arrival of the ID, past and future, not only this one.
 	Barred bool `json:"barred,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
-// AnswerMessage is an Answer as it travels.
+// AnswerMessage is the wire form of an Answer.
 type AnswerMessage struct {
 	Status int                 `json:"status,omitempty" cbor:"1,keyasint,omitempty"`
 	Header map[string][]string `json:"header,omitempty" cbor:"2,keyasint,omitempty"`
 	Body   []byte              `json:"body,omitempty" cbor:"3,keyasint,omitempty"`
-	// Dropped says that header and body were not kept.
+	// Dropped reports that header and body were not kept.
 	Dropped bool `json:"dropped,omitempty" cbor:"4,keyasint,omitempty"`
-	// Lost is why the outcome can't be known, if it can't.
+	// Lost is the reason why the outcome is unknown; empty if it is known.
 	Lost string `json:"lost,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
-// ResolveRequest asks a home what became of a request that was sent to it.
+// ResolveRequest queries a home for the state of a request that was sent to it.
 type ResolveRequest struct {
 	ID   ID   `json:"id" cbor:"1,keyasint"`
 	Home Home `json:"home" cbor:"2,keyasint"`
 }
 
-// ResolveState is the kind of a Resolution.
+// ResolveState is the wire form of a Resolution's type.
 type ResolveState string
 
-// The kinds of resolutions.
+// The states in a ResolveReply.
 const (
 	ResolvedNeverSeen ResolveState = "never seen"
 	ResolvedRunning   ResolveState = "running"
@@ -64,7 +64,7 @@
 	ResolvedHomeLost  ResolveState = "home lost"
 )
 
-// ResolveReply is the home's answer to a ResolveRequest.
+// ResolveReply is the home's response to a ResolveRequest.
 type ResolveReply struct {
 	ID     ID             `json:"id" cbor:"1,keyasint"`
 	Home   Home           `json:"home" cbor:"2,keyasint"`
@@ -72,16 +72,16 @@
 	Answer *AnswerMessage `json:"answer,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// MessageError reports a message that says nothing the receiver can act on.
+// MessageError reports a message that is invalid or of another request.
 type MessageError struct {
 	What string
 	ID   ID
 }
 
-// Error names the message and the request.
+// Error includes the problem and the request ID.
 func (e *MessageError) Error() string { return fmt.Sprintf("%s for request %s", e.What, e.ID) }
 
-// NewAnswerMessage is the answer's wire form.
+// NewAnswerMessage returns the wire form of an answer.
 func NewAnswerMessage(answer Answer) AnswerMessage {
 	switch a := answer.(type) {
 	case WholeAnswer:
@@ -89,19 +89,19 @@
 	case DroppedAnswer:
 		return AnswerMessage{Status: a.status, Dropped: true}
 	case LostAnswer:
-		return AnswerMessage{Lost: orUnspecified(a.reason)}
+		return AnswerMessage{Lost: reasonOrDefault(a.reason)}
 	}
 	return AnswerMessage{Lost: fmt.Sprintf("answer of unknown type %T", answer)}
 }
 
-func orUnspecified(reason string) string {
+func reasonOrDefault(reason string) string {
 	if reason == "" {
 		return "unspecified"
 	}
 	return reason
 }
 
-// Answer is the answer that the message carries.
+// Answer returns the decoded answer.
 func (m AnswerMessage) Answer() Answer {
 	switch {
 	case m.Lost != "":
@@ -112,7 +112,7 @@
 	return WholeAnswer{status: m.Status, header: m.Header, body: m.Body}
 }
 
-// NewResolveReply is the resolution's wire form; home is who answers.
+// NewResolveReply returns the wire form of a resolution; home is the responding incarnation.
 func NewResolveReply(id ID, home Home, resolution Resolution) ResolveReply {
 	reply := ResolveReply{ID: id, Home: home, State: ResolvedForgotten}
 	switch r := resolution.(type) {
@@ -131,7 +131,7 @@
 	return reply
 }
 
-// Resolution is the resolution that the reply carries.
+// Resolution returns the decoded resolution, or a *MessageError.
 func (r ResolveReply) Resolution() (Resolution, error) {
 	switch r.State {
 	case ResolvedNeverSeen:
@@ -151,12 +151,12 @@
 	return nil, &MessageError{What: fmt.Sprintf("resolution %q", r.State), ID: r.ID}
 }
 
-// NewAbortRefusal is the refusal of a request after Abort.
+// NewAbortRefusal returns the refusal of a request after Book.Abort.
 func NewAbortRefusal(id ID, home Home, reason Reason, retryAfter time.Duration) Refusal {
 	return Refusal{ID: id, Home: home, Reason: reason, RetryAfter: retryAfter, Barred: true}
 }
 
-// NewVerdictRefusal is the refusal that a verdict asks for; Run, StillRunning and Replay are none.
+// NewVerdictRefusal returns the refusal for a verdict, and false for Run, StillRunning and Replay.
 func NewVerdictRefusal(id ID, home Home, verdict Verdict) (Refusal, bool) {
 	refusal := Refusal{ID: id, Home: home}
 	switch verdict.(type) {
--- a/lib/bfrecord/outcome.go
+++ b/lib/bfrecord/outcome.go
@@ -2,105 +2,106 @@
 
 import "time"
 
-// Outcome is the sealed set of what a caller is told: Done, NotRun, InProgress and Unknown.
+// Outcome is the result reported to the caller. It is a sealed interface: Done,
+// NotRun, InProgress or Unknown.
 type Outcome interface{ outcome() }
 
-// Done says that the request ran, once.
+// Done means that the request ran exactly once.
 type Done struct{ answer Answer }
 
-// Answer is what the run came to; it is never a LostAnswer.
+// Answer returns the result, which is never a LostAnswer.
 func (d Done) Answer() Answer { return d.answer }
 
-// NotRun says that this sending of the request was not run and never will be.
+// NotRun means that this send of the request was not run and never will be.
 //
-// It is an interface that only this package implements, so that no zero value
-// exists: each NotRun was made from a Proof.
+// It is an interface implemented only in this package, so that there is no zero
+// value and each NotRun has a Proof.
 type NotRun interface {
 	Outcome
-	// Proof is what shows that the sending was not run.
+	// Proof returns the evidence that the send was not run.
 	Proof() Proof
-	// Reason is why it was not run.
+	// Reason returns why it was not run.
 	Reason() Reason
-	// RetryAfter is how long to wait before a new sending; 0 says nothing.
+	// RetryAfter returns the suggested delay before a retry; 0 means none is suggested.
 	RetryAfter() time.Duration
-	// EarlierMayHaveRun reports that the caller's key may have run in another sending.
+	// EarlierMayHaveRun reports whether the key's request may have run in another send.
 	EarlierMayHaveRun() bool
 }
 
-// InProgress says that an earlier sending of the caller's key has not ended.
+// InProgress means that another request with the caller's key is still running.
 type InProgress struct{ id ID }
 
-// ID is the earlier sending's request ID.
+// ID returns the running request's ID.
 func (p InProgress) ID() ID { return p.id }
 
-// Unknown says that the request may have run and that the system will not run it again.
+// Unknown means that the request may have run; the system will not run it again.
 type Unknown struct{ id ID }
 
-// ID is the request ID to ask by.
+// ID returns the request ID, by which its state can be queried.
 func (u Unknown) ID() ID { return u.id }
 
 type notRun struct {
-	proof      Proof
-	reason     Reason
-	retryAfter time.Duration
-	earlier    bool
+	proof             Proof
+	reason            Reason
+	retryAfter        time.Duration
+	earlierMayHaveRun bool
 }
 
-// Proof is what shows that the sending was not run.
+// Proof returns the evidence that the send was not run.
 func (n notRun) Proof() Proof { return n.proof }
 
-// Reason is why it was not run.
+// Reason returns why it was not run.
 func (n notRun) Reason() Reason { return n.reason }
 
-// RetryAfter is how long to wait before a new sending.
+// RetryAfter returns the suggested delay before a retry.
 func (n notRun) RetryAfter() time.Duration { return n.retryAfter }
 
-// EarlierMayHaveRun reports that the caller's key may have run in another sending.
-func (n notRun) EarlierMayHaveRun() bool { return n.earlier }
+// EarlierMayHaveRun reports whether the key's request may have run in another send.
+func (n notRun) EarlierMayHaveRun() bool { return n.earlierMayHaveRun }
 
 func (Done) outcome()       {}
 func (notRun) outcome()     {}
 func (InProgress) outcome() {}
 func (Unknown) outcome()    {}
 
-// Proof is the sealed set of what shows that a request was not run: NeverSent,
-// RefusedBeforeRun and BarredProof.
+// Proof is evidence that a request was not run. It is a sealed interface:
+// NeverSent, RefusedBeforeRun or BarredProof.
 //
-// Its fields are set by this package alone; a zero Proof proves nothing.
+// Only this package sets the fields; a zero value proves nothing.
 type Proof interface {
-	// ID is the request that was not run.
+	// ID returns the request that was not run.
 	ID() ID
 	proof()
 }
 
-// NeverSent shows that no byte of the request left the entry node.
+// NeverSent proves that no byte of the request left the entry node.
 type NeverSent struct{ id ID }
 
-// RefusedBeforeRun shows that the home refused the only arrival there can be, or barred all of them.
+// RefusedBeforeRun proves that the home refused the only possible arrival, or barred all arrivals.
 type RefusedBeforeRun struct {
 	id   ID
 	home Home
 }
 
-// BarredProof shows that the home never handed the request to its target and has barred it for good.
+// BarredProof proves that the home never forwarded the request to its target and has permanently barred it.
 type BarredProof struct {
 	id   ID
 	home Home
 }
 
-// ID is the request that was never sent.
+// ID returns the request that was never sent.
 func (p NeverSent) ID() ID { return p.id }
 
-// ID is the request that was refused.
+// ID returns the refused request.
 func (p RefusedBeforeRun) ID() ID { return p.id }
 
-// Home is who refused.
+// Home returns the incarnation that refused it.
 func (p RefusedBeforeRun) Home() Home { return p.home }
 
-// ID is the request that is barred.
+// ID returns the barred request.
 func (p BarredProof) ID() ID { return p.id }
 
-// Home is who barred it.
+// Home returns the incarnation that barred it.
 func (p BarredProof) Home() Home { return p.home }
 
 func (NeverSent) proof()        {}
--- a/lib/bfrecord/queue.go
+++ b/lib/bfrecord/queue.go
@@ -1,6 +1,6 @@
 package bfrecord
 
-// queue is first in, first out.
+// queue is a FIFO queue with amortized constant cost.
 type queue[T any] struct {
 	items []T
 	head  int
@@ -17,7 +17,7 @@
 	var zero T
 	q.items[q.head] = zero
 	q.head++
-	// Moving the rest once half is free costs each item at most one move.
+	// Compacting only when half is free amortizes to at most one move per item.
 	if q.head*2 >= len(q.items) {
 		n := copy(q.items, q.items[q.head:])
 		clear(q.items[n:])
--- a/lib/bfrecord/scope.go
+++ b/lib/bfrecord/scope.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// scopeKey is a source of IDs with one growing counter.
+// scopeKey identifies a source of IDs with one increasing counter.
 type scopeKey struct {
 	entry  Home
 	minted bool
@@ -11,78 +11,78 @@
 type scope struct {
 	key     scopeKey
 	records int
-	// watermark is the highest counter of a dropped record; nothing at or under it can be vouched for.
+	// watermark is the highest counter of a dropped record; IDs at or below it may have had a record.
 	watermark uint64
 	queued    bool
 }
 
 // scopeSet holds the watermarks of a book.
 //
-// Watermarks are kept by scope, so an entry whose clock is ahead spoils only
-// its own IDs. Scopes come and go with every restart in the fleet, so an idle
-// one is folded into floor, which stands for all scopes not known: counters
-// follow the clock, so what floor refuses is older than the retention. If an
-// entry's clock is wrong the book refuses too much, and never runs anything twice.
+// Watermarks are kept per scope, so an entry whose clock is ahead affects only
+// its own IDs. Every restart in the fleet creates scopes, so an idle scope is
+// folded into floor, the common watermark of all untracked scopes: counters follow
+// the clock, so IDs at or below floor are older than the retention. A wrong clock
+// can cause needless refusals, but never a second run.
 type scopeSet struct {
 	limit int
-	known map[scopeKey]*scope
+	byKey map[scopeKey]*scope
 	idle  queue[*scope]
 	floor uint64
 }
 
 func newScopeSet(limit int) scopeSet {
-	return scopeSet{limit: limit, known: map[scopeKey]*scope{}}
+	return scopeSet{limit: limit, byKey: map[scopeKey]*scope{}}
 }
 
-// dropped reports whether a record of id may have existed that is gone.
-func (s *scopeSet) dropped(id ID) bool {
-	if known, found := s.known[id.scope()]; found {
+// mayHaveDropped reports whether id may have had a record that was dropped.
+func (s *scopeSet) mayHaveDropped(id ID) bool {
+	if known, found := s.byKey[id.scope()]; found {
 		return id.Counter <= known.watermark
 	}
 	return id.Counter <= s.floor
 }
 
-// hold finds or makes the scope of a new record; it returns nil if there is no room.
-func (s *scopeSet) hold(key scopeKey) *scope {
-	known, found := s.known[key]
+// acquire returns the scope for a new record, or nil if it is new and the limit is reached.
+func (s *scopeSet) acquire(key scopeKey) *scope {
+	known, found := s.byKey[key]
 	if !found {
-		if len(s.known) >= s.limit {
+		if len(s.byKey) >= s.limit {
 			return nil
 		}
 		known = &scope{key: key, watermark: s.floor}
-		s.known[key] = known
+		s.byKey[key] = known
 	}
 	known.records++
 	return known
 }
 
-// release notes that a record of the scope is dropped.
-func (s *scopeSet) release(of *scope, counter uint64) {
-	of.watermark = max(of.watermark, counter)
-	of.records--
-	if of.records == 0 && !of.queued {
-		of.queued = true
-		s.idle.push(of)
+// release updates a scope after dropping the record with counter.
+func (s *scopeSet) release(released *scope, counter uint64) {
+	released.watermark = max(released.watermark, counter)
+	released.records--
+	if released.records == 0 && !released.queued {
+		released.queued = true
+		s.idle.push(released)
 	}
 }
 
-// collect folds idle scopes whose watermark is before horizon into floor.
+// foldIdle folds idle scopes whose watermark is at or before horizon into floor.
 //
-// One whose watermark is later stays: folding it would refuse other entries' fresh requests.
-func (s *scopeSet) collect(horizon time.Time) {
+// Scopes with a later watermark stay: folding them would refuse recent requests of other entries.
+func (s *scopeSet) foldIdle(horizon time.Time) {
 	const perCall = 4
 	limit := uint64(max(horizon.UnixMicro(), 0))
 	for range min(perCall, s.idle.len()) {
-		of := s.idle.pop()
+		candidate := s.idle.pop()
 		switch {
-		case of.records > 0:
+		case candidate.records > 0:
 			// In use again: release queues it anew.
-			of.queued = false
-		case of.watermark > limit:
-			s.idle.push(of)
+			candidate.queued = false
+		case candidate.watermark > limit:
+			s.idle.push(candidate)
 		default:
-			s.floor = max(s.floor, of.watermark)
-			delete(s.known, of.key)
+			s.floor = max(s.floor, candidate.watermark)
+			delete(s.byKey, candidate.key)
 		}
 	}
 }
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sharded is a Book for concurrent use: each ID belongs to one of several books with a lock of its own.
+// Sharded is a Book for concurrent use, sharded by request ID with a lock per shard.
 type Sharded struct {
 	home   Home
 	shards []shard
@@ -16,68 +16,69 @@
 type shard struct {
 	mu   sync.Mutex
 	book *Book
-	// Locks on one cache line would slow each other down.
+	// Padding avoids false sharing of locks on one cache line.
 	_ [48]byte
 }
 
-// NewSharded makes the empty books of home; all of limits but Running are shared out among them.
-func NewSharded(home Home, limits Limits, shards int) *Sharded {
-	limits.Records = max(limits.Records/shards, 1)
-	limits.Scopes = max(limits.Scopes/shards, 1)
-	limits.Bytes /= shards
-	s := &Sharded{home: home, shards: make([]shard, shards)}
+// NewSharded returns an empty Sharded for home. Each shard gets an equal part of
+// the Records, Scopes and Bytes limits; the other limits apply to each shard in full.
+func NewSharded(home Home, limits Limits, shardCount int) *Sharded {
+	limits.Records = max(limits.Records/shardCount, 1)
+	limits.Scopes = max(limits.Scopes/shardCount, 1)
+	limits.Bytes /= shardCount
+	s := &Sharded{home: home, shards: make([]shard, shardCount)}
 	for i := range s.shards {
 		s.shards[i].book = NewBook(home, limits)
 	}
 	return s
 }
 
-// Home is the incarnation whose books these are.
+// Home returns the incarnation whose requests are tracked.
 func (s *Sharded) Home() Home { return s.home }
 
 func (s *Sharded) shard(id ID) *shard {
-	const odd = 0x9e3779b97f4a7c15
-	hash := (xxhash.Sum64String(id.Entry.Instance) ^ id.Counter) * odd
+	const multiplier = 0x9e3779b97f4a7c15
+	hash := (xxhash.Sum64String(id.Entry.Instance) ^ id.Counter) * multiplier
 	return &s.shards[(hash>>32)%uint64(len(s.shards))]
 }
 
-// Begin is Book.Begin.
+// Begin calls Book.Begin on the ID's shard.
 func (s *Sharded) Begin(now time.Time, request Request) Verdict {
-	of := s.shard(request.ID)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Begin(now, request)
+	locked := s.shard(request.ID)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.book.Begin(now, request)
 }
 
-// Finish is Book.Finish.
+// Finish calls Book.Finish on the ID's shard.
 func (s *Sharded) Finish(now time.Time, id ID, answer Answer) error {
-	of := s.shard(id)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Finish(now, id, answer)
+	locked := s.shard(id)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.book.Finish(now, id, answer)
 }
 
-// Abort is Book.Abort.
+// Abort calls Book.Abort on the ID's shard.
 func (s *Sharded) Abort(now time.Time, id ID) error {
-	of := s.shard(id)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Abort(now, id)
+	locked := s.shard(id)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.book.Abort(now, id)
 }
 
-// Resolve is Book.Resolve.
+// Resolve calls Book.Resolve on the ID's shard.
 func (s *Sharded) Resolve(now time.Time, id ID, home Home) Resolution {
-	of := s.shard(id)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Resolve(now, id, home)
+	locked := s.shard(id)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.book.Resolve(now, id, home)
 }
 
-// Stats sums what the books hold.
+// Stats returns the sum of the shards' counters.
 func (s *Sharded) Stats() Stats {
 	var sum Stats
 	for i := range s.shards {
-		sum = sum.plus(s.shards[i].stats())
+		sum = sum.add(s.shards[i].stats())
 	}
 	return sum
 }
@@ -88,7 +89,7 @@
 	return s.book.Stats()
 }
 
-func (s Stats) plus(o Stats) Stats {
+func (s Stats) add(o Stats) Stats {
 	return Stats{
 		records: s.records + o.records, running: s.running + o.running,
 		scopes: s.scopes + o.scopes, bytes: s.bytes + o.bytes,
--- a/lib/bfrecord/verdict.go
+++ b/lib/bfrecord/verdict.go
@@ -1,37 +1,37 @@
 package bfrecord
 
-// Verdict is the sealed set of answers to an arrival: Run, Barred, StillRunning,
-// Replay, TooLate, Mismatch, HomeChanged and Full.
+// Verdict is the decision on an arrival. It is a sealed interface: Run, Barred,
+// StillRunning, Replay, TooLate, Mismatch, HomeChanged or Full.
 type Verdict interface{ verdict() }
 
-// Run says that this arrival, and no other of its ID, is to be run.
+// Run means that this arrival, and no other of its ID, is to be run.
 type Run struct{}
 
-// Barred says that the request never ran and never will.
+// Barred means that the request never ran and is permanently rejected.
 type Barred struct{}
 
-// StillRunning says that an earlier arrival of the ID has not ended.
+// StillRunning means that an earlier arrival of the ID is still running.
 type StillRunning struct{}
 
-// Replay gives the end of an earlier arrival of the ID.
+// Replay returns the result of an earlier arrival of the ID.
 type Replay struct{ answer Answer }
 
-// Answer is what the first run came to.
+// Answer returns the recorded result.
 func (r Replay) Answer() Answer { return r.answer }
 
-// TooLate says that the ID is older than what the book can vouch for: this arrival is not run.
+// TooLate means that the record of the ID may have been dropped; the arrival is not run.
 type TooLate struct{}
 
-// Mismatch says that the ID is known with other content: this arrival is not run.
+// Mismatch means that the ID is registered with other content; the arrival is not run.
 type Mismatch struct{}
 
-// HomeChanged says that the arrival names another incarnation: it is not run here.
+// HomeChanged means that the arrival was sent to another incarnation; it is not run.
 type HomeChanged struct{ home Home }
 
-// Home is who answered.
+// Home returns the responding incarnation.
 func (h HomeChanged) Home() Home { return h.home }
 
-// Full says that the book has no room for a new record: this arrival is not run.
+// Full means that a limit of the Book is reached; the arrival is not run.
 type Full struct{}
 
 func (Run) verdict()          {}
@@ -43,29 +43,29 @@
 func (HomeChanged) verdict()  {}
 func (Full) verdict()         {}
 
-// Resolution is the sealed set of answers to "what became of it?": NeverSeen,
-// Running, Finished, Forgotten and HomeLost.
+// Resolution is the state of a request at its home. It is a sealed interface:
+// NeverSeen, Running, Finished, Forgotten or HomeLost.
 type Resolution interface{ resolution() }
 
-// NeverSeen says that the request was never handed to the target and is barred for good.
+// NeverSeen means that the request was never forwarded to the target and is permanently barred.
 type NeverSeen struct{}
 
-// Running says that the request has not ended.
+// Running means that the request is still running.
 type Running struct{}
 
-// Finished gives the end of the request.
+// Finished holds the result of a completed request.
 type Finished struct{ answer Answer }
 
-// Answer is what the run came to.
+// Answer returns the result.
 func (f Finished) Answer() Answer { return f.answer }
 
-// Forgotten says that the book can't vouch for an ID that old.
+// Forgotten means that the request's record may have been dropped.
 type Forgotten struct{}
 
-// HomeLost says that the incarnation asked about is gone, and with it what it knew.
+// HomeLost means that the queried incarnation has ended and its records are lost.
 type HomeLost struct{ home Home }
 
-// Home is who answered.
+// Home returns the responding incarnation.
 func (h HomeLost) Home() Home { return h.home }
 
 func (NeverSeen) resolution() {}
