--- a/lib/bfstore/doc.go
+++ b/lib/bfstore/doc.go
@@ -1,5 +1,5 @@
-// Package bfstore says what the platform's table service and object store do,
-// in types that know no transport: rows with revisions, conditional
-// transactions of several rows, and named objects. Memory is the whole of it
-// in memory, for the stand-in and for tests.
+// Package bfstore defines the platform's table service and object store,
+// independent of transport: rows with revisions, conditional multi-row
+// transactions, watchable tables and named objects. Memory and MemoryRows
+// implement them in memory, for tests and the platform stand-in.
 package bfstore
--- a/lib/bfstore/memory.go
+++ b/lib/bfstore/memory.go
@@ -9,7 +9,7 @@
 	"github.com/google/btree"
 )
 
-// Memory is a table and an object store in memory; nothing outlives the process.
+// Memory is an in-memory Table and Objects. It is safe for concurrent use.
 type Memory struct {
 	mu       sync.RWMutex
 	rows     *btree.BTreeG[Row]
@@ -17,14 +17,14 @@
 	objects  map[string][]byte
 }
 
-// NewMemory makes an empty table and object store.
+// NewMemory returns an empty table and object store.
 func NewMemory() *Memory {
 	const degree = 16
 	less := func(a, b Row) bool { return a.Key < b.Key }
 	return &Memory{rows: btree.NewG(degree, less), objects: map[string][]byte{}}
 }
 
-// Get reads rows as of one moment.
+// Get implements Table.
 func (m *Memory) Get(_ context.Context, keys ...string) ([]Row, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -35,7 +35,7 @@
 	return rows, nil
 }
 
-// row needs the lock.
+// row returns the row with key; m.mu must be held.
 func (m *Memory) row(key string) Row {
 	if row, found := m.rows.Get(Row{Key: key}); found {
 		return row
@@ -43,7 +43,7 @@
 	return Row{Key: key}
 }
 
-// Range reads up to limit rows with from <= key < to.
+// Range implements Table.
 func (m *Memory) Range(_ context.Context, from, to string, limit int) ([]Row, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -58,7 +58,7 @@
 	return rows, nil
 }
 
-// Commit runs the transaction.
+// Commit implements Table; its only error is a *ConflictError.
 func (m *Memory) Commit(_ context.Context, tx Transaction) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// PutObject stores data under name.
+// PutObject implements Objects.
 func (m *Memory) PutObject(_ context.Context, name string, data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Object reads what is stored under name.
+// Object implements Objects; its only error is a *NotFoundError.
 func (m *Memory) Object(_ context.Context, name string) ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -97,7 +97,7 @@
 	return data, nil
 }
 
-// ListObjects lists the names that start with prefix.
+// ListObjects implements Objects.
 func (m *Memory) ListObjects(_ context.Context, prefix string) ([]string, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -111,7 +111,7 @@
 	return names, nil
 }
 
-// DeleteObject removes what is stored under name.
+// DeleteObject implements Objects.
 func (m *Memory) DeleteObject(_ context.Context, name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/lib/bfstore/memoryrows.go
+++ b/lib/bfstore/memoryrows.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// MemoryRows is a Rows in memory, for tests and stand-ins.
+// MemoryRows is an in-memory Rows, for tests and the platform stand-in. It is safe for concurrent use.
 type MemoryRows struct {
 	mu       sync.Mutex
 	revision uint64
 	// tables holds each table's rows by key, removed ones included.
 	tables map[string]map[string]Entry
-	// dropped is the revision up to which changes are no longer told.
-	dropped uint64
+	// compactedRevision is the revision up to which the change history was dropped.
+	compactedRevision uint64
+	// changed is closed and replaced at every change, to wake waiting Changes calls.
 	changed chan struct{}
 }
 
-// NewMemoryRows makes an empty store.
+// NewMemoryRows returns an empty store.
 func NewMemoryRows() *MemoryRows {
 	return &MemoryRows{tables: map[string]map[string]Entry{}, changed: make(chan struct{})}
 }
 
-// List reads a whole table.
+// List implements Rows.
 func (m *MemoryRows) List(_ context.Context, table string) ([]Entry, uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	entries := m.since(table, 0)
+	entries := m.changedSince(table, 0)
 	return slices.DeleteFunc(entries, func(e Entry) bool { return e.Removed }), m.revision, nil
 }
 
-// since lists the rows changed after a revision by key; it needs the lock.
-func (m *MemoryRows) since(table string, after uint64) []Entry {
+// changedSince returns by key the rows changed after a revision; m.mu must be held.
+func (m *MemoryRows) changedSince(table string, after uint64) []Entry {
 	var entries []Entry
 	for _, entry := range m.tables[table] {
 		if entry.Revision > after {
@@ -44,18 +45,18 @@
 	return entries
 }
 
-// Changes waits for rows changed after a revision.
+// Changes implements Rows; its errors are *HistoryError and that of ctx.
 func (m *MemoryRows) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]Entry, uint64, error) {
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		entries, revision, changed, err := m.look(table, after)
+		entries, revision, changed, err := m.poll(table, after)
 		if err != nil || len(entries) > 0 {
 			return entries, revision, err
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			return nil, revision, nil
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
@@ -63,32 +64,32 @@
 	}
 }
 
-func (m *MemoryRows) look(table string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
+func (m *MemoryRows) poll(table string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if after < m.dropped {
+	if after < m.compactedRevision {
 		return nil, 0, nil, &HistoryError{Table: table, After: after}
 	}
-	return m.since(table, after), m.revision, m.changed, nil
+	return m.changedSince(table, after), m.revision, m.changed, nil
 }
 
-// Put writes a row that still has the revision.
+// Put writes a row if it still has the revision, and returns its new revision.
 func (m *MemoryRows) Put(ctx context.Context, table, key string, value []byte, revision uint64) (uint64, error) {
 	return m.Write(ctx, table, RowWrite{Key: key, Value: value, Revision: revision})
 }
 
-// Remove removes a row that still has the revision.
+// Remove removes a row if it still has the revision.
 func (m *MemoryRows) Remove(ctx context.Context, table, key string, revision uint64) error {
 	_, err := m.Write(ctx, table, RowWrite{Key: key, Remove: true, Revision: revision})
 	return err
 }
 
-// Write makes all of the writes or none of them.
+// Write implements Rows; its only error is a *ConflictError.
 func (m *MemoryRows) Write(_ context.Context, table string, writes ...RowWrite) (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range writes {
-		if err := m.check(table, w); err != nil {
+		if err := m.checkRevision(table, w); err != nil {
 			return 0, err
 		}
 	}
@@ -104,8 +105,8 @@
 	return m.revision, nil
 }
 
-// check reports a row that is not as a write expects it; it needs the lock.
-func (m *MemoryRows) check(table string, w RowWrite) error {
+// checkRevision returns a *ConflictError if the row's revision is not the expected one; m.mu must be held.
+func (m *MemoryRows) checkRevision(table string, w RowWrite) error {
 	held := m.tables[table][w.Key]
 	present := held.Revision
 	if held.Removed {
@@ -117,11 +118,11 @@
 	return nil
 }
 
-// DropHistory forgets all changes so far: who follows from before must list anew.
+// DropHistory drops the change history, so that Changes after an earlier revision returns a *HistoryError.
 func (m *MemoryRows) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dropped = m.revision
+	m.compactedRevision = m.revision
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/lib/bfstore/rows.go
+++ b/lib/bfstore/rows.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Entry is one row of a named table, or the word that it was removed.
+// Entry is a row of a named table, or a record of its removal.
 type Entry struct {
 	Key      string
 	Value    []byte
@@ -14,38 +14,40 @@
 	Removed  bool
 }
 
-// Rows is a store of named tables whose changes can be followed.
+// Rows is a store of named tables whose changes can be watched.
 type Rows interface {
-	// List reads a whole table as of one moment, and the revision of that moment.
+	// List returns a consistent snapshot of a table and the snapshot's revision.
 	List(ctx context.Context, table string) ([]Entry, uint64, error)
-	// Changes waits for rows changed after a revision, at most wait; the revision returned is where to go on.
+	// Changes returns the rows changed after a revision, waiting for a change for at most wait,
+	// and the revision to pass to the next call. It returns a *HistoryError if the changes are
+	// no longer kept.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]Entry, uint64, error)
-	// Write makes all of the writes or none of them, and returns the revision that the rows
-	// then have. Its errors are ConflictError, UnavailableError and UnknownError.
+	// Write applies all writes atomically, and returns the rows' new revision. Its errors are
+	// *ConflictError, *UnavailableError and *UnknownError.
 	Write(ctx context.Context, table string, writes ...RowWrite) (uint64, error)
 }
 
-// MaxWrites is how many writes may be made together: the platform takes 100 entries in a
-// call, and each write is one and its condition another.
+// MaxWrites is the maximum number of writes in one Write: the platform accepts 100 entries
+// per call, and each write takes two, itself and its condition.
 const MaxWrites = 50
 
-// RowWrite is what becomes of one row.
+// RowWrite is a conditional write or removal of one row.
 type RowWrite struct {
 	Key string
-	// Value is what the row holds then; Remove says that it is gone instead.
+	// Value is the new value; it is ignored if Remove is set, which removes the row.
 	Value  []byte
 	Remove bool
-	// Revision is the one that the row must still have, 0 for one that does not exist.
+	// Revision is the revision that the row must have, 0 if it must not exist.
 	Revision uint64
 }
 
-// HistoryError reports that the changes after a revision are no longer kept: the table must be listed anew.
+// HistoryError reports that the changes after a revision are no longer kept; the caller must list the table again.
 type HistoryError struct {
 	Table string
 	After uint64
 }
 
-// Error names the table and the revision.
+// Error includes the table and the revision.
 func (e *HistoryError) Error() string {
 	return fmt.Sprintf("changes of table %q after revision %d are no longer kept", e.Table, e.After)
 }
--- a/lib/bfstore/store.go
+++ b/lib/bfstore/store.go
@@ -10,24 +10,24 @@
 type Row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	// Revision grows with every write to the row and is never used twice.
+	// Revision increases with every write to the row and is never reused.
 	Revision uint64 `json:"revision"`
 }
 
-// Condition holds a transaction back unless the row still has the revision; 0 means it must not exist.
+// Condition requires that a row has the revision, or does not exist if Revision is 0.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-// Write sets a row's value, or removes the row.
+// Write sets a row's value, or removes the row if Remove is set.
 type Write struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Remove bool   `json:"remove,omitempty"`
 }
 
-// Transaction applies all its writes if all its conditions hold, and none otherwise.
+// Transaction atomically applies all its writes if all its conditions hold, and none otherwise.
 type Transaction struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes"`
@@ -35,54 +35,55 @@
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Get reads rows as of one moment, in the order of keys.
+	// Get reads a consistent snapshot of the rows, in the order of keys.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// Range reads up to limit rows with from <= key < to, by key.
+	// Range reads up to limit rows with from <= key < to, sorted by key.
 	Range(ctx context.Context, from, to string, limit int) ([]Row, error)
-	// Commit runs the transaction; its errors are ConflictError, UnavailableError and UnknownError.
+	// Commit runs the transaction. Its errors are *ConflictError, *UnavailableError and *UnknownError.
 	Commit(ctx context.Context, tx Transaction) error
 }
 
 // Objects is the platform's object store.
 type Objects interface {
-	// PutObject stores data under name, in place of what was there.
+	// PutObject stores data under name and replaces an existing object.
 	PutObject(ctx context.Context, name string, data []byte) error
-	// Object reads what is stored under name.
+	// Object returns the data stored under name, or a *NotFoundError.
 	Object(ctx context.Context, name string) ([]byte, error)
-	// ListObjects lists the names that start with prefix, by name.
+	// ListObjects returns the names that start with prefix, sorted.
 	ListObjects(ctx context.Context, prefix string) ([]string, error)
-	// DeleteObject removes what is stored under name, if anything is.
+	// DeleteObject removes the object under name; it is no error if there is none.
 	DeleteObject(ctx context.Context, name string) error
 }
 
-// ConflictError reports a transaction that was not applied since a condition did not hold.
+// ConflictError reports a transaction that was not applied because a condition did not hold.
 type ConflictError struct {
-	// Row is the first row whose condition failed, as it is now.
+	// Row is the current state of the first row whose condition failed.
 	Row Row
 }
 
-// Error names the row.
+// Error includes the row's key and revision.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("row %q is at revision %d", e.Row.Key, e.Row.Revision)
 }
 
-// UnavailableError reports a call that certainly had no effect.
+// UnavailableError reports a failed call that had no effect.
 type UnavailableError struct {
-	Reason     string
+	Reason string
+	// RetryAfter is the suggested delay before a retry; 0 if none is suggested.
 	RetryAfter time.Duration
 }
 
-// Error gives the reason.
+// Error includes the reason.
 func (e *UnavailableError) Error() string { return "platform unavailable: " + e.Reason }
 
 // UnknownError reports a write that may or may not have taken effect.
 type UnknownError struct{ Reason string }
 
-// Error gives the reason.
+// Error includes the reason.
 func (e *UnknownError) Error() string { return "outcome of the write unknown: " + e.Reason }
 
 // NotFoundError reports an object that is not stored.
 type NotFoundError struct{ Name string }
 
-// Error names the object.
+// Error includes the object's name.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("object %q not found", e.Name) }
