--- a/lib/bfbackup/backup.go
+++ b/lib/bfbackup/backup.go
@@ -14,54 +14,56 @@
 )
 
 const (
-	// interval is the pause between two looks at whether there is something to do.
-	interval = 500 * time.Millisecond
-	// longestRow bounds the row in bytes: the platform takes 64 KiB.
-	longestRow = 48 << 10
-	// rowKey is the key of the one row.
+	// pollInterval is the average time between checks for changes.
+	pollInterval = 500 * time.Millisecond
+	// maxRowBytes bounds the encoded row; the platform accepts 64 KiB.
+	maxRowBytes = 48 << 10
+	// rowKey is the key of the only row.
 	rowKey = "held"
 )
 
-// Parts is what a Backup works with.
+// Parts holds the dependencies of a Backup.
 type Parts struct {
+	// Table is the name of the table that holds the copy.
 	Table string
 	Rows  bfstore.Rows
-	Book  *bfquarantine.Book
-	// Keeps reports whether this node keeps the copy now.
+	// Book is this node's quarantine.
+	Book *bfquarantine.Book
+	// Keeps reports whether this node currently maintains the copy.
 	Keeps func() bool
-	// Take takes what the copy holds, here and at the other nodes.
+	// Take merges restored records into this node's quarantine and distributes them to the other nodes.
 	Take func([]bfquarantine.Record)
-	// First says that the whole fleet starts for the first time: there is no copy.
+	// First reports that the fleet starts for the first time, so that there is no copy to read.
 	First  bool
 	Timer  *bftimer.Service
 	Logger *bflog.Logger
 }
 
-// Backup keeps the copy while this node is the one that does.
+// Backup maintains the copy while Parts.Keeps reports true.
 type Backup struct {
 	parts Parts
-	// known says that the row is known, as of revision; kept is the digest of what it holds.
-	known    bool
-	revision uint64
-	kept     uint64
+	// rowKnown reports that revision and storedDigest match the stored row.
+	rowKnown     bool
+	revision     uint64
+	storedDigest uint64
 }
 
-// New makes the backup of a node.
-func New(parts Parts) *Backup { return &Backup{parts: parts, known: parts.First} }
+// New returns the Backup of a node; Run starts it.
+func New(parts Parts) *Backup { return &Backup{parts: parts, rowKnown: parts.First} }
 
-// row is what the store holds.
+// row is the value of the stored row.
 type row struct {
 	Records []bfquarantine.Record `cbor:"1,keyasint"`
-	// Digest identifies what was held, of which Records may be a part.
+	// Digest is the digest of the whole quarantine, of which Records may be a part.
 	Digest uint64 `cbor:"2,keyasint"`
 }
 
-// Run keeps the copy until ctx ends.
+// Run maintains the copy until ctx is done; it logs errors and returns nil.
 func (b *Backup) Run(ctx context.Context) error {
-	for b.parts.Timer.Wait(ctx, b.parts.Timer.Jittered(interval, intervalShare)()) == nil {
+	for b.parts.Timer.Wait(ctx, b.parts.Timer.Jittered(pollInterval, pollJitter)()) == nil {
 		if !b.parts.Keeps() {
-			// Another node may write the row meanwhile.
-			b.known = false
+			// Another node may write the row in the meantime.
+			b.rowKnown = false
 			continue
 		}
 		if err := b.step(ctx); err != nil && ctx.Err() == nil {
@@ -71,18 +73,18 @@
 	return nil
 }
 
-// intervalShare spreads the looks of nodes that start together.
-const intervalShare = 0.2
+// pollJitter is the share of pollInterval by which checks vary, so that nodes don't poll in step.
+const pollJitter = 0.2
 
-// step reads the row if it is not known, and writes it if it is not what it should be.
+// step reads the row unless it is known, and writes it if its digest differs from the quarantine's.
 func (b *Backup) step(ctx context.Context) error {
-	if !b.known {
+	if !b.rowKnown {
 		if err := b.read(ctx); err != nil {
 			return err
 		}
 	}
-	if held := b.parts.Book.View().HeldDigest(); held != b.kept {
-		return b.write(ctx, held)
+	if heldDigest := b.parts.Book.View().HeldDigest(); heldDigest != b.storedDigest {
+		return b.write(ctx, heldDigest)
 	}
 	return nil
 }
@@ -92,48 +94,49 @@
 	if err != nil {
 		return err
 	}
-	b.known, b.revision, b.kept = true, 0, 0
+	b.rowKnown, b.revision, b.storedDigest = true, 0, 0
 	for _, entry := range entries {
 		if entry.Key != rowKey || entry.Removed {
 			continue
 		}
 		b.revision = entry.Revision
-		var copied row
-		if err := bfcodec.Unmarshal(entry.Value, "copy of the quarantine", &copied); err != nil {
-			// It is written over by what is held now.
+		var stored row
+		if err := bfcodec.Unmarshal(entry.Value, "copy of the quarantine", &stored); err != nil {
+			// The next write replaces the damaged row.
 			return err
 		}
-		b.kept = copied.Digest
-		b.parts.Take(copied.Records)
-		b.parts.Logger.Emit(bflog.BackupRead, slog.Int("contents", len(copied.Records)))
+		b.storedDigest = stored.Digest
+		b.parts.Take(stored.Records)
+		b.parts.Logger.Emit(bflog.BackupRead, slog.Int("contents", len(stored.Records)))
 	}
 	return nil
 }
 
-func (b *Backup) write(ctx context.Context, held uint64) error {
-	value, err := encode(b.parts.Book.Held(b.parts.Timer.Now()), held)
+func (b *Backup) write(ctx context.Context, heldDigest uint64) error {
+	value, err := encode(b.parts.Book.Held(b.parts.Timer.Now()), heldDigest)
 	if err != nil {
 		return err
 	}
 	revision, err := b.parts.Rows.Write(ctx, b.parts.Table, bfstore.RowWrite{Key: rowKey, Value: value, Revision: b.revision})
 	if err == nil {
-		b.revision, b.kept = revision, held
+		b.revision, b.storedDigest = revision, heldDigest
 		return nil
 	}
 	var conflict *bfstore.ConflictError
 	var unavailable *bfstore.UnavailableError
 	if errors.As(err, &conflict) || !errors.As(err, &unavailable) {
-		// Another node wrote it, or this write may have been made.
-		b.known = false
+		// Another node wrote the row, or the outcome of this write is unknown.
+		b.rowKnown = false
 	}
 	return err
 }
 
-// encode writes as many records as a row bears, those with the newest ends of targets first.
+// encode encodes the row, and halves the number of records until it fits into maxRowBytes;
+// records are sorted by the time of their last crash, newest first.
 func encode(records []bfquarantine.Record, digest uint64) ([]byte, error) {
 	for {
 		data, err := bfcodec.Marshal(row{Records: records, Digest: digest})
-		if err != nil || len(data) <= longestRow {
+		if err != nil || len(data) <= maxRowBytes {
 			return data, err
 		}
 		records = records[:len(records)/2]
--- a/lib/bfbackup/backup_test.go
+++ b/lib/bfbackup/backup_test.go
@@ -15,34 +15,34 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// store counts calls, and can be down or lose the answer of a write.
-type store struct {
+// faultyStore counts calls, and can be unavailable or lose the responses of writes.
+type faultyStore struct {
 	*bfstore.MemoryRows
-	calls      atomic.Int32
-	down, lost bool
+	calls                      atomic.Int32
+	unavailable, loseResponses bool
 }
 
-func (s *store) List(ctx context.Context, table string) ([]bfstore.Entry, uint64, error) {
+func (s *faultyStore) List(ctx context.Context, table string) ([]bfstore.Entry, uint64, error) {
 	s.calls.Add(1)
-	if s.down {
+	if s.unavailable {
 		return nil, 0, &bfstore.UnavailableError{Reason: "test"}
 	}
 	return s.MemoryRows.List(ctx, table)
 }
 
-func (s *store) Write(ctx context.Context, table string, writes ...bfstore.RowWrite) (uint64, error) {
+func (s *faultyStore) Write(ctx context.Context, table string, writes ...bfstore.RowWrite) (uint64, error) {
 	s.calls.Add(1)
-	if s.down {
+	if s.unavailable {
 		return 0, &bfstore.UnavailableError{Reason: "test"}
 	}
 	revision, err := s.MemoryRows.Write(ctx, table, writes...)
-	if s.lost {
+	if s.loseResponses {
 		return 0, &bfstore.UnknownError{Reason: "test"}
 	}
 	return revision, err
 }
 
-func newNode(s *store, first bool) (*Backup, *bfquarantine.Book) {
+func newNode(s *faultyStore, first bool) (*Backup, *bfquarantine.Book) {
 	book := bfquarantine.New("n")
 	return New(Parts{
 		Table: "t", Rows: s, Book: book, First: first, Timer: bftimer.New(1), Logger: bflog.Discard(),
@@ -60,59 +60,59 @@
 	}
 }
 
-// Guards against a fleet whose nodes were all started anew running what it held before.
-func TestFleetThatStartsAnewHoldsWhatItHeld(t *testing.T) {
+// Guards against running quarantined requests again after a restart of the whole fleet.
+func TestRestoreAfterFleetRestart(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &store{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 	b, book := newNode(s, true)
 	for range 5 {
 		is.NoErr(b.step(ctx))
 	}
-	is.Equal(s.calls.Load(), int32(0)) // nothing is held, nothing is called
+	is.Equal(s.calls.Load(), int32(0)) // no store calls while the quarantine is empty
 	hold(book, "bad")
 	for range 5 {
 		is.NoErr(b.step(ctx))
 	}
 	is.Equal(s.calls.Load(), int32(1))
 
-	anew, empty := newNode(s, false)
-	is.NoErr(anew.step(ctx))
-	is.NoErr(anew.step(ctx))
-	is.Equal(s.calls.Load(), int32(2)) // read once, and what it holds is not written again
-	is.True(empty.View().Holds())
-	_, held := empty.View().Refuse(keyOf("bad"), time.Now())
+	restarted, restored := newNode(s, false)
+	is.NoErr(restarted.step(ctx))
+	is.NoErr(restarted.step(ctx))
+	is.Equal(s.calls.Load(), int32(2)) // read once, and not written back
+	is.True(restored.View().Holds())
+	_, held := restored.View().Refuse(keyOf("bad"), time.Now())
 	is.True(held)
 }
 
-// Guards against a request that was cleared being held again by an old copy.
-func TestCopyFollowsWhatIsHeld(t *testing.T) {
+// Guards against an outdated copy that quarantines a cleared request again.
+func TestCopyDropsReleasedRequests(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &store{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 	b, book := newNode(s, true)
 	hold(book, "bad")
 	is.NoErr(b.step(ctx))
 	is.True(book.Answered(keyOf("bad"), time.Now()))
 	is.NoErr(b.step(ctx))
-	anew, empty := newNode(s, false)
-	is.NoErr(anew.step(ctx))
-	is.True(!empty.View().Holds())
+	restarted, restored := newNode(s, false)
+	is.NoErr(restarted.step(ctx))
+	is.True(!restored.View().Holds())
 }
 
-// Guards against a store that is away, loses answers, or is written to by another node.
-func TestFaultsOfTheStore(t *testing.T) {
+// Guards against lost records when the store is unavailable, loses responses, or is written by another node.
+func TestStoreFaults(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &store{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 	b, book := newNode(s, true)
 	hold(book, "bad")
-	s.down = true
+	s.unavailable = true
 	is.True(b.step(ctx) != nil)
-	s.down, s.lost = false, true
-	is.True(b.step(ctx) != nil) // written, and the answer lost
-	s.lost = false
-	is.NoErr(b.step(ctx)) // read again: it is there
+	s.unavailable, s.loseResponses = false, true
+	is.True(b.step(ctx) != nil) // written, but the response is lost
+	s.loseResponses = false
+	is.NoErr(b.step(ctx)) // read again, and the write is found
 	calls := s.calls.Load()
 	is.NoErr(b.step(ctx))
 	is.Equal(s.calls.Load(), calls)
@@ -121,21 +121,21 @@
 	hold(others, "worse")
 	is.NoErr(other.step(ctx))
 	hold(book, "third")
-	is.True(b.step(ctx) != nil) // the other has written
+	is.True(b.step(ctx) != nil) // conflicts with the other node's write
 	is.NoErr(b.step(ctx))
-	anew, empty := newNode(s, false)
-	is.NoErr(anew.step(ctx))
+	restarted, restored := newNode(s, false)
+	is.NoErr(restarted.step(ctx))
 	for _, name := range []string{"bad", "worse", "third"} {
-		_, held := empty.View().Refuse(keyOf(name), time.Now())
+		_, held := restored.View().Refuse(keyOf(name), time.Now())
 		is.True(held) // name
 	}
 }
 
-// Guards against a row that the platform does not take, and against one of another version.
-func TestRowIsBoundedAndChecked(t *testing.T) {
+// Guards against a row larger than the platform accepts, and against an undecodable row that is never replaced.
+func TestRowSizeAndDecodeErrors(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &store{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
 	b, book := newNode(s, true)
 	for i := range 600 {
 		hold(book, fmt.Sprint("bad ", i))
@@ -143,11 +143,11 @@
 	is.NoErr(b.step(ctx))
 	entries, _, err := s.MemoryRows.List(ctx, "t")
 	is.NoErr(err)
-	is.True(len(entries[0].Value) <= longestRow)
+	is.True(len(entries[0].Value) <= maxRowBytes)
 	_, err = s.MemoryRows.Write(ctx, "t", bfstore.RowWrite{Key: rowKey, Value: []byte("damaged"), Revision: entries[0].Revision})
 	is.NoErr(err)
-	anew, empty := newNode(s, false)
-	is.True(anew.step(ctx) != nil)
-	is.NoErr(anew.step(ctx))
-	is.True(!empty.View().Holds())
+	restarted, restored := newNode(s, false)
+	is.True(restarted.step(ctx) != nil)
+	is.NoErr(restarted.step(ctx))
+	is.True(!restored.View().Holds())
 }
--- a/lib/bfbackup/doc.go
+++ b/lib/bfbackup/doc.go
@@ -1,4 +1,4 @@
-// Package bfbackup keeps a copy of what a fleet holds in quarantine in the platform's
-// store, so that a fleet whose nodes were all started anew has it. One node keeps it for
-// all; it is read once by whoever comes to keep it, and written when what is held changes.
+// Package bfbackup stores a copy of the fleet's quarantined requests in the platform's
+// store, so that the quarantine survives a restart of all nodes. One node at a time maintains
+// the copy: it reads the copy when it takes over, and writes it when the quarantine changes.
 package bfbackup
