--- a/lib/bfrecord/bench_test.go
+++ b/lib/bfrecord/bench_test.go
@@ -20,7 +20,7 @@
 
 // BenchmarkBeginFinish measures recording one request, with the record limit reached.
 func BenchmarkBeginFinish(b *testing.B) {
-	book := NewBook(home1, DefaultLimits())
+	tracker := NewBook(home1, DefaultLimits())
 	minters := benchmarkMinters()
 	now := start
 	answer := NewWholeAnswer(200, nil, make([]byte, 200))
@@ -28,8 +28,8 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(4 * time.Millisecond)
 		id := minters[i%entryNodes].Next(now)
-		book.Begin(now, request(id, home1))
-		if err := book.Finish(now, id, answer); err != nil {
+		tracker.Begin(now, request(id, home1))
+		if err := tracker.Finish(now, id, answer); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -37,7 +37,7 @@
 
 // BenchmarkShardedBeginFinish measures recording requests concurrently on all cores.
 func BenchmarkShardedBeginFinish(b *testing.B) {
-	books := NewSharded(home1, DefaultLimits(), 16)
+	tracker := NewSharded(home1, DefaultLimits(), 16)
 	answer := NewWholeAnswer(200, nil, make([]byte, 200))
 	minters := benchmarkMinters()
 	b.ReportAllocs()
@@ -45,8 +45,8 @@
 		for i := 0; pb.Next(); i++ {
 			now := start.Add(time.Duration(i) * time.Millisecond)
 			id := minters[i%entryNodes].Next(now)
-			books.Begin(now, request(id, home1))
-			if err := books.Finish(now, id, answer); err != nil {
+			tracker.Begin(now, request(id, home1))
+			if err := tracker.Finish(now, id, answer); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -70,22 +70,22 @@
 	minters := benchmarkMinters()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	book := NewBook(home1, limits)
+	tracker := NewBook(home1, limits)
 	for i := range limits.Records {
 		id := minters[i%entryNodes].Next(start)
 		// Each decoded message has its own copy of the instance name.
 		id.Entry.Instance = string([]byte(id.Entry.Instance))
-		book.Begin(start, request(id, home1))
+		tracker.Begin(start, request(id, home1))
 		var answer Answer = NewDroppedAnswer(200)
 		if size > 0 {
 			answer = NewWholeAnswer(200, nil, make([]byte, size))
 		}
-		if err := book.Finish(start, id, answer); err != nil {
+		if err := tracker.Finish(start, id, answer); err != nil {
 			b.Fatal(err)
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	defer runtime.KeepAlive(book)
+	defer runtime.KeepAlive(tracker)
 	return float64(after.HeapAlloc-before.HeapAlloc) / float64(limits.Records)
 }
--- a/lib/bfrecord/bfclaim/case_test.go
+++ b/lib/bfrecord/bfclaim/case_test.go
@@ -58,7 +58,7 @@
 	if !found || s.silent {
 		return HomeSilent{}
 	}
-	return HomeAnswered{Resolution: n.book.Resolve(s.now, request.ID, request.Home)}
+	return HomeAnswered{Resolution: n.tracker.Resolve(s.now, request.ID, request.Home)}
 }
 
 // drive runs a state machine until Done.
@@ -85,7 +85,7 @@
 
 func (s *cluster) finish(at string, spec Spec) {
 	answer := bfrecord.NewWholeAnswer(201, nil, []byte("nominated"))
-	s.is.NoErr(s.nodes[at].book.Finish(s.now, spec.ID, answer))
+	s.is.NoErr(s.nodes[at].tracker.Finish(s.now, spec.ID, answer))
 }
 
 func (s *cluster) record(spec Spec) Result {
@@ -94,7 +94,7 @@
 
 // refuse aborts a request whose claim was not granted.
 func (s *cluster) refuse(spec Spec) {
-	s.is.NoErr(s.nodes[spec.Home.Instance].book.Abort(s.now, spec.ID))
+	s.is.NoErr(s.nodes[spec.Home.Instance].tracker.Abort(s.now, spec.ID))
 }
 
 func (s *cluster) wantType(result Result, want Result) {
--- a/lib/bfrecord/bfclaim/claim_rapid_test.go
+++ b/lib/bfrecord/bfclaim/claim_rapid_test.go
@@ -114,7 +114,7 @@
 
 func (f *fleet) abort(job *task) {
 	job.aborted = true
-	if err := job.at.book.Abort(f.now, job.spec.ID); err != nil {
+	if err := job.at.tracker.Abort(f.now, job.spec.ID); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -164,7 +164,7 @@
 	}
 	for _, n := range slices.Backward(f.nodes) {
 		if n.home.Instance == request.Home.Instance {
-			return HomeAnswered{Resolution: n.book.Resolve(f.now, request.ID, request.Home)}
+			return HomeAnswered{Resolution: n.tracker.Resolve(f.now, request.ID, request.Home)}
 		}
 	}
 	return HomeSilent{}
@@ -220,7 +220,7 @@
 	f.runs[key]++
 	f.answer[key] = fmt.Sprintf("run %d of %s", f.runs[key], key)
 	answer := bfrecord.NewWholeAnswer(201, nil, []byte(f.answer[key]))
-	if err := job.at.book.Finish(f.now, job.spec.ID, answer); err != nil {
+	if err := job.at.tracker.Finish(f.now, job.spec.ID, answer); err != nil {
 		f.t.Fatal(err)
 	}
 	f.begin(job, Record(job.spec, answer, ""))
--- a/lib/bfrecord/bfclaim/fake_test.go
+++ b/lib/bfrecord/bfclaim/fake_test.go
@@ -84,13 +84,13 @@
 
 // node is one home: an incarnation of an instance and its Book.
 type node struct {
-	home bfrecord.Home
-	book *bfrecord.Book
+	home    bfrecord.Home
+	tracker *bfrecord.Book
 }
 
 func newNode(instance string, incarnation uint64) *node {
 	home := bfrecord.Home{Instance: instance, Incarnation: incarnation}
-	return &node{home: home, book: bfrecord.NewBook(home, bfrecord.DefaultLimits())}
+	return &node{home: home, tracker: bfrecord.NewBook(home, bfrecord.DefaultLimits())}
 }
 
 // arrive begins a request with the key at the node; the claim is nil if the Book refuses it.
@@ -99,7 +99,7 @@
 		Key: Key{Tenant: "derwent", Route: "nominations", Key: key}, Content: bfrecord.Digest{content},
 		Home: n.home, ID: id, Deadline: now.Add(10 * time.Second), Retention: 24 * time.Hour,
 	}
-	verdict := n.book.Begin(now, bfrecord.Request{ID: id, Home: n.home, Content: spec.Content})
+	verdict := n.tracker.Begin(now, bfrecord.Request{ID: id, Home: n.home, Content: spec.Content})
 	if (verdict != bfrecord.Run{}) {
 		return spec, nil
 	}
--- a/lib/bfrecord/bfclaim/group_test.go
+++ b/lib/bfrecord/bfclaim/group_test.go
@@ -55,17 +55,17 @@
 	return claim.Next(start, Start{}).(Commit)
 }
 
-func runBatches(table *bfstore.Memory, first *Batch[int]) (ends map[int]commitStatus, transactions int) {
-	ends = map[int]commitStatus{}
+func runBatches(table *bfstore.Memory, first *Batch[int]) (statuses map[int]commitStatus, transactions int) {
+	statuses = map[int]commitStatus{}
 	for batches := []*Batch[int]{first}; len(batches) > 0; batches = batches[1:] {
 		transactions++
 		ended, again := batches[0].End(table.Commit(context.Background(), batches[0].Transaction()))
 		for _, e := range ended {
-			ends[e.Owner()], _, _ = classify(e.Event().Err)
+			statuses[e.Owner()], _, _ = classify(e.Event().Err)
 		}
 		batches = append(batches, again...)
 	}
-	return ends, transactions
+	return statuses, transactions
 }
 
 // Guards against changes of the transaction rates that batching achieves, for claims
--- a/lib/bfrecord/book_rapid_test.go
+++ b/lib/bfrecord/book_rapid_test.go
@@ -103,9 +103,9 @@
 	w.enqueueSends(NewAttempt(id, w.tracker.home, KeyMinted), 1)
 }
 
-func (w *simulation) enqueueSends(attempt *Attempt, sendings int) {
+func (w *simulation) enqueueSends(attempt *Attempt, sends int) {
 	w.attempts = append(w.attempts, attempt)
-	for range sendings {
+	for range sends {
 		attempt.Sending()
 		w.inFlight = append(w.inFlight, inFlightMessage{attempt: attempt, arrival: true})
 	}
--- a/lib/bfrecord/case_test.go
+++ b/lib/bfrecord/case_test.go
@@ -34,7 +34,7 @@
 // resolved over a new one: unseen requests are barred, running ones stay open.
 func TestSilentConnectionIsResolved(t *testing.T) {
 	is := is.New(t)
-	book := NewBook(home1, DefaultLimits())
+	tracker := NewBook(home1, DefaultLimits())
 	minter := NewMinter(entry)
 	attempts := make([]*Attempt, 8)
 	for i := range attempts {
@@ -43,12 +43,12 @@
 	}
 	// 0 to 2 arrive before the stall: 0 finishes, 1 is refused, 2 runs. 3 to 7 are delayed.
 	for _, a := range attempts[:3] {
-		is.Equal(book.Begin(start, request(a.ID(), home1)), Run{})
+		is.Equal(tracker.Begin(start, request(a.ID(), home1)), Run{})
 	}
-	is.NoErr(book.Finish(start, attempts[0].ID(), NewWholeAnswer(201, nil, []byte("nominated"))))
-	is.NoErr(book.Abort(start, attempts[1].ID()))
+	is.NoErr(tracker.Finish(start, attempts[0].ID(), NewWholeAnswer(201, nil, []byte("nominated"))))
+	is.NoErr(tracker.Abort(start, attempts[1].ID()))
 	resolve := func(a *Attempt) Outcome {
-		return a.Resolved(NewResolveReply(a.ID(), home1, book.Resolve(start, a.ID(), a.Home())))
+		return a.Resolved(NewResolveReply(a.ID(), home1, tracker.Resolve(start, a.ID(), a.Home())))
 	}
 	is.Equal(string(resolve(attempts[0]).(Done).Answer().(WholeAnswer).Body()), "nominated")
 	is.Equal(outcomeName(resolve(attempts[1])), "not run")
@@ -57,9 +57,9 @@
 		is.Equal(outcomeName(resolve(a)), "not run")
 	}
 	for _, a := range attempts[3:] {
-		is.Equal(book.Begin(start.Add(time.Minute), request(a.ID(), home1)), Barred{})
+		is.Equal(tracker.Begin(start.Add(time.Minute), request(a.ID(), home1)), Barred{})
 	}
-	is.NoErr(book.Finish(start, attempts[2].ID(), NewLostAnswer("target died")))
+	is.NoErr(tracker.Finish(start, attempts[2].ID(), NewLostAnswer("target died")))
 	is.Equal(outcomeName(resolve(attempts[2])), "unknown")
 }
 
@@ -68,13 +68,13 @@
 func TestRefusalCrossesTimeout(t *testing.T) {
 	for _, refusalFirst := range []bool{true, false} {
 		is := is.New(t)
-		book := NewBook(home1, DefaultLimits())
+		tracker := NewBook(home1, DefaultLimits())
 		attempt := NewAttempt(NewMinter(entry).Next(start), home1, KeyNone)
 		attempt.Sending()
-		is.Equal(book.Begin(start, request(attempt.ID(), home1)), Run{})
-		is.NoErr(book.Abort(start, attempt.ID()))
+		is.Equal(tracker.Begin(start, request(attempt.ID(), home1)), Run{})
+		is.NoErr(tracker.Abort(start, attempt.ID()))
 		refusal := NewAbortRefusal(attempt.ID(), home1, ReasonOverload, 2*time.Second)
-		reply := NewResolveReply(attempt.ID(), home1, book.Resolve(start, attempt.ID(), home1))
+		reply := NewResolveReply(attempt.ID(), home1, tracker.Resolve(start, attempt.ID(), home1))
 		if refusalFirst {
 			is.Equal(attempt.Refused(refusal).(NotRun).RetryAfter(), 2*time.Second)
 			attempt.Resolved(reply)
@@ -84,8 +84,8 @@
 		}
 		is.Equal(outcomeName(attempt.Outcome()), "not run")
 		is.NoErr(attempt.Err())
-		is.Equal(book.Begin(start, request(attempt.ID(), home1)), Barred{})
-		is.True(book.Finish(start, attempt.ID(), NewDroppedAnswer(200)) != nil)
+		is.Equal(tracker.Begin(start, request(attempt.ID(), home1)), Barred{})
+		is.True(tracker.Finish(start, attempt.ID(), NewDroppedAnswer(200)) != nil)
 	}
 }
 
@@ -111,15 +111,15 @@
 // another node: while running, after it finished, and with other content.
 func TestMintedKeyResend(t *testing.T) {
 	is := is.New(t)
-	book := NewBook(home1, DefaultLimits())
+	tracker := NewBook(home1, DefaultLimits())
 	id := NewMinter(home1).NextKey(start).ID()
-	is.Equal(book.Begin(start, request(id, home1)), Run{})
-	is.Equal(book.Begin(start, request(id, home1)), StillRunning{})
-	is.NoErr(book.Finish(start, id, NewWholeAnswer(201, nil, []byte("nominated"))))
-	resent := book.Begin(start, request(id, home1)).(Replay).Answer()
+	is.Equal(tracker.Begin(start, request(id, home1)), Run{})
+	is.Equal(tracker.Begin(start, request(id, home1)), StillRunning{})
+	is.NoErr(tracker.Finish(start, id, NewWholeAnswer(201, nil, []byte("nominated"))))
+	resent := tracker.Begin(start, request(id, home1)).(Replay).Answer()
 	other := request(id, home1)
 	other.Content = Digest{2}
-	is.Equal(book.Begin(start, other), Mismatch{})
+	is.Equal(tracker.Begin(start, other), Mismatch{})
 	// The answer survives encoding and decoding unchanged.
 	data, err := cbor.Marshal(NewResolveReply(id, home1, Finished{answer: resent}))
 	is.NoErr(err)
@@ -144,7 +144,7 @@
 				id = NewMinter(home1).NextKey(start).ID()
 			}
 			attempt := NewAttempt(id, home1, kind)
-			for range testCase.sendings {
+			for range testCase.sends {
 				attempt.Sending()
 			}
 			testCase.apply(attempt)
@@ -166,19 +166,19 @@
 }
 
 type attemptCase struct {
-	name     string
-	sendings int
-	apply    func(*Attempt)
+	name  string
+	sends int
+	apply func(*Attempt)
 }
 
 func attemptCases() []attemptCase {
-	refused := func(home Home, verdict Verdict) func(*Attempt) {
+	refuse := func(home Home, verdict Verdict) func(*Attempt) {
 		return func(a *Attempt) {
 			refusal, _ := NewVerdictRefusal(a.ID(), home, verdict)
 			a.Refused(refusal)
 		}
 	}
-	resolved := func(home Home, r Resolution) func(*Attempt) {
+	resolve := func(home Home, r Resolution) func(*Attempt) {
 		return func(a *Attempt) { a.Resolved(NewResolveReply(a.ID(), home, r)) }
 	}
 	abandon := func(a *Attempt) { a.GiveUp(ReasonUnreachable, 0) }
@@ -187,27 +187,27 @@
 		{"no connection, nothing sent", 0, abandon},
 		{"sent, home can't be reached any more", 1, abandon},
 		{"refused: overload", 1, overload},
-		{"refused: barred", 1, refused(home1, Barred{})},
-		{"refused: too late", 1, refused(home1, TooLate{})},
-		{"refused: too late, sent twice", 2, refused(home1, TooLate{})},
-		{"refused: other content", 1, refused(home1, Mismatch{})},
-		{"refused: book full", 1, refused(home1, Full{})},
-		{"refused: home changed", 1, refused(home2, HomeChanged{home: home2})},
-		{"refused: home changed, sent twice", 2, refused(home2, HomeChanged{home: home2})},
-		{"resolved: never seen", 1, resolved(home1, NeverSeen{})},
-		{"resolved: never seen, by a new incarnation", 1, resolved(home2, NeverSeen{})},
-		{"resolved: running", 1, resolved(home1, Running{})},
-		{"resolved: finished", 1, resolved(home1, Finished{answer: DroppedAnswer{status: 200}})},
-		{"resolved: target lost in the middle", 1, resolved(home1, Finished{answer: LostAnswer{reason: "cut"}})},
-		{"resolved: forgotten", 1, resolved(home1, Forgotten{})},
-		{"resolved: home lost", 1, resolved(home2, HomeLost{home: home2})},
+		{"refused: barred", 1, refuse(home1, Barred{})},
+		{"refused: too late", 1, refuse(home1, TooLate{})},
+		{"refused: too late, sent twice", 2, refuse(home1, TooLate{})},
+		{"refused: other content", 1, refuse(home1, Mismatch{})},
+		{"refused: book full", 1, refuse(home1, Full{})},
+		{"refused: home changed", 1, refuse(home2, HomeChanged{home: home2})},
+		{"refused: home changed, sent twice", 2, refuse(home2, HomeChanged{home: home2})},
+		{"resolved: never seen", 1, resolve(home1, NeverSeen{})},
+		{"resolved: never seen, by a new incarnation", 1, resolve(home2, NeverSeen{})},
+		{"resolved: running", 1, resolve(home1, Running{})},
+		{"resolved: finished", 1, resolve(home1, Finished{answer: DroppedAnswer{status: 200}})},
+		{"resolved: target lost in the middle", 1, resolve(home1, Finished{answer: LostAnswer{reason: "cut"}})},
+		{"resolved: forgotten", 1, resolve(home1, Forgotten{})},
+		{"resolved: home lost", 1, resolve(home2, HomeLost{home: home2})},
 	}
 }
 
 // Guards against two concurrent arrivals of one ID both being run.
 func TestShardedRunsOnce(t *testing.T) {
 	is := is.New(t)
-	books := NewSharded(home1, DefaultLimits(), 16)
+	tracker := NewSharded(home1, DefaultLimits(), 16)
 	minter := NewMinter(entry)
 	const requests, copies = 200, 8
 	var runs [requests]int
@@ -217,13 +217,13 @@
 		id := minter.Next(start)
 		for range copies {
 			wait.Go(func() {
-				if (books.Begin(start, request(id, home1)) != Run{}) {
+				if (tracker.Begin(start, request(id, home1)) != Run{}) {
 					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				runs[i]++
-				if err := books.Finish(start, id, NewDroppedAnswer(200)); err != nil {
+				if err := tracker.Finish(start, id, NewDroppedAnswer(200)); err != nil {
 					t.Error(err)
 				}
 			})
@@ -233,6 +233,6 @@
 	for i := range runs {
 		is.Equal(runs[i], 1)
 	}
-	is.Equal(books.Stats().Records(), requests)
-	is.Equal(books.Stats().Running(), 0)
+	is.Equal(tracker.Stats().Records(), requests)
+	is.Equal(tracker.Stats().Running(), 0)
 }
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -14,8 +14,8 @@
 }
 
 type shard struct {
-	mu   sync.Mutex
-	book *Book
+	mu      sync.Mutex
+	tracker *Book
 	// Padding avoids false sharing of locks on one cache line.
 	_ [48]byte
 }
@@ -28,7 +28,7 @@
 	limits.Bytes /= shardCount
 	s := &Sharded{home: home, shards: make([]shard, shardCount)}
 	for i := range s.shards {
-		s.shards[i].book = NewBook(home, limits)
+		s.shards[i].tracker = NewBook(home, limits)
 	}
 	return s
 }
@@ -47,7 +47,7 @@
 	locked := s.shard(request.ID)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
-	return locked.book.Begin(now, request)
+	return locked.tracker.Begin(now, request)
 }
 
 // Finish calls Book.Finish on the ID's shard.
@@ -55,7 +55,7 @@
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
-	return locked.book.Finish(now, id, answer)
+	return locked.tracker.Finish(now, id, answer)
 }
 
 // Abort calls Book.Abort on the ID's shard.
@@ -63,7 +63,7 @@
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
-	return locked.book.Abort(now, id)
+	return locked.tracker.Abort(now, id)
 }
 
 // Resolve calls Book.Resolve on the ID's shard.
@@ -71,7 +71,7 @@
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
-	return locked.book.Resolve(now, id, home)
+	return locked.tracker.Resolve(now, id, home)
 }
 
 // Stats returns the sum of the shards' counters.
@@ -86,7 +86,7 @@
 func (s *shard) stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Stats()
+	return s.tracker.Stats()
 }
 
 func (s Stats) add(o Stats) Stats {
