--- a/bfnode/internal/bfmesh/forget.go
+++ b/bfnode/internal/bfmesh/forget.go
@@ -27,7 +27,7 @@
 func (n *node) remove(ctx context.Context, member bffleet.Member) {
 	write := bfstore.RowWrite{Key: member.Inbound, Remove: true, Revision: member.Revision}
 	_, err := n.writeTogether(ctx, write)
-	var notMade *bfbatch.NotMadeError
+	var notMade *bfbatch.BatchError
 	if errors.As(err, &notMade) {
 		_, err = n.store.Write(ctx, membersTable, write)
 	}
@@ -38,6 +38,6 @@
 	case err != nil:
 		n.logger.Emit(bflog.AnnounceError, slog.String("member", member.Inbound), bflog.Err(err))
 	default:
-		n.logger.Emit(bflog.RowForgotten, slog.String("member", member.Inbound))
+		n.logger.Emit(bflog.RowRemoved, slog.String("member", member.Inbound))
 	}
 }
--- a/lib/bfbackup/backup_test.go
+++ b/lib/bfbackup/backup_test.go
@@ -80,7 +80,7 @@
 	is.NoErr(restarted.step(ctx))
 	is.NoErr(restarted.step(ctx))
 	is.Equal(s.calls.Load(), int32(2)) // read once, and not written back
-	is.True(restored.View().Holds())
+	is.True(restored.View().HasHeld())
 	_, held := restored.View().Refuse(keyOf("bad"), time.Now())
 	is.True(held)
 }
@@ -97,7 +97,7 @@
 	is.NoErr(b.step(ctx))
 	restarted, restored := newNode(s, false)
 	is.NoErr(restarted.step(ctx))
-	is.True(!restored.View().Holds())
+	is.True(!restored.View().HasHeld())
 }
 
 // Guards against lost records when the store is unavailable, loses responses, or is written by another node.
@@ -149,5 +149,5 @@
 	restarted, restored := newNode(s, false)
 	is.True(restarted.step(ctx) != nil)
 	is.NoErr(restarted.step(ctx))
-	is.True(!restored.View().Holds())
+	is.True(!restored.View().HasHeld())
 }
--- a/lib/bfview/table.go
+++ b/lib/bfview/table.go
@@ -155,7 +155,7 @@
 
 // NextOrder returns the order of the present members; previous is the order that the last call returned.
 func (t *Table) NextOrder(previous *bfroster.Order) *bfroster.Order {
-	next := previous.Next(bfroster.Change{Sorted: t.sorted, Touched: t.changed, Moved: t.reordered, Digest: t.digest})
+	next := previous.Next(bfroster.Change{Sorted: t.sorted, Changed: t.changed, MembershipChanged: t.reordered, Digest: t.digest})
 	clear(t.changed)
 	t.reordered = false
 	return next
