--- a/lib/bfroute/view.go
+++ b/lib/bfroute/view.go
@@ -113,8 +113,8 @@
 // Service returns the service of the route.
 func (m Match) Service() bfconfig.ServiceSpec { return m.entry.service }
 
-// Base returns the route's configured policy, which applies while no event overrides it.
-func (m Match) Base() bfconfig.PolicySpec { return m.entry.policy }
+// BasePolicy returns the route's configured policy, which applies while no event overrides it.
+func (m Match) BasePolicy() bfconfig.PolicySpec { return m.entry.policy }
 
 // NoRouteError reports a path that no route's prefix covers.
 type NoRouteError struct{ Path string }
