--- a/lib/bfmember/detector.go
+++ b/lib/bfmember/detector.go
@@ -174,7 +174,7 @@
 
 // lossOf returns the loss of a member that the member itself must refute.
 func (m *Members) lossOf(hash uint64) (bfgossip.Loss, bool) {
-	if tombstone, dropped := m.table.Grave(hash); dropped {
+	if tombstone, dropped := m.table.Tombstone(hash); dropped {
 		loss := bfgossip.Loss{State: bfroster.Dead}
 		loss.Add(bfgossip.LostMember{Hash: hash, Incarnation: tombstone.Incarnation, Sequence: tombstone.Sequence})
 		return loss, true
--- a/lib/bfmember/members.go
+++ b/lib/bfmember/members.go
@@ -233,9 +233,9 @@
 	result, old := m.table.Merge(now, row)
 	switch result {
 	case bfview.Stale:
-	case bfview.Barred:
+	case bfview.Tombstoned:
 		m.barred = append(m.barred, row)
-	case bfview.Clashing:
+	case bfview.HashCollision:
 		m.emit(Report{Err: &bfview.CollisionError{Held: old.ID, Refused: row.ID}})
 	case bfview.Accepted:
 		m.accept(now, hash, old, row, broadcast)
--- a/lib/bfmember/options.go
+++ b/lib/bfmember/options.go
@@ -80,7 +80,7 @@
 }
 
 func (o Options) retention() bfview.Retention {
-	return bfview.Retention{Rows: o.DeadRetention, Graves: o.TombstoneRetention, MaxGraves: o.MaxTombstones}
+	return bfview.Retention{Rows: o.DeadRetention, Tombstones: o.TombstoneRetention, MaxTombstones: o.MaxTombstones}
 }
 
 // pauseThreshold is the gap between two calls above which the process is assumed
--- a/lib/bfview/table.go
+++ b/lib/bfview/table.go
@@ -17,10 +17,10 @@
 	Stale MergeResult = iota
 	// Accepted reports a row that was stored.
 	Accepted
-	// Barred reports a row whose incarnation has a tombstone.
-	Barred
-	// Clashing reports a row whose ID has the same hash as another member's ID.
-	Clashing
+	// Tombstoned reports a row whose incarnation has a tombstone.
+	Tombstoned
+	// HashCollision reports a row whose ID has the same hash as another member's ID.
+	HashCollision
 )
 
 // CollisionError reports two members whose IDs have the same hash.
@@ -46,7 +46,7 @@
 	sorted      []*bfroster.Member
 	cellDigests [Cells]uint64
 	digest      uint64
-	tombstones  map[uint64]Grave
+	tombstones  map[uint64]Tombstone
 	// tombstoneQueue holds the hashes of the tombstones, oldest first.
 	tombstoneQueue []uint64
 	interned       map[string]string
@@ -60,7 +60,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		entries: map[uint64]entry{}, tombstones: map[uint64]Grave{}, interned: map[string]string{},
+		entries: map[uint64]entry{}, tombstones: map[uint64]Tombstone{}, interned: map[string]string{},
 		changed: map[uint64]*bfroster.Member{}, lostDomains: map[bfroster.Key]bool{},
 	}
 }
@@ -96,14 +96,14 @@
 	hash := bfroster.HashID(row.ID)
 	held, found := t.Row(hash)
 	if found && held.ID != row.ID {
-		return Clashing, held
+		return HashCollision, held
 	}
 	// A partitioned node may still have as alive a row that the others dropped as
 	// dead long ago; without the tombstone that row would be resurrected on every
 	// node, probed, declared dead and resurrected again. A live member overrides
 	// its tombstone with a higher incarnation.
 	if g, dropped := t.tombstones[hash]; dropped && row.Incarnation <= g.Incarnation {
-		return Barred, held
+		return Tombstoned, held
 	}
 	if found && bfroster.Compare(row, held) <= 0 {
 		return Stale, held
--- a/lib/bfview/tombstone.go
+++ b/lib/bfview/tombstone.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Grave is the tombstone of a dropped row.
-type Grave struct {
+// Tombstone records the incarnation and the sequence of a dropped row.
+type Tombstone struct {
 	Incarnation, Sequence uint64
 	at                    time.Time
 }
@@ -15,17 +15,17 @@
 type Retention struct {
 	// Rows is how long the row of a member that died or left is kept.
 	Rows time.Duration
-	// Graves is how long a tombstone is kept.
-	Graves time.Duration
-	// MaxGraves is the maximum number of tombstones.
-	MaxGraves int
+	// Tombstones is how long a tombstone is kept.
+	Tombstones time.Duration
+	// MaxTombstones is the maximum number of tombstones.
+	MaxTombstones int
 }
 
-// Grave returns the tombstone of a member, or false if there is none or the member's row has a higher incarnation.
-func (t *Table) Grave(hash uint64) (Grave, bool) {
+// Tombstone returns the tombstone of a member, or false if there is none or the member's row has a higher incarnation.
+func (t *Table) Tombstone(hash uint64) (Tombstone, bool) {
 	g, dropped := t.tombstones[hash]
 	if row, found := t.Row(hash); found && row.Incarnation > g.Incarnation {
-		return Grave{}, false
+		return Tombstone{}, false
 	}
 	return g, dropped
 }
@@ -38,12 +38,12 @@
 			continue
 		}
 		delete(t.entries, hash)
-		t.addTombstone(hash, Grave{row.Incarnation, row.Sequence, now})
+		t.addTombstone(hash, Tombstone{row.Incarnation, row.Sequence, now})
 	}
 	for len(t.tombstoneQueue) > 0 {
 		hash := t.tombstoneQueue[0]
 		g, found := t.tombstones[hash]
-		if found && len(t.tombstones) <= retention.MaxGraves && now.Sub(g.at) < retention.Graves {
+		if found && len(t.tombstones) <= retention.MaxTombstones && now.Sub(g.at) < retention.Tombstones {
 			return
 		}
 		delete(t.tombstones, hash)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (t *Table) addTombstone(hash uint64, g Grave) {
+func (t *Table) addTombstone(hash uint64, g Tombstone) {
 	if _, found := t.tombstones[hash]; found {
 		t.tombstoneQueue = slices.DeleteFunc(t.tombstoneQueue, func(h uint64) bool { return h == hash })
 	}
