--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -55,7 +55,7 @@
 // Guard proxies requests from entry nodes to one target.
 type Guard struct {
 	config    Config
-	records   *bfrecord.Sharded
+	records   *bfrecord.ShardedTracker
 	announced announcedTarget
 	claims    *claims
 	// flights tracks the requests that the target is processing.
@@ -93,7 +93,7 @@
 		config.Quarantine = bfquarantine.New("")
 	}
 	g := &Guard{
-		config: config, records: bfrecord.NewSharded(config.Home, bfrecord.DefaultLimits(), recordShards),
+		config: config, records: bfrecord.NewShardedTracker(config.Home, bfrecord.DefaultLimits(), recordShards),
 		announced: announcedTarget{service: config.Service, coldStart: config.ColdStart},
 		claims:    newClaims(config),
 		latency:   config.Metrics.Family("target_latency_by_class"),
--- a/lib/bfrecord/answer.go
+++ b/lib/bfrecord/answer.go
@@ -3,7 +3,7 @@
 // Answer is the result of a request that was forwarded to its target. It is a
 // sealed interface: WholeAnswer, DroppedAnswer or LostAnswer.
 type Answer interface {
-	// size is the answer's approximate memory in a Book, in bytes.
+	// size is the answer's approximate memory in a Tracker, in bytes.
 	size() int
 }
 
--- a/lib/bfrecord/bench_test.go
+++ b/lib/bfrecord/bench_test.go
@@ -20,7 +20,7 @@
 
 // BenchmarkBeginFinish measures recording one request, with the record limit reached.
 func BenchmarkBeginFinish(b *testing.B) {
-	tracker := NewBook(home1, DefaultLimits())
+	tracker := NewTracker(home1, DefaultLimits())
 	minters := benchmarkMinters()
 	now := start
 	answer := NewWholeAnswer(200, nil, make([]byte, 200))
@@ -37,7 +37,7 @@
 
 // BenchmarkShardedBeginFinish measures recording requests concurrently on all cores.
 func BenchmarkShardedBeginFinish(b *testing.B) {
-	tracker := NewSharded(home1, DefaultLimits(), 16)
+	tracker := NewShardedTracker(home1, DefaultLimits(), 16)
 	answer := NewWholeAnswer(200, nil, make([]byte, 200))
 	minters := benchmarkMinters()
 	b.ReportAllocs()
@@ -70,7 +70,7 @@
 	minters := benchmarkMinters()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	tracker := NewBook(home1, limits)
+	tracker := NewTracker(home1, limits)
 	for i := range limits.Records {
 		id := minters[i%entryNodes].Next(start)
 		// Each decoded message has its own copy of the instance name.
--- a/lib/bfrecord/bfclaim/fake_test.go
+++ b/lib/bfrecord/bfclaim/fake_test.go
@@ -82,18 +82,18 @@
 	t.late = nil
 }
 
-// node is one home: an incarnation of an instance and its Book.
+// node is one home: an incarnation of an instance and its Tracker.
 type node struct {
 	home    bfrecord.Home
-	tracker *bfrecord.Book
+	tracker *bfrecord.Tracker
 }
 
 func newNode(instance string, incarnation uint64) *node {
 	home := bfrecord.Home{Instance: instance, Incarnation: incarnation}
-	return &node{home: home, tracker: bfrecord.NewBook(home, bfrecord.DefaultLimits())}
+	return &node{home: home, tracker: bfrecord.NewTracker(home, bfrecord.DefaultLimits())}
 }
 
-// arrive begins a request with the key at the node; the claim is nil if the Book refuses it.
+// arrive begins a request with the key at the node; the claim is nil if the Tracker refuses it.
 func (n *node) arrive(now time.Time, id bfrecord.ID, key string, content byte) (Spec, *Claim) {
 	spec := Spec{
 		Key: Key{Tenant: "derwent", Route: "nominations", Key: key}, Content: bfrecord.Digest{content},
--- a/lib/bfrecord/case_test.go
+++ b/lib/bfrecord/case_test.go
@@ -34,7 +34,7 @@
 // resolved over a new one: unseen requests are barred, running ones stay open.
 func TestSilentConnectionIsResolved(t *testing.T) {
 	is := is.New(t)
-	tracker := NewBook(home1, DefaultLimits())
+	tracker := NewTracker(home1, DefaultLimits())
 	minter := NewMinter(entry)
 	attempts := make([]*Attempt, 8)
 	for i := range attempts {
@@ -68,7 +68,7 @@
 func TestRefusalCrossesTimeout(t *testing.T) {
 	for _, refusalFirst := range []bool{true, false} {
 		is := is.New(t)
-		tracker := NewBook(home1, DefaultLimits())
+		tracker := NewTracker(home1, DefaultLimits())
 		attempt := NewAttempt(NewMinter(entry).Next(start), home1, KeyNone)
 		attempt.Sending()
 		is.Equal(tracker.Begin(start, request(attempt.ID(), home1)), Run{})
@@ -111,7 +111,7 @@
 // another node: while running, after it finished, and with other content.
 func TestMintedKeyResend(t *testing.T) {
 	is := is.New(t)
-	tracker := NewBook(home1, DefaultLimits())
+	tracker := NewTracker(home1, DefaultLimits())
 	id := NewMinter(home1).NextKey(start).ID()
 	is.Equal(tracker.Begin(start, request(id, home1)), Run{})
 	is.Equal(tracker.Begin(start, request(id, home1)), StillRunning{})
@@ -207,7 +207,7 @@
 // Guards against two concurrent arrivals of one ID both being run.
 func TestShardedRunsOnce(t *testing.T) {
 	is := is.New(t)
-	tracker := NewSharded(home1, DefaultLimits(), 16)
+	tracker := NewShardedTracker(home1, DefaultLimits(), 16)
 	minter := NewMinter(entry)
 	const requests, copies = 200, 8
 	var runs [requests]int
--- a/lib/bfrecord/doc.go
+++ b/lib/bfrecord/doc.go
@@ -1,8 +1,8 @@
 // Package bfrecord implements at-most-once execution of requests and determines
 // the outcome that is reported to the caller.
 //
-// The home of a request is the node beside its target. Its Book deduplicates
-// arrivals by request ID, and a request runs only if Book.Begin returns Run. The
+// The home of a request is the node beside its target. Its Tracker deduplicates
+// arrivals by request ID, and a request runs only if Tracker.Begin returns Run. The
 // entry node holds an Attempt for each request that it sent; it derives an
 // Outcome from the messages received, and NotRun requires a Proof.
 //
--- a/lib/bfrecord/message.go
+++ b/lib/bfrecord/message.go
@@ -14,7 +14,7 @@
 	ReasonTooLate     Reason = "too late"
 	ReasonMismatch    Reason = "key used with other content"
 	ReasonHomeChanged Reason = "home changed"
-	ReasonBookFull    Reason = "book full"
+	ReasonTrackerFull Reason = "book full"
 	ReasonOverload    Reason = "overload"
 	ReasonLeaving     Reason = "leaving"
 	ReasonDeadline    Reason = "deadline"
@@ -151,7 +151,7 @@
 	return nil, &MessageError{What: fmt.Sprintf("resolution %q", r.State), ID: r.ID}
 }
 
-// NewAbortRefusal returns the refusal of a request after Book.Abort.
+// NewAbortRefusal returns the refusal of a request after Tracker.Abort.
 func NewAbortRefusal(id ID, home Home, reason Reason, retryAfter time.Duration) Refusal {
 	return Refusal{ID: id, Home: home, Reason: reason, RetryAfter: retryAfter, Barred: true}
 }
@@ -170,7 +170,7 @@
 	case HomeChanged:
 		refusal.Reason = ReasonHomeChanged
 	case Full:
-		refusal.Reason = ReasonBookFull
+		refusal.Reason = ReasonTrackerFull
 	case Run, StillRunning, Replay:
 		return Refusal{}, false
 	}
--- a/lib/bfrecord/scope.go
+++ b/lib/bfrecord/scope.go
@@ -16,7 +16,7 @@
 	queued    bool
 }
 
-// scopeSet holds the watermarks of a book.
+// scopeSet holds the watermarks of a Tracker.
 //
 // Watermarks are kept per scope, so an entry whose clock is ahead affects only
 // its own IDs. Every restart in the fleet creates scopes, so an idle scope is
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -7,67 +7,67 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sharded is a Book for concurrent use, sharded by request ID with a lock per shard.
-type Sharded struct {
+// ShardedTracker is a Tracker for concurrent use, sharded by request ID with a lock per shard.
+type ShardedTracker struct {
 	home   Home
 	shards []shard
 }
 
 type shard struct {
 	mu      sync.Mutex
-	tracker *Book
+	tracker *Tracker
 	// Padding avoids false sharing of locks on one cache line.
 	_ [48]byte
 }
 
-// NewSharded returns an empty Sharded for home. Each shard gets an equal part of
+// NewShardedTracker returns an empty Sharded for home. Each shard gets an equal part of
 // the Records, Scopes and Bytes limits; the other limits apply to each shard in full.
-func NewSharded(home Home, limits Limits, shardCount int) *Sharded {
+func NewShardedTracker(home Home, limits Limits, shardCount int) *ShardedTracker {
 	limits.Records = max(limits.Records/shardCount, 1)
 	limits.Scopes = max(limits.Scopes/shardCount, 1)
 	limits.Bytes /= shardCount
-	s := &Sharded{home: home, shards: make([]shard, shardCount)}
+	s := &ShardedTracker{home: home, shards: make([]shard, shardCount)}
 	for i := range s.shards {
-		s.shards[i].tracker = NewBook(home, limits)
+		s.shards[i].tracker = NewTracker(home, limits)
 	}
 	return s
 }
 
 // Home returns the incarnation whose requests are tracked.
-func (s *Sharded) Home() Home { return s.home }
+func (s *ShardedTracker) Home() Home { return s.home }
 
-func (s *Sharded) shard(id ID) *shard {
+func (s *ShardedTracker) shard(id ID) *shard {
 	const multiplier = 0x9e3779b97f4a7c15
 	hash := (xxhash.Sum64String(id.Entry.Instance) ^ id.Counter) * multiplier
 	return &s.shards[(hash>>32)%uint64(len(s.shards))]
 }
 
-// Begin calls Book.Begin on the ID's shard.
-func (s *Sharded) Begin(now time.Time, request Request) Verdict {
+// Begin calls Tracker.Begin on the ID's shard.
+func (s *ShardedTracker) Begin(now time.Time, request Request) Verdict {
 	locked := s.shard(request.ID)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
 	return locked.tracker.Begin(now, request)
 }
 
-// Finish calls Book.Finish on the ID's shard.
-func (s *Sharded) Finish(now time.Time, id ID, answer Answer) error {
+// Finish calls Tracker.Finish on the ID's shard.
+func (s *ShardedTracker) Finish(now time.Time, id ID, answer Answer) error {
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
 	return locked.tracker.Finish(now, id, answer)
 }
 
-// Abort calls Book.Abort on the ID's shard.
-func (s *Sharded) Abort(now time.Time, id ID) error {
+// Abort calls Tracker.Abort on the ID's shard.
+func (s *ShardedTracker) Abort(now time.Time, id ID) error {
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
 	return locked.tracker.Abort(now, id)
 }
 
-// Resolve calls Book.Resolve on the ID's shard.
-func (s *Sharded) Resolve(now time.Time, id ID, home Home) Resolution {
+// Resolve calls Tracker.Resolve on the ID's shard.
+func (s *ShardedTracker) Resolve(now time.Time, id ID, home Home) Resolution {
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 // Stats returns the sum of the shards' counters.
-func (s *Sharded) Stats() Stats {
+func (s *ShardedTracker) Stats() Stats {
 	var sum Stats
 	for i := range s.shards {
 		sum = sum.add(s.shards[i].stats())
--- a/lib/bfrecord/book.go
+++ b/lib/bfrecord/tracker.go
@@ -8,7 +8,7 @@
 // Digest identifies the content of a request.
 type Digest [16]byte
 
-// Limits bounds the memory of a Book.
+// Limits bounds the memory of a Tracker.
 type Limits struct {
 	// Records is the maximum number of records, running ones included.
 	Records int
@@ -32,7 +32,7 @@
 	}
 }
 
-// Request describes an arrival to Book.Begin.
+// Request describes an arrival to Tracker.Begin.
 type Request struct {
 	// ID is the arrival's request ID.
 	ID ID
@@ -62,13 +62,13 @@
 	state     state
 }
 
-// Book deduplicates the requests of one home and keeps their results. It is not
+// Tracker deduplicates the requests of one home and keeps their results. It is not
 // safe for concurrent use.
 //
 // Invariants: Begin returns Run at most once for an ID, and never for a barred
 // ID; a running record is never dropped; the watermark of a scope is at or above
 // the counter of each of its dropped records.
-type Book struct {
+type Tracker struct {
 	home    Home
 	limits  Limits
 	records map[ID]*record
@@ -81,38 +81,38 @@
 	answerBytes int
 }
 
-// NewBook returns an empty Book for home.
-func NewBook(home Home, limits Limits) *Book {
-	return &Book{home: home, limits: limits, records: map[ID]*record{}, scopes: newScopeSet(limits.Scopes)}
+// NewTracker returns an empty Tracker for home.
+func NewTracker(home Home, limits Limits) *Tracker {
+	return &Tracker{home: home, limits: limits, records: map[ID]*record{}, scopes: newScopeSet(limits.Scopes)}
 }
 
 // Begin registers an arrival and decides on it; only a Run verdict permits forwarding it to the target.
-func (b *Book) Begin(now time.Time, request Request) Verdict {
-	b.expire(now)
+func (t *Tracker) Begin(now time.Time, request Request) Verdict {
+	t.expire(now)
 	// A request sent to an earlier incarnation may have run there, and its
 	// record was lost in the restart; running it here could be a second run.
-	if request.Home != b.home {
-		return HomeChanged{home: b.home}
+	if request.Home != t.home {
+		return HomeChanged{home: t.home}
 	}
-	if r, found := b.records[request.ID]; found {
+	if r, found := t.records[request.ID]; found {
 		return r.verdict(request.Content)
 	}
 	// Its record may have been dropped: the request may have run, or NotRun may
 	// have been reported to its caller.
-	if b.scopes.mayHaveDropped(request.ID) {
+	if t.scopes.mayHaveDropped(request.ID) {
 		return TooLate{}
 	}
-	if b.running >= b.limits.Running {
+	if t.running >= t.limits.Running {
 		return Full{}
 	}
-	r := b.insert(request.ID, stateRunning)
+	r := t.insert(request.ID, stateRunning)
 	if r == nil {
 		return Full{}
 	}
 	r.content = request.Content
 	r.class = request.Class
-	b.running++
-	b.enforceLimits()
+	t.running++
+	t.enforceLimits()
 	return Run{}
 }
 
@@ -140,64 +140,64 @@
 }
 
 // Finish records the answer of a request that was forwarded to its target. Its error is a *StateError.
-func (b *Book) Finish(now time.Time, id ID, answer Answer) error {
-	r, found := b.records[id]
+func (t *Tracker) Finish(now time.Time, id ID, answer Answer) error {
+	r, found := t.records[id]
 	if !found || r.state != stateRunning {
 		return &StateError{ID: id, Call: "finish"}
 	}
-	b.settle(now, r, stateFinished)
+	t.settle(now, r, stateFinished)
 	r.answer = answer
-	if whole, isWhole := answer.(WholeAnswer); isWhole && whole.size() > b.limits.AnswerBytes {
+	if whole, isWhole := answer.(WholeAnswer); isWhole && whole.size() > t.limits.AnswerBytes {
 		r.answer = DroppedAnswer{status: whole.status}
 	}
 	if size := r.answer.size(); size > 0 {
-		b.answerBytes += size
-		b.answerQueue.push(r)
+		t.answerBytes += size
+		t.answerQueue.push(r)
 	}
-	b.expire(now)
+	t.expire(now)
 	return nil
 }
 
 // Abort bars a running request that was not forwarded to its target and must not be. Its error is a *StateError.
-func (b *Book) Abort(now time.Time, id ID) error {
-	r, found := b.records[id]
+func (t *Tracker) Abort(now time.Time, id ID) error {
+	r, found := t.records[id]
 	if !found || r.state != stateRunning {
 		return &StateError{ID: id, Call: "abort"}
 	}
-	b.settle(now, r, stateBarred)
-	b.expire(now)
+	t.settle(now, r, stateBarred)
+	t.expire(now)
 	return nil
 }
 
-func (b *Book) settle(now time.Time, r *record, to state) {
+func (t *Tracker) settle(now time.Time, r *record, to state) {
 	r.state = to
 	r.settledAt = now
-	b.running--
-	b.settledQueue.push(r)
+	t.running--
+	t.settledQueue.push(r)
 }
 
 // Resolve returns the state of a request that was sent to home.
 //
 // An unknown request is barred first: it may still be in transit, and the entry
 // node will report to its caller that it was not run.
-func (b *Book) Resolve(now time.Time, id ID, home Home) Resolution {
-	b.expire(now)
-	if home != b.home {
-		return HomeLost{home: b.home}
+func (t *Tracker) Resolve(now time.Time, id ID, home Home) Resolution {
+	t.expire(now)
+	if home != t.home {
+		return HomeLost{home: t.home}
 	}
-	if r, found := b.records[id]; found {
+	if r, found := t.records[id]; found {
 		return r.resolution()
 	}
-	if b.scopes.mayHaveDropped(id) {
+	if t.scopes.mayHaveDropped(id) {
 		return Forgotten{}
 	}
-	r := b.insert(id, stateBarred)
+	r := t.insert(id, stateBarred)
 	if r == nil {
 		return Forgotten{}
 	}
 	r.settledAt = now
-	b.settledQueue.push(r)
-	b.enforceLimits()
+	t.settledQueue.push(r)
+	t.enforceLimits()
 	return NeverSeen{}
 }
 
@@ -212,40 +212,40 @@
 }
 
 // insert adds a record; it returns nil if its scope is new and the scopes are at their limit.
-func (b *Book) insert(id ID, in state) *record {
-	scope := b.scopes.acquire(id.scope())
+func (t *Tracker) insert(id ID, in state) *record {
+	scope := t.scopes.acquire(id.scope())
 	if scope == nil {
 		return nil
 	}
 	// Share the scope's copy of the instance name, so that a record does not retain its message's buffer.
 	id.Entry = scope.key.entry
 	r := &record{id: id, scope: scope, state: in}
-	b.records[id] = r
+	t.records[id] = r
 	return r
 }
 
 // expire drops records and scopes past their retention.
-func (b *Book) expire(now time.Time) {
-	for b.settledQueue.len() > 0 && now.Sub(b.settledQueue.front().settledAt) >= b.limits.Retention {
-		b.dropOldest()
+func (t *Tracker) expire(now time.Time) {
+	for t.settledQueue.len() > 0 && now.Sub(t.settledQueue.front().settledAt) >= t.limits.Retention {
+		t.dropOldest()
 	}
-	b.enforceLimits()
-	b.scopes.foldIdle(now.Add(-b.limits.Retention))
+	t.enforceLimits()
+	t.scopes.foldIdle(now.Add(-t.limits.Retention))
 }
 
 // enforceLimits drops the oldest answers over the byte limit and the oldest settled
 // records over the record limit. A record outlives its answer, to prevent a second run.
-func (b *Book) enforceLimits() {
-	for b.answerBytes > b.limits.Bytes && b.answerQueue.len() > 0 {
-		b.dropAnswer(b.answerQueue.pop())
+func (t *Tracker) enforceLimits() {
+	for t.answerBytes > t.limits.Bytes && t.answerQueue.len() > 0 {
+		t.dropAnswer(t.answerQueue.pop())
 	}
-	for len(b.records) > b.limits.Records && b.settledQueue.len() > 0 {
-		b.dropOldest()
+	for len(t.records) > t.limits.Records && t.settledQueue.len() > 0 {
+		t.dropOldest()
 	}
 }
 
-func (b *Book) dropAnswer(r *record) {
-	b.answerBytes -= r.answer.size()
+func (t *Tracker) dropAnswer(r *record) {
+	t.answerBytes -= r.answer.size()
 	if whole, isWhole := r.answer.(WholeAnswer); isWhole {
 		r.answer = DroppedAnswer{status: whole.status}
 		return
@@ -253,17 +253,17 @@
 	r.answer = LostAnswer{}
 }
 
-func (b *Book) dropOldest() {
-	r := b.settledQueue.pop()
+func (t *Tracker) dropOldest() {
+	r := t.settledQueue.pop()
 	// Both queues are in settling order, so the record is at the front of answerQueue or not in it.
-	if b.answerQueue.len() > 0 && b.answerQueue.front() == r {
-		b.dropAnswer(b.answerQueue.pop())
+	if t.answerQueue.len() > 0 && t.answerQueue.front() == r {
+		t.dropAnswer(t.answerQueue.pop())
 	}
-	delete(b.records, r.id)
-	b.scopes.release(r.scope, r.id.Counter)
+	delete(t.records, r.id)
+	t.scopes.release(r.scope, r.id.Counter)
 }
 
-// Stats holds the size counters of a Book.
+// Stats holds the size counters of a Tracker.
 type Stats struct {
 	records, running, scopes, bytes int
 }
@@ -281,6 +281,6 @@
 func (s Stats) Bytes() int { return s.bytes }
 
 // Stats returns the current size counters.
-func (b *Book) Stats() Stats {
-	return Stats{records: len(b.records), running: b.running, scopes: len(b.scopes.byKey), bytes: b.answerBytes}
+func (t *Tracker) Stats() Stats {
+	return Stats{records: len(t.records), running: t.running, scopes: len(t.scopes.byKey), bytes: t.answerBytes}
 }
--- a/lib/bfrecord/book_rapid_test.go
+++ b/lib/bfrecord/tracker_rapid_test.go
@@ -49,7 +49,7 @@
 	now       time.Time
 	unbounded bool
 	limits    Limits
-	tracker   *Book
+	tracker   *Tracker
 	model     *modelTracker
 	minters   []*Minter
 	attempts  []*Attempt
@@ -77,7 +77,7 @@
 }
 
 func (w *simulation) startHome(home Home) {
-	w.tracker = NewBook(home, w.limits)
+	w.tracker = NewTracker(home, w.limits)
 	w.model = &modelTracker{home: home, records: map[ID]string{}}
 	w.running = nil
 }
--- a/lib/bfrecord/verdict.go
+++ b/lib/bfrecord/verdict.go
@@ -31,7 +31,7 @@
 // Home returns the responding incarnation.
 func (h HomeChanged) Home() Home { return h.home }
 
-// Full means that a limit of the Book is reached; the arrival is not run.
+// Full means that a limit of the Tracker is reached; the arrival is not run.
 type Full struct{}
 
 func (Run) verdict()          {}
