--- a/lib/bfcaller/attempt.go
+++ b/lib/bfcaller/attempt.go
@@ -103,7 +103,7 @@
 }
 
 func (p *pendingAttempt) markSent() {
-	p.update(func(a *bfrecord.Attempt) bfrecord.Outcome { a.Sending(); return nil })
+	p.update(func(a *bfrecord.Attempt) bfrecord.Outcome { a.RecordSend(); return nil })
 }
 
 // update applies change to the attempt under the lock and returns the attempt's outcome, nil while undecided.
@@ -119,7 +119,7 @@
 }
 
 func (p *pendingAttempt) abandon(a *bfrecord.Attempt) bfrecord.Outcome {
-	return a.GiveUp(bfrecord.ReasonUnreachable, noTargetRetryAfter)
+	return a.Abandon(bfrecord.ReasonUnreachable, noTargetRetryAfter)
 }
 
 // settle applies a change that decides the attempt.
@@ -157,13 +157,13 @@
 		switch reply := reply.(type) {
 		case bfhop.Refused:
 			p.final = response.Header.Get(bfheader.Final) != ""
-			return a.Refused(reply.Refusal)
+			return a.OnRefusal(reply.Refusal)
 		case bfhop.InProgress:
-			return a.StillRunning(reply.ID)
+			return a.OnStillRunning(reply.ID)
 		case bfhop.Dropped:
-			return a.Answered(bfrecord.NewDroppedAnswer(reply.Status))
+			return a.OnAnswer(bfrecord.NewDroppedAnswer(reply.Status))
 		}
-		return a.Answered(bfrecord.NewLostAnswer("lost by the target's node"))
+		return a.OnAnswer(bfrecord.NewLostAnswer("lost by the target's node"))
 	})
 	if outcome == nil {
 		// The reply is about this attempt itself, so two copies of it arrived.
@@ -192,7 +192,7 @@
 	answer.Body = head.Bytes()
 	// Counts a contradiction if the home node reported "not run" before.
 	p.update(func(a *bfrecord.Attempt) bfrecord.Outcome {
-		return a.Answered(bfrecord.NewDroppedAnswer(response.StatusCode))
+		return a.OnAnswer(bfrecord.NewDroppedAnswer(response.StatusCode))
 	})
 	return relayed{answer}
 }
--- a/lib/bfcaller/problem_test.go
+++ b/lib/bfcaller/problem_test.go
@@ -25,7 +25,7 @@
 	var page strings.Builder
 	for _, result := range []Result{
 		NotRun{ID: id, Reason: bfrecord.ReasonOverload, RetryAfter: 1200 * time.Millisecond},
-		NotRun{ID: id, Reason: bfrecord.ReasonTableAway, RetryAfter: time.Second, EarlierMayHaveRun: true},
+		NotRun{ID: id, Reason: bfrecord.ReasonTableUnavailable, RetryAfter: time.Second, EarlierMayHaveRun: true},
 		NotRun{Reason: reasonStarting, RetryAfter: time.Second},
 		Unknown{ID: id},
 		Unknown{ID: id, Ran: true},
--- a/lib/bfcaller/send.go
+++ b/lib/bfcaller/send.go
@@ -128,7 +128,7 @@
 
 func retryReason(reason bfrecord.Reason) bfretry.Reason {
 	switch reason {
-	case bfrecord.ReasonOverload, bfrecord.ReasonTrackerFull, bfrecord.ReasonTableAway, bfhop.ReasonShed:
+	case bfrecord.ReasonOverload, bfrecord.ReasonTrackerFull, bfrecord.ReasonTableUnavailable, bfhop.ReasonShed:
 		return bfretry.Overload
 	case bfrecord.ReasonLeaving:
 		return bfretry.Leaving
--- a/lib/bfcaller/target_result.go
+++ b/lib/bfcaller/target_result.go
@@ -73,7 +73,7 @@
 func isHealthyRefusal(reason bfrecord.Reason) bool {
 	switch reason {
 	case bfrecord.ReasonOverload, bfrecord.ReasonLeaving, bfrecord.ReasonDeadline, bfrecord.ReasonCanceled,
-		bfrecord.ReasonTableAway, bfrecord.ReasonTrackerFull, bfrecord.ReasonMismatch,
+		bfrecord.ReasonTableUnavailable, bfrecord.ReasonTrackerFull, bfrecord.ReasonMismatch,
 		bfrecord.ReasonQuarantined:
 		return true
 	}
--- a/lib/bfcaller/watch.go
+++ b/lib/bfcaller/watch.go
@@ -77,7 +77,7 @@
 }
 
 func applyReply(reply bfrecord.ResolveReply) func(*bfrecord.Attempt) bfrecord.Outcome {
-	return func(a *bfrecord.Attempt) bfrecord.Outcome { return a.Resolved(reply) }
+	return func(a *bfrecord.Attempt) bfrecord.Outcome { return a.OnResolveReply(reply) }
 }
 
 // stalled reports whether a read has been pending for too long. No read is pending
--- a/lib/bfguard/key.go
+++ b/lib/bfguard/key.go
@@ -52,7 +52,7 @@
 		if result.NeedsRelease() {
 			claims.settle(bfclaim.Release(spec))
 		}
-		return in.abort(bfrecord.ReasonTableAway, result.RetryAfter()), bfadmit.Unused
+		return in.abort(bfrecord.ReasonTableUnavailable, result.RetryAfter()), bfadmit.Unused
 	}
 	// The node is shutting down; a claim that was written names a node that is gone.
 	return in.abort(bfrecord.ReasonLeaving, targetRetryAfter), bfadmit.Unused
--- a/lib/bfguard/run.go
+++ b/lib/bfguard/run.go
@@ -37,7 +37,7 @@
 	}
 	if in.needsClaim() {
 		if wait := g.claims.breaker.delay(in.arrived); wait > 0 {
-			return in.abort(bfrecord.ReasonTableAway, wait)
+			return in.abort(bfrecord.ReasonTableUnavailable, wait)
 		}
 	}
 	// A queued request is dropped when its entry node disconnects, whether idempotent
--- a/lib/bfrecord/attempt.go
+++ b/lib/bfrecord/attempt.go
@@ -49,19 +49,19 @@
 // or a *MessageError if a message was invalid.
 func (a *Attempt) Err() error { return a.err }
 
-// Sending records a send; call it before writing the first byte of each send to a connection.
-func (a *Attempt) Sending() { a.sends++ }
+// RecordSend records a send; call it before writing the first byte of each send to a connection.
+func (a *Attempt) RecordSend() { a.sends++ }
 
-// Answered processes the target's answer and returns the outcome.
-func (a *Attempt) Answered(answer Answer) Outcome {
+// OnAnswer processes the target's answer and returns the outcome.
+func (a *Attempt) OnAnswer(answer Answer) Outcome {
 	if _, lost := answer.(LostAnswer); lost {
 		return a.settle(Unknown{id: a.id})
 	}
 	return a.settle(Done{answer: answer})
 }
 
-// Refused processes the home's refusal and returns the outcome.
-func (a *Attempt) Refused(refusal Refusal) Outcome {
+// OnRefusal processes the home's refusal and returns the outcome.
+func (a *Attempt) OnRefusal(refusal Refusal) Outcome {
 	if refusal.ID != a.id {
 		return a.recordInvalid("refusal of another request")
 	}
@@ -89,16 +89,16 @@
 	return a.sends == 1 && a.key != KeyMinted
 }
 
-// StillRunning processes a response that the key's request other is still running, and returns the outcome.
-func (a *Attempt) StillRunning(other ID) Outcome {
+// OnStillRunning processes a response that the key's request other is still running, and returns the outcome.
+func (a *Attempt) OnStillRunning(other ID) Outcome {
 	if other == a.id && a.key != KeyMinted {
 		return a.outcome
 	}
 	return a.settle(InProgress{id: other})
 }
 
-// Resolved processes a ResolveReply; the outcome stays nil while the request runs.
-func (a *Attempt) Resolved(reply ResolveReply) Outcome {
+// OnResolveReply processes a ResolveReply; the outcome stays nil while the request runs.
+func (a *Attempt) OnResolveReply(reply ResolveReply) Outcome {
 	resolution, err := reply.Resolution()
 	if err != nil || reply.ID != a.id {
 		return a.recordInvalid("unusable resolution")
@@ -111,7 +111,7 @@
 		}
 		return a.notRun(BarredProof{id: a.id, home: reply.Home}, ReasonBarred, 0)
 	case Finished:
-		return a.Answered(r.answer)
+		return a.OnAnswer(r.answer)
 	case Forgotten, HomeLost:
 		return a.settle(Unknown{id: a.id})
 	case Running:
@@ -119,8 +119,8 @@
 	return a.outcome
 }
 
-// GiveUp settles an attempt for which no further message is expected: NotRun if nothing was sent, else Unknown.
-func (a *Attempt) GiveUp(reason Reason, retryAfter time.Duration) Outcome {
+// Abandon settles an attempt for which no further message is expected: NotRun if nothing was sent, else Unknown.
+func (a *Attempt) Abandon(reason Reason, retryAfter time.Duration) Outcome {
 	if a.sends == 0 {
 		return a.notRun(NeverSent{id: a.id}, reason, retryAfter)
 	}
--- a/lib/bfrecord/case_test.go
+++ b/lib/bfrecord/case_test.go
@@ -39,7 +39,7 @@
 	attempts := make([]*Attempt, 8)
 	for i := range attempts {
 		attempts[i] = NewAttempt(minter.Next(start), home1, KeyNone)
-		attempts[i].Sending()
+		attempts[i].RecordSend()
 	}
 	// 0 to 2 arrive before the stall: 0 finishes, 1 is refused, 2 runs. 3 to 7 are delayed.
 	for _, a := range attempts[:3] {
@@ -48,7 +48,7 @@
 	is.NoErr(tracker.Finish(start, attempts[0].ID(), NewWholeAnswer(201, nil, []byte("nominated"))))
 	is.NoErr(tracker.Abort(start, attempts[1].ID()))
 	resolve := func(a *Attempt) Outcome {
-		return a.Resolved(NewResolveReply(a.ID(), home1, tracker.Resolve(start, a.ID(), a.Home())))
+		return a.OnResolveReply(NewResolveReply(a.ID(), home1, tracker.Resolve(start, a.ID(), a.Home())))
 	}
 	is.Equal(string(resolve(attempts[0]).(Done).Answer().(WholeAnswer).Body()), "nominated")
 	is.Equal(outcomeName(resolve(attempts[1])), "not run")
@@ -70,17 +70,17 @@
 		is := is.New(t)
 		tracker := NewTracker(home1, DefaultLimits())
 		attempt := NewAttempt(NewMinter(entry).Next(start), home1, KeyNone)
-		attempt.Sending()
+		attempt.RecordSend()
 		is.Equal(tracker.Begin(start, request(attempt.ID(), home1)), Run{})
 		is.NoErr(tracker.Abort(start, attempt.ID()))
 		refusal := NewAbortRefusal(attempt.ID(), home1, ReasonOverload, 2*time.Second)
 		reply := NewResolveReply(attempt.ID(), home1, tracker.Resolve(start, attempt.ID(), home1))
 		if refusalFirst {
-			is.Equal(attempt.Refused(refusal).(NotRun).RetryAfter(), 2*time.Second)
-			attempt.Resolved(reply)
+			is.Equal(attempt.OnRefusal(refusal).(NotRun).RetryAfter(), 2*time.Second)
+			attempt.OnResolveReply(reply)
 		} else {
-			attempt.Resolved(reply)
-			attempt.Refused(refusal)
+			attempt.OnResolveReply(reply)
+			attempt.OnRefusal(refusal)
 		}
 		is.Equal(outcomeName(attempt.Outcome()), "not run")
 		is.NoErr(attempt.Err())
@@ -126,8 +126,8 @@
 	var reply ResolveReply
 	is.NoErr(cbor.Unmarshal(data, &reply))
 	attempt := NewAttempt(id, home1, KeyMinted)
-	attempt.Sending()
-	is.Equal(attempt.Resolved(reply), Done{answer: NewWholeAnswer(201, nil, []byte("nominated"))})
+	attempt.RecordSend()
+	is.Equal(attempt.OnResolveReply(reply), Done{answer: NewWholeAnswer(201, nil, []byte("nominated"))})
 }
 
 // Guards against outcomes stronger than their proof, for each event at the entry
@@ -145,7 +145,7 @@
 			}
 			attempt := NewAttempt(id, home1, kind)
 			for range testCase.sends {
-				attempt.Sending()
+				attempt.RecordSend()
 			}
 			testCase.apply(attempt)
 			cells = append(cells, outcomeName(attempt.Outcome()))
@@ -175,14 +175,14 @@
 	refuse := func(home Home, verdict Verdict) func(*Attempt) {
 		return func(a *Attempt) {
 			refusal, _ := NewVerdictRefusal(a.ID(), home, verdict)
-			a.Refused(refusal)
+			a.OnRefusal(refusal)
 		}
 	}
 	resolve := func(home Home, r Resolution) func(*Attempt) {
-		return func(a *Attempt) { a.Resolved(NewResolveReply(a.ID(), home, r)) }
+		return func(a *Attempt) { a.OnResolveReply(NewResolveReply(a.ID(), home, r)) }
 	}
-	abandon := func(a *Attempt) { a.GiveUp(ReasonUnreachable, 0) }
-	overload := func(a *Attempt) { a.Refused(NewAbortRefusal(a.ID(), home1, ReasonOverload, time.Second)) }
+	abandon := func(a *Attempt) { a.Abandon(ReasonUnreachable, 0) }
+	overload := func(a *Attempt) { a.OnRefusal(NewAbortRefusal(a.ID(), home1, ReasonOverload, time.Second)) }
 	return []attemptCase{
 		{"no connection, nothing sent", 0, abandon},
 		{"sent, home can't be reached any more", 1, abandon},
--- a/lib/bfrecord/message.go
+++ b/lib/bfrecord/message.go
@@ -10,17 +10,17 @@
 
 // The reasons of a Refusal or NotRun.
 const (
-	ReasonBarred      Reason = "barred"
-	ReasonTooLate     Reason = "too late"
-	ReasonMismatch    Reason = "key used with other content"
-	ReasonHomeChanged Reason = "home changed"
-	ReasonTrackerFull Reason = "book full"
-	ReasonOverload    Reason = "overload"
-	ReasonLeaving     Reason = "leaving"
-	ReasonDeadline    Reason = "deadline"
-	ReasonCanceled    Reason = "canceled"
-	ReasonTableAway   Reason = "table away"
-	ReasonUnreachable Reason = "unreachable"
+	ReasonBarred           Reason = "barred"
+	ReasonTooLate          Reason = "too late"
+	ReasonMismatch         Reason = "key used with other content"
+	ReasonHomeChanged      Reason = "home changed"
+	ReasonTrackerFull      Reason = "book full"
+	ReasonOverload         Reason = "overload"
+	ReasonLeaving          Reason = "leaving"
+	ReasonDeadline         Reason = "deadline"
+	ReasonCanceled         Reason = "canceled"
+	ReasonTableUnavailable Reason = "table away"
+	ReasonUnreachable      Reason = "unreachable"
 	// ReasonQuarantined means that several targets crashed while running the request.
 	ReasonQuarantined Reason = "quarantined"
 )
--- a/lib/bfrecord/tracker_rapid_test.go
+++ b/lib/bfrecord/tracker_rapid_test.go
@@ -106,7 +106,7 @@
 func (w *simulation) enqueueSends(attempt *Attempt, sends int) {
 	w.attempts = append(w.attempts, attempt)
 	for range sends {
-		attempt.Sending()
+		attempt.RecordSend()
 		w.inFlight = append(w.inFlight, inFlightMessage{attempt: attempt, arrival: true})
 	}
 }
@@ -123,7 +123,7 @@
 	if len(w.attempts) == 0 {
 		t.Skip("nothing sent")
 	}
-	rapid.SampledFrom(w.attempts).Draw(t, "attempt").GiveUp(ReasonUnreachable, 0)
+	rapid.SampledFrom(w.attempts).Draw(t, "attempt").Abandon(ReasonUnreachable, 0)
 }
 
 func (w *simulation) deliver(t *rapid.T) {
@@ -159,12 +159,12 @@
 	case Run:
 		w.running = append(w.running, id)
 	case Replay:
-		w.reply(func() { attempt.Answered(v.Answer()) })
+		w.reply(func() { attempt.OnAnswer(v.Answer()) })
 	case StillRunning:
-		w.reply(func() { attempt.StillRunning(id) })
+		w.reply(func() { attempt.OnStillRunning(id) })
 	default:
 		refusal, _ := NewVerdictRefusal(id, w.tracker.home, verdict)
-		w.reply(func() { attempt.Refused(refusal) })
+		w.reply(func() { attempt.OnRefusal(refusal) })
 	}
 }
 
@@ -183,7 +183,7 @@
 		w.t.Fatalf("resolve of %s: %s, model %s", attempt.ID(), name, want)
 	}
 	reply := NewResolveReply(attempt.ID(), w.tracker.home, resolution)
-	w.reply(func() { attempt.Resolved(reply) })
+	w.reply(func() { attempt.OnResolveReply(reply) })
 }
 
 func (w *simulation) takeRunning(t *rapid.T) ID {
@@ -208,7 +208,7 @@
 	}
 	for _, attempt := range w.attempts {
 		if attempt.ID() == id && rapid.Bool().Draw(t, "answer arrives") {
-			w.reply(func() { attempt.Answered(NewWholeAnswer(200, nil, []byte(body))) })
+			w.reply(func() { attempt.OnAnswer(NewWholeAnswer(200, nil, []byte(body))) })
 		}
 	}
 }
@@ -222,7 +222,7 @@
 	refusal := NewAbortRefusal(id, w.tracker.home, ReasonOverload, time.Second)
 	for _, attempt := range w.attempts {
 		if attempt.ID() == id {
-			w.reply(func() { attempt.Refused(refusal) })
+			w.reply(func() { attempt.OnRefusal(refusal) })
 		}
 	}
 }
