--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -40,7 +40,7 @@
 // node is every part of one node, joined.
 type node struct {
 	settings Settings
-	home     bfrecord.Home
+	home     bfrecord.NodeIncarnation
 	logger   *bflog.Logger
 	metrics  *bfmetric.Registry
 	group    *bfgroup.Group
@@ -64,7 +64,7 @@
 	incarnation := uint64(started.UnixMicro())
 	n := &node{
 		settings: settings, logger: logger,
-		home:    bfrecord.Home{Instance: settings.Instance, Incarnation: incarnation},
+		home:    bfrecord.NodeIncarnation{Instance: settings.Instance, Incarnation: incarnation},
 		metrics: bfmetric.New(),
 		group:   bfgroup.New(context.Background()),
 		timer:   bftimer.New(incarnation),
--- a/lib/bfcaller/cluster_test.go
+++ b/lib/bfcaller/cluster_test.go
@@ -77,7 +77,7 @@
 	// load is the load header of the guard's last response.
 	load atomic.Value // string
 	// the node's state in the membership; guarded by the cluster's mu
-	home    bfrecord.Home
+	home    bfrecord.NodeIncarnation
 	service string
 	state   bfroster.TargetState
 	slots   int
@@ -175,7 +175,7 @@
 func (n *node) start() {
 	c := n.cluster
 	c.mu.Lock()
-	n.home = bfrecord.Home{Instance: n.name, Incarnation: c.clock.Add(1)}
+	n.home = bfrecord.NodeIncarnation{Instance: n.name, Incarnation: c.clock.Add(1)}
 	n.directory = bfdirectory.New("princes")
 	n.state = bfroster.TargetNone
 	c.mu.Unlock()
--- a/lib/bfcaller/problem_test.go
+++ b/lib/bfcaller/problem_test.go
@@ -21,7 +21,7 @@
 
 func TestProblems(t *testing.T) {
 	is := is.New(t)
-	id := bfrecord.ID{Entry: bfrecord.Home{Instance: "wien-nord-1", Incarnation: 77}, Counter: 12}
+	id := bfrecord.ID{Entry: bfrecord.NodeIncarnation{Instance: "wien-nord-1", Incarnation: 77}, Counter: 12}
 	var page strings.Builder
 	for _, result := range []Result{
 		NotRun{ID: id, Reason: bfrecord.ReasonOverload, RetryAfter: 1200 * time.Millisecond},
--- a/lib/bfcontrol/directory.go
+++ b/lib/bfcontrol/directory.go
@@ -108,7 +108,7 @@
 	for rank := range order.Len() {
 		row := order.At(rank).Row()
 		members = append(members, bfdirectory.Member{
-			Home:          bfrecord.Home{Instance: row.ID, Incarnation: row.Incarnation},
+			Home:          bfrecord.NodeIncarnation{Instance: row.ID, Incarnation: row.Incarnation},
 			FailureDomain: row.Domain, Service: row.Service, Inbound: row.Inbound, Peer: row.Peer,
 			Target: c.directoryTarget(now, row, cold),
 		})
--- a/lib/bfdirectory/directory.go
+++ b/lib/bfdirectory/directory.go
@@ -11,7 +11,7 @@
 // Member is an instance with its addresses and its target.
 type Member struct {
 	// Home identifies the instance together with its node's incarnation.
-	Home          bfrecord.Home
+	Home          bfrecord.NodeIncarnation
 	FailureDomain string
 	// Service is empty until a target has announced itself on the instance.
 	Service string
--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -27,7 +27,7 @@
 // Config holds the dependencies of a Guard.
 type Config struct {
 	// Home is the node's instance name and its incarnation at start.
-	Home bfrecord.Home
+	Home bfrecord.NodeIncarnation
 	// Service is the service of the local target.
 	Service string
 	// ColdStart returns the duration of the slow start of the service's targets.
@@ -121,7 +121,7 @@
 }
 
 // canonicalHome maps any incarnation of this process to the one used in the records.
-func (g *Guard) canonicalHome(home bfrecord.Home) bfrecord.Home {
+func (g *Guard) canonicalHome(home bfrecord.NodeIncarnation) bfrecord.NodeIncarnation {
 	if home.Instance == g.config.Home.Instance && (*g.ownIncarnations.Load())[home.Incarnation] {
 		return g.config.Home
 	}
--- a/lib/bfguard/serve.go
+++ b/lib/bfguard/serve.go
@@ -32,7 +32,7 @@
 	deadline time.Time
 	arrived  time.Time
 	// sentTo is this node as the entry node addressed it, with the incarnation known there.
-	sentTo bfrecord.Home
+	sentTo bfrecord.NodeIncarnation
 	// content is a digest of the request's content.
 	content bfrecord.Digest
 	// answer is the result of the run, nil if the request was not sent to the target.
--- a/lib/bfguard/target_test.go
+++ b/lib/bfguard/target_test.go
@@ -30,7 +30,7 @@
 	is := is.New(t)
 	var published []bfroster.TargetState
 	g := New(Config{
-		Home: bfrecord.Home{Instance: "a", Incarnation: 1}, Service: "docs", ColdStart: func() time.Duration { return 0 },
+		Home: bfrecord.NodeIncarnation{Instance: "a", Incarnation: 1}, Service: "docs", ColdStart: func() time.Duration { return 0 },
 		Timer: bftimer.New(1), Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		PublishState: func(state bfroster.TargetState, _ int) { published = append(published, state) },
 	})
--- a/lib/bfhop/hop_test.go
+++ b/lib/bfhop/hop_test.go
@@ -17,9 +17,9 @@
 )
 
 func sample() Meta {
-	home := bfrecord.Home{Instance: "wien-nord-1", Incarnation: 77}
+	home := bfrecord.NodeIncarnation{Instance: "wien-nord-1", Incarnation: 77}
 	return Meta{
-		ID:   bfrecord.ID{Entry: bfrecord.Home{Instance: "wien-west-2", Incarnation: 1 << 60}, Counter: 12, Minted: true},
+		ID:   bfrecord.ID{Entry: bfrecord.NodeIncarnation{Instance: "wien-west-2", Incarnation: 1 << 60}, Counter: 12, Minted: true},
 		Home: home, Route: "approvals", Stamp: bfevent.Stamp{Policy: "approve", Version: 4, Class: "approval"},
 		Tenant: "agency-7", Key: "k", TimeLeft: 1500 * time.Millisecond, Depth: 2, Resent: true,
 	}
--- a/lib/bfhop/meta.go
+++ b/lib/bfhop/meta.go
@@ -16,7 +16,7 @@
 // Meta is the metadata that an entry node adds to a request.
 type Meta struct {
 	ID   bfrecord.ID
-	Home bfrecord.Home
+	Home bfrecord.NodeIncarnation
 	// Route is the route's name, by which the target's node looks up its limits.
 	Route string
 	// Stamp is the policy that the entry node applied; it is valid until the request ends.
@@ -110,15 +110,15 @@
 	return bfrecord.ID{Entry: entry, Counter: counter, Minted: minted}, nil
 }
 
-func parseHome(text string) (bfrecord.Home, error) {
+func parseHome(text string) (bfrecord.NodeIncarnation, error) {
 	invalid := &bfheader.ValueError{Header: bfheader.Home, Value: text, Allowed: "instance/incarnation in hexadecimal"}
 	instance, digits, found := strings.Cut(text, "/")
 	if !found || instance == "" {
-		return bfrecord.Home{}, invalid
+		return bfrecord.NodeIncarnation{}, invalid
 	}
 	incarnation, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
-		return bfrecord.Home{}, invalid
+		return bfrecord.NodeIncarnation{}, invalid
 	}
-	return bfrecord.Home{Instance: instance, Incarnation: incarnation}, nil
+	return bfrecord.NodeIncarnation{Instance: instance, Incarnation: incarnation}, nil
 }
--- a/lib/bfrecord/attempt.go
+++ b/lib/bfrecord/attempt.go
@@ -24,7 +24,7 @@
 // reported to the caller. It is not safe for concurrent use.
 type Attempt struct {
 	id      ID
-	home    Home
+	home    NodeIncarnation
 	key     KeyKind
 	sends   int
 	outcome Outcome
@@ -32,7 +32,7 @@
 }
 
 // NewAttempt returns the attempt to run id at home.
-func NewAttempt(id ID, home Home, key KeyKind) *Attempt {
+func NewAttempt(id ID, home NodeIncarnation, key KeyKind) *Attempt {
 	return &Attempt{id: id, home: home, key: key}
 }
 
@@ -40,7 +40,7 @@
 func (a *Attempt) ID() ID { return a.id }
 
 // Home returns the incarnation to which the request is sent.
-func (a *Attempt) Home() Home { return a.home }
+func (a *Attempt) Home() NodeIncarnation { return a.home }
 
 // Outcome returns the settled outcome, or nil while the attempt is open.
 func (a *Attempt) Outcome() Outcome { return a.outcome }
--- a/lib/bfrecord/bench_test.go
+++ b/lib/bfrecord/bench_test.go
@@ -13,7 +13,7 @@
 func benchmarkMinters() []*Minter {
 	minters := make([]*Minter, entryNodes)
 	for i := range minters {
-		minters[i] = NewMinter(Home{Instance: "portal-core-" + strconv.Itoa(i), Incarnation: 1})
+		minters[i] = NewMinter(NodeIncarnation{Instance: "portal-core-" + strconv.Itoa(i), Incarnation: 1})
 	}
 	return minters
 }
--- a/lib/bfrecord/bfclaim/case_test.go
+++ b/lib/bfrecord/bfclaim/case_test.go
@@ -27,7 +27,7 @@
 	return &cluster{
 		t: t, is: is.New(t), table: &faultyTable{Memory: newMemory()}, now: start,
 		nodes:  map[string]*node{"a": newNode("a", 1), "b": newNode("b", 1)},
-		minter: bfrecord.NewMinter(bfrecord.Home{Instance: "entry", Incarnation: 1}),
+		minter: bfrecord.NewMinter(bfrecord.NodeIncarnation{Instance: "entry", Incarnation: 1}),
 	}
 }
 
--- a/lib/bfrecord/bfclaim/claim.go
+++ b/lib/bfrecord/bfclaim/claim.go
@@ -13,7 +13,7 @@
 	Key     Key
 	Content bfrecord.Digest
 	// Home is the claiming node; it has a running record of ID and an admission slot.
-	Home bfrecord.Home
+	Home bfrecord.NodeIncarnation
 	ID   bfrecord.ID
 	// Deadline is the time from which the request must not be started.
 	Deadline time.Time
--- a/lib/bfrecord/bfclaim/claim_rapid_test.go
+++ b/lib/bfrecord/bfclaim/claim_rapid_test.go
@@ -43,7 +43,7 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
 		t: t, now: start, table: &faultyTable{Memory: newMemory()},
-		minter: bfrecord.NewMinter(bfrecord.Home{Instance: "entry", Incarnation: 1}),
+		minter: bfrecord.NewMinter(bfrecord.NodeIncarnation{Instance: "entry", Incarnation: 1}),
 		groups: map[*node]*Group[*task]{}, runs: map[string]int{}, answer: map[string]string{},
 	}
 	for _, instance := range []string{"a", "b", "c"} {
--- a/lib/bfrecord/bfclaim/fake_test.go
+++ b/lib/bfrecord/bfclaim/fake_test.go
@@ -84,12 +84,12 @@
 
 // node is one home: an incarnation of an instance and its Tracker.
 type node struct {
-	home    bfrecord.Home
+	home    bfrecord.NodeIncarnation
 	tracker *bfrecord.Tracker
 }
 
 func newNode(instance string, incarnation uint64) *node {
-	home := bfrecord.Home{Instance: instance, Incarnation: incarnation}
+	home := bfrecord.NodeIncarnation{Instance: instance, Incarnation: incarnation}
 	return &node{home: home, tracker: bfrecord.NewTracker(home, bfrecord.DefaultLimits())}
 }
 
--- a/lib/bfrecord/bfclaim/group_test.go
+++ b/lib/bfrecord/bfclaim/group_test.go
@@ -50,7 +50,7 @@
 
 // firstCommit is the first write of a claim of the i-th key.
 func firstCommit(i int) Commit {
-	id := bfrecord.ID{Entry: bfrecord.Home{Instance: "entry", Incarnation: 1}, Counter: uint64(i) + 1}
+	id := bfrecord.ID{Entry: bfrecord.NodeIncarnation{Instance: "entry", Incarnation: 1}, Counter: uint64(i) + 1}
 	_, claim := newNode("a", 1).arrive(start, id, fmt.Sprint("stem-", i), 1)
 	return claim.Next(start, Start{}).(Commit)
 }
--- a/lib/bfrecord/bfclaim/row.go
+++ b/lib/bfrecord/bfclaim/row.go
@@ -28,10 +28,10 @@
 
 // Row is the decoded value of a claim's table row.
 type Row struct {
-	Content bfrecord.Digest `json:"content" cbor:"1,keyasint"`
-	Home    bfrecord.Home   `json:"home" cbor:"2,keyasint"`
-	ID      bfrecord.ID     `json:"id" cbor:"3,keyasint"`
-	State   State           `json:"state" cbor:"4,keyasint"`
+	Content bfrecord.Digest          `json:"content" cbor:"1,keyasint"`
+	Home    bfrecord.NodeIncarnation `json:"home" cbor:"2,keyasint"`
+	ID      bfrecord.ID              `json:"id" cbor:"3,keyasint"`
+	State   State                    `json:"state" cbor:"4,keyasint"`
 	// Expires is when a done or released row may be removed, in milliseconds since 1970.
 	Expires int64 `json:"expires" cbor:"5,keyasint"`
 	// Answer is the recorded outcome, without its body if Object is set.
--- a/lib/bfrecord/bfclaim/step.go
+++ b/lib/bfrecord/bfclaim/step.go
@@ -112,12 +112,12 @@
 
 // InProgress means that another request with the key may be running at its home.
 type InProgress struct {
-	home bfrecord.Home
+	home bfrecord.NodeIncarnation
 	id   bfrecord.ID
 }
 
 // Home returns the incarnation that may be running it.
-func (p InProgress) Home() bfrecord.Home { return p.home }
+func (p InProgress) Home() bfrecord.NodeIncarnation { return p.home }
 
 // ID returns the request that may be running.
 func (p InProgress) ID() bfrecord.ID { return p.id }
@@ -140,12 +140,12 @@
 
 // HomeGone means that the key's home no longer has a record of whether its request ran; it is not run again.
 type HomeGone struct {
-	home bfrecord.Home
+	home bfrecord.NodeIncarnation
 	id   bfrecord.ID
 }
 
 // Home returns the incarnation that claimed the key.
-func (h HomeGone) Home() bfrecord.Home { return h.home }
+func (h HomeGone) Home() bfrecord.NodeIncarnation { return h.home }
 
 // ID returns the request that may have run.
 func (h HomeGone) ID() bfrecord.ID { return h.id }
--- a/lib/bfrecord/case_test.go
+++ b/lib/bfrecord/case_test.go
@@ -172,13 +172,13 @@
 }
 
 func attemptCases() []attemptCase {
-	refuse := func(home Home, verdict Verdict) func(*Attempt) {
+	refuse := func(home NodeIncarnation, verdict Verdict) func(*Attempt) {
 		return func(a *Attempt) {
 			refusal, _ := NewVerdictRefusal(a.ID(), home, verdict)
 			a.OnRefusal(refusal)
 		}
 	}
-	resolve := func(home Home, r Resolution) func(*Attempt) {
+	resolve := func(home NodeIncarnation, r Resolution) func(*Attempt) {
 		return func(a *Attempt) { a.OnResolveReply(NewResolveReply(a.ID(), home, r)) }
 	}
 	abandon := func(a *Attempt) { a.Abandon(ReasonUnreachable, 0) }
--- a/lib/bfrecord/id.go
+++ b/lib/bfrecord/id.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Home identifies one incarnation of a node; a restarted node has a new incarnation and no records.
-type Home struct {
+// NodeIncarnation identifies one incarnation of a node; a restarted node has a new incarnation and no records.
+type NodeIncarnation struct {
 	Instance    string `json:"instance" cbor:"1,keyasint"`
 	Incarnation uint64 `json:"incarnation" cbor:"2,keyasint"`
 }
 
 // String formats the home for logs.
-func (h Home) String() string { return fmt.Sprintf("%s/%x", h.Instance, h.Incarnation) }
+func (h NodeIncarnation) String() string { return fmt.Sprintf("%s/%x", h.Instance, h.Incarnation) }
 
 // ID identifies a request and is never reused.
 //
@@ -21,7 +21,7 @@
 // ID is the content of a MintedKey: Entry is then the home itself, and the caller
 // may send the request repeatedly.
 type ID struct {
-	Entry Home `json:"entry" cbor:"1,keyasint"`
+	Entry NodeIncarnation `json:"entry" cbor:"1,keyasint"`
 	// Counter increases with every ID of its entry node; it starts at the entry's clock, in microseconds since 1970.
 	Counter uint64 `json:"counter" cbor:"2,keyasint"`
 	Minted  bool   `json:"minted,omitempty" cbor:"3,keyasint,omitempty"`
@@ -39,12 +39,12 @@
 
 // Minter generates the IDs of one node. It is safe for concurrent use.
 type Minter struct {
-	home    Home
+	home    NodeIncarnation
 	counter atomic.Uint64
 }
 
 // NewMinter returns the ID generator of a node incarnation.
-func NewMinter(home Home) *Minter { return &Minter{home: home} }
+func NewMinter(home NodeIncarnation) *Minter { return &Minter{home: home} }
 
 // Next returns a new ID, unique within this incarnation.
 func (m *Minter) Next(now time.Time) ID {
--- a/lib/bfrecord/main_test.go
+++ b/lib/bfrecord/main_test.go
@@ -22,11 +22,11 @@
 
 var (
 	start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
-	home1 = Home{Instance: "order-desk-1", Incarnation: 1}
-	home2 = Home{Instance: "order-desk-1", Incarnation: 2}
-	entry = Home{Instance: "portal-core-4", Incarnation: 7}
+	home1 = NodeIncarnation{Instance: "order-desk-1", Incarnation: 1}
+	home2 = NodeIncarnation{Instance: "order-desk-1", Incarnation: 2}
+	entry = NodeIncarnation{Instance: "portal-core-4", Incarnation: 7}
 )
 
-func request(id ID, home Home) Request {
+func request(id ID, home NodeIncarnation) Request {
 	return Request{ID: id, Home: home, Content: Digest{1}, Class: "nomination"}
 }
--- a/lib/bfrecord/message.go
+++ b/lib/bfrecord/message.go
@@ -27,10 +27,10 @@
 
 // Refusal is the home's response to an arrival that it did not run.
 type Refusal struct {
-	ID         ID            `json:"id" cbor:"1,keyasint"`
-	Home       Home          `json:"home" cbor:"2,keyasint"`
-	Reason     Reason        `json:"reason" cbor:"3,keyasint"`
-	RetryAfter time.Duration `json:"retryAfter,omitempty" cbor:"4,keyasint,omitempty"`
+	ID         ID              `json:"id" cbor:"1,keyasint"`
+	Home       NodeIncarnation `json:"home" cbor:"2,keyasint"`
+	Reason     Reason          `json:"reason" cbor:"3,keyasint"`
+	RetryAfter time.Duration   `json:"retryAfter,omitempty" cbor:"4,keyasint,omitempty"`
 	// Barred reports that the home rejects every arrival of the ID, past and future, not only this one.
 	Barred bool `json:"barred,omitempty" cbor:"5,keyasint,omitempty"`
 }
@@ -48,8 +48,8 @@
 
 // ResolveRequest queries a home for the state of a request that was sent to it.
 type ResolveRequest struct {
-	ID   ID   `json:"id" cbor:"1,keyasint"`
-	Home Home `json:"home" cbor:"2,keyasint"`
+	ID   ID              `json:"id" cbor:"1,keyasint"`
+	Home NodeIncarnation `json:"home" cbor:"2,keyasint"`
 }
 
 // ResolveState is the wire form of a Resolution's type.
@@ -66,10 +66,10 @@
 
 // ResolveReply is the home's response to a ResolveRequest.
 type ResolveReply struct {
-	ID     ID             `json:"id" cbor:"1,keyasint"`
-	Home   Home           `json:"home" cbor:"2,keyasint"`
-	State  ResolveState   `json:"state" cbor:"3,keyasint"`
-	Answer *AnswerMessage `json:"answer,omitempty" cbor:"4,keyasint,omitempty"`
+	ID     ID              `json:"id" cbor:"1,keyasint"`
+	Home   NodeIncarnation `json:"home" cbor:"2,keyasint"`
+	State  ResolveState    `json:"state" cbor:"3,keyasint"`
+	Answer *AnswerMessage  `json:"answer,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
 // MessageError reports a message that is invalid or of another request.
@@ -113,7 +113,7 @@
 }
 
 // NewResolveReply returns the wire form of a resolution; home is the responding incarnation.
-func NewResolveReply(id ID, home Home, resolution Resolution) ResolveReply {
+func NewResolveReply(id ID, home NodeIncarnation, resolution Resolution) ResolveReply {
 	reply := ResolveReply{ID: id, Home: home, State: ResolvedForgotten}
 	switch r := resolution.(type) {
 	case NeverSeen:
@@ -152,12 +152,12 @@
 }
 
 // NewAbortRefusal returns the refusal of a request after Tracker.Abort.
-func NewAbortRefusal(id ID, home Home, reason Reason, retryAfter time.Duration) Refusal {
+func NewAbortRefusal(id ID, home NodeIncarnation, reason Reason, retryAfter time.Duration) Refusal {
 	return Refusal{ID: id, Home: home, Reason: reason, RetryAfter: retryAfter, Barred: true}
 }
 
 // NewVerdictRefusal returns the refusal for a verdict, and false for Run, StillRunning and Replay.
-func NewVerdictRefusal(id ID, home Home, verdict Verdict) (Refusal, bool) {
+func NewVerdictRefusal(id ID, home NodeIncarnation, verdict Verdict) (Refusal, bool) {
 	refusal := Refusal{ID: id, Home: home}
 	switch verdict.(type) {
 	case Barred:
--- a/lib/bfrecord/mintedkey.go
+++ b/lib/bfrecord/mintedkey.go
@@ -20,7 +20,7 @@
 func (k MintedKey) ID() ID { return k.id }
 
 // Home returns the only incarnation that may run the key's request.
-func (k MintedKey) Home() Home { return k.id.Entry }
+func (k MintedKey) Home() NodeIncarnation { return k.id.Entry }
 
 const (
 	keyPrefix         = "bfk1"
@@ -73,7 +73,7 @@
 	if !okIncarnation || !okCounter {
 		return MintedKey{}, &KeyError{Key: text, Reason: "wrong number"}
 	}
-	home := Home{Instance: string(instance), Incarnation: incarnation}
+	home := NodeIncarnation{Instance: string(instance), Incarnation: incarnation}
 	return MintedKey{id: ID{Entry: home, Counter: counter, Minted: true}}, nil
 }
 
--- a/lib/bfrecord/outcome.go
+++ b/lib/bfrecord/outcome.go
@@ -80,13 +80,13 @@
 // RefusedBeforeRun proves that the home refused the only possible arrival, or barred all arrivals.
 type RefusedBeforeRun struct {
 	id   ID
-	home Home
+	home NodeIncarnation
 }
 
 // BarredProof proves that the home never forwarded the request to its target and has permanently barred it.
 type BarredProof struct {
 	id   ID
-	home Home
+	home NodeIncarnation
 }
 
 // ID returns the request that was never sent.
@@ -96,13 +96,13 @@
 func (p RefusedBeforeRun) ID() ID { return p.id }
 
 // Home returns the incarnation that refused it.
-func (p RefusedBeforeRun) Home() Home { return p.home }
+func (p RefusedBeforeRun) Home() NodeIncarnation { return p.home }
 
 // ID returns the barred request.
 func (p BarredProof) ID() ID { return p.id }
 
 // Home returns the incarnation that barred it.
-func (p BarredProof) Home() Home { return p.home }
+func (p BarredProof) Home() NodeIncarnation { return p.home }
 
 func (NeverSent) proof()        {}
 func (RefusedBeforeRun) proof() {}
--- a/lib/bfrecord/scope.go
+++ b/lib/bfrecord/scope.go
@@ -4,7 +4,7 @@
 
 // scopeKey identifies a source of IDs with one increasing counter.
 type scopeKey struct {
-	entry  Home
+	entry  NodeIncarnation
 	minted bool
 }
 
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -9,7 +9,7 @@
 
 // ShardedTracker is a Tracker for concurrent use, sharded by request ID with a lock per shard.
 type ShardedTracker struct {
-	home   Home
+	home   NodeIncarnation
 	shards []shard
 }
 
@@ -22,7 +22,7 @@
 
 // NewShardedTracker returns an empty Sharded for home. Each shard gets an equal part of
 // the Records, Scopes and Bytes limits; the other limits apply to each shard in full.
-func NewShardedTracker(home Home, limits Limits, shardCount int) *ShardedTracker {
+func NewShardedTracker(home NodeIncarnation, limits Limits, shardCount int) *ShardedTracker {
 	limits.Records = max(limits.Records/shardCount, 1)
 	limits.Scopes = max(limits.Scopes/shardCount, 1)
 	limits.Bytes /= shardCount
@@ -34,7 +34,7 @@
 }
 
 // Home returns the incarnation whose requests are tracked.
-func (s *ShardedTracker) Home() Home { return s.home }
+func (s *ShardedTracker) Home() NodeIncarnation { return s.home }
 
 func (s *ShardedTracker) shard(id ID) *shard {
 	const multiplier = 0x9e3779b97f4a7c15
@@ -67,7 +67,7 @@
 }
 
 // Resolve calls Tracker.Resolve on the ID's shard.
-func (s *ShardedTracker) Resolve(now time.Time, id ID, home Home) Resolution {
+func (s *ShardedTracker) Resolve(now time.Time, id ID, home NodeIncarnation) Resolution {
 	locked := s.shard(id)
 	locked.mu.Lock()
 	defer locked.mu.Unlock()
--- a/lib/bfrecord/tracker.go
+++ b/lib/bfrecord/tracker.go
@@ -37,7 +37,7 @@
 	// ID is the arrival's request ID.
 	ID ID
 	// Home is the incarnation to which the request was sent.
-	Home Home
+	Home NodeIncarnation
 	// Content is the digest of method, path and body.
 	Content Digest
 	// Class is the request's class in its policy.
@@ -69,7 +69,7 @@
 // ID; a running record is never dropped; the watermark of a scope is at or above
 // the counter of each of its dropped records.
 type Tracker struct {
-	home    Home
+	home    NodeIncarnation
 	limits  Limits
 	records map[ID]*record
 	scopes  scopeSet
@@ -82,7 +82,7 @@
 }
 
 // NewTracker returns an empty Tracker for home.
-func NewTracker(home Home, limits Limits) *Tracker {
+func NewTracker(home NodeIncarnation, limits Limits) *Tracker {
 	return &Tracker{home: home, limits: limits, records: map[ID]*record{}, scopes: newScopeSet(limits.Scopes)}
 }
 
@@ -180,7 +180,7 @@
 //
 // An unknown request is barred first: it may still be in transit, and the entry
 // node will report to its caller that it was not run.
-func (t *Tracker) Resolve(now time.Time, id ID, home Home) Resolution {
+func (t *Tracker) Resolve(now time.Time, id ID, home NodeIncarnation) Resolution {
 	t.expire(now)
 	if home != t.home {
 		return HomeLost{home: t.home}
--- a/lib/bfrecord/tracker_rapid_test.go
+++ b/lib/bfrecord/tracker_rapid_test.go
@@ -11,7 +11,7 @@
 
 // modelTracker is the reference model: it never drops records, and maps each ID to the verdict of its next arrival.
 type modelTracker struct {
-	home    Home
+	home    NodeIncarnation
 	records map[ID]string
 }
 
@@ -26,7 +26,7 @@
 	return "Run"
 }
 
-func (n *modelTracker) resolve(id ID, home Home) string {
+func (n *modelTracker) resolve(id ID, home NodeIncarnation) string {
 	if home != n.home {
 		return "HomeLost"
 	}
@@ -64,8 +64,8 @@
 		t: t, now: start, unbounded: rapid.Bool().Draw(t, "roomy"),
 		ran: map[ID]int{}, answers: map[ID]string{},
 		minters: []*Minter{
-			NewMinter(entry), NewMinter(Home{Instance: "portal-core-5", Incarnation: 1}),
-			NewMinter(Home{Instance: "portal-core-6", Incarnation: 1}),
+			NewMinter(entry), NewMinter(NodeIncarnation{Instance: "portal-core-5", Incarnation: 1}),
+			NewMinter(NodeIncarnation{Instance: "portal-core-6", Incarnation: 1}),
 		},
 	}
 	w.limits = Limits{Records: 4, Running: 3, Scopes: 2, Bytes: 24, AnswerBytes: 16, Retention: 2 * time.Second}
@@ -76,7 +76,7 @@
 	return w
 }
 
-func (w *simulation) startHome(home Home) {
+func (w *simulation) startHome(home NodeIncarnation) {
 	w.tracker = NewTracker(home, w.limits)
 	w.model = &modelTracker{home: home, records: map[ID]string{}}
 	w.running = nil
@@ -234,7 +234,7 @@
 			w.ran[id]++
 		}
 	}
-	w.startHome(Home{Instance: home1.Instance, Incarnation: w.tracker.home.Incarnation + 1})
+	w.startHome(NodeIncarnation{Instance: home1.Instance, Incarnation: w.tracker.home.Incarnation + 1})
 }
 
 // check compares the true runs with the reported outcomes, after every action.
--- a/lib/bfrecord/verdict.go
+++ b/lib/bfrecord/verdict.go
@@ -26,10 +26,10 @@
 type Mismatch struct{}
 
 // HomeChanged means that the arrival was sent to another incarnation; it is not run.
-type HomeChanged struct{ home Home }
+type HomeChanged struct{ home NodeIncarnation }
 
 // Home returns the responding incarnation.
-func (h HomeChanged) Home() Home { return h.home }
+func (h HomeChanged) Home() NodeIncarnation { return h.home }
 
 // Full means that a limit of the Tracker is reached; the arrival is not run.
 type Full struct{}
@@ -63,10 +63,10 @@
 type Forgotten struct{}
 
 // HomeLost means that the queried incarnation has ended and its records are lost.
-type HomeLost struct{ home Home }
+type HomeLost struct{ home NodeIncarnation }
 
 // Home returns the responding incarnation.
-func (h HomeLost) Home() Home { return h.home }
+func (h HomeLost) Home() NodeIncarnation { return h.home }
 
 func (NeverSeen) resolution() {}
 func (Running) resolution()   {}
