--- a/lib/bfguard/claims.go
+++ b/lib/bfguard/claims.go
@@ -42,7 +42,7 @@
 	settling atomic.Int64
 
 	mu    sync.Mutex
-	group *bfclaim.Group[chan bfclaim.Event]
+	group *bfclaim.Batcher[chan bfclaim.Event]
 	flush *bftimer.Subscription
 }
 
@@ -50,7 +50,7 @@
 	return &claims{
 		table: config.Table, timer: config.Timer, directory: config.Directory, resolver: config.Resolver,
 		spawn: config.Spawn, logger: config.Logger,
-		group: bfclaim.NewGroup[chan bfclaim.Event](claimWindow, maxClaimBatch),
+		group: bfclaim.NewBatcher[chan bfclaim.Event](claimWindow, maxClaimBatch),
 	}
 }
 
@@ -108,12 +108,12 @@
 	defer cancel()
 	reply, err := c.resolver.Resolve(ctx, member.Peer, request)
 	if err != nil {
-		return bfclaim.HomeSilent{}
+		return bfclaim.HomeUnreachable{}
 	}
 	resolution, err := reply.Resolution()
 	if err != nil {
 		c.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
-		return bfclaim.HomeSilent{}
+		return bfclaim.HomeUnreachable{}
 	}
 	return bfclaim.HomeAnswered{Resolution: resolution}
 }
@@ -159,7 +159,7 @@
 	err := c.table.Commit(ctx, batch.Transaction())
 	var conflict *bfstore.ConflictError
 	c.breaker.record(c.timer.Now(), err != nil && !errors.As(err, &conflict))
-	finished, retries := batch.End(err)
+	finished, retries := batch.Complete(err)
 	for _, end := range finished {
 		end.Owner() <- end.Event()
 	}
--- a/lib/bfrecord/bfclaim/case_test.go
+++ b/lib/bfrecord/bfclaim/case_test.go
@@ -56,7 +56,7 @@
 func (s *cluster) ask(request bfrecord.ResolveRequest) Event {
 	n, found := s.nodes[request.Home.Instance]
 	if !found || s.silent {
-		return HomeSilent{}
+		return HomeUnreachable{}
 	}
 	return HomeAnswered{Resolution: n.tracker.Resolve(s.now, request.ID, request.Home)}
 }
--- a/lib/bfrecord/bfclaim/claim.go
+++ b/lib/bfrecord/bfclaim/claim.go
@@ -67,7 +67,7 @@
 		return c.decide(now, e.Row)
 	case HomeAnswered:
 		return c.homeAnswered(now, e.Resolution)
-	case HomeSilent:
+	case HomeUnreachable:
 		return c.end(InProgress{home: c.holder.Home, id: c.holder.ID})
 	}
 	return c.refuse(DefaultRetryAfter)
--- a/lib/bfrecord/bfclaim/claim_rapid_test.go
+++ b/lib/bfrecord/bfclaim/claim_rapid_test.go
@@ -16,7 +16,7 @@
 	at      *node
 	spec    Spec
 	machine stateMachine
-	// next is the state machine's pending action; nil once it ended or while its commit is in a group.
+	// next is the state machine's pending action; nil once it ended or while its commit is in a batcher.
 	next    Action
 	granted bool
 	// aborted and ran are the actual history of this request ID.
@@ -34,7 +34,7 @@
 	// nodes are the current incarnations; processes also include replaced ones that may still act.
 	nodes     []*node
 	processes []*node
-	groups    map[*node]*Group[*task]
+	batchers  map[*node]*Batcher[*task]
 	tasks     []*task
 	runs      map[string]int
 	answer    map[string]string
@@ -43,8 +43,8 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
 		t: t, now: start, table: &faultyTable{Memory: newMemory()},
-		minter: bfrecord.NewMinter(bfrecord.NodeIncarnation{Instance: "entry", Incarnation: 1}),
-		groups: map[*node]*Group[*task]{}, runs: map[string]int{}, answer: map[string]string{},
+		minter:   bfrecord.NewMinter(bfrecord.NodeIncarnation{Instance: "entry", Incarnation: 1}),
+		batchers: map[*node]*Batcher[*task]{}, runs: map[string]int{}, answer: map[string]string{},
 	}
 	for _, instance := range []string{"a", "b", "c"} {
 		f.addNode(newNode(instance, 1))
@@ -59,7 +59,7 @@
 
 func (f *fleet) start(n *node) {
 	f.processes = append(f.processes, n)
-	f.groups[n] = NewGroup[*task](time.Hour, 3)
+	f.batchers[n] = NewBatcher[*task](time.Hour, 3)
 }
 
 func (f *fleet) advanceTime(t *rapid.T) {
@@ -132,7 +132,7 @@
 	return rapid.SampledFrom(found).Draw(t, "task")
 }
 
-// step executes one action of one task; a commit is sent at once or stays in its group.
+// step executes one action of one task; a commit is sent at once or stays in its batcher.
 func (f *fleet) step(t *rapid.T) {
 	job := f.pick(t, func(job *task) bool { return job.next != nil })
 	action := job.next
@@ -145,7 +145,7 @@
 	case Wait:
 		f.take(job, job.machine.Next(f.now, Elapsed{}))
 	case Commit:
-		f.groups[job.at].Add(f.now, job, a)
+		f.batchers[job.at].Add(f.now, job, a)
 		if rapid.Bool().Draw(t, "at once") {
 			f.sendBatch(t, job.at)
 		}
@@ -160,20 +160,20 @@
 // ask queries the instance's newest incarnation, which may be unreachable.
 func (f *fleet) ask(t *rapid.T, request bfrecord.ResolveRequest) Event {
 	if rapid.IntRange(0, 4).Draw(t, "silent") == 0 {
-		return HomeSilent{}
+		return HomeUnreachable{}
 	}
 	for _, n := range slices.Backward(f.nodes) {
 		if n.home.Instance == request.Home.Instance {
 			return HomeAnswered{Resolution: n.tracker.Resolve(f.now, request.ID, request.Home)}
 		}
 	}
-	return HomeSilent{}
+	return HomeUnreachable{}
 }
 
 func (f *fleet) flush(t *rapid.T) {
 	var waiting []*node
 	for _, n := range f.processes {
-		if f.groups[n].Len() > 0 {
+		if f.batchers[n].Len() > 0 {
 			waiting = append(waiting, n)
 		}
 	}
@@ -185,13 +185,13 @@
 
 // sendBatch commits one process's batch and the retries after conflicts.
 func (f *fleet) sendBatch(t *rapid.T, n *node) {
-	first, ok := f.groups[n].Take(f.now.Add(2 * time.Hour))
+	first, ok := f.batchers[n].Take(f.now.Add(2 * time.Hour))
 	if !ok {
 		return
 	}
 	for batches := []*Batch[*task]{first}; len(batches) > 0; batches = batches[1:] {
 		err := f.table.commit(batches[0].Transaction(), f.drawFault(t))
-		ended, again := batches[0].End(err)
+		ended, again := batches[0].Complete(err)
 		batches = append(batches, again...)
 		for _, e := range ended {
 			f.take(e.Owner(), e.Owner().machine.Next(f.now, e.Event()))
@@ -232,7 +232,7 @@
 	old := f.nodes[i]
 	if rapid.Bool().Draw(t, "dead") {
 		f.tasks = slices.DeleteFunc(f.tasks, func(job *task) bool { return job.at == old })
-		f.groups[old] = NewGroup[*task](time.Hour, 3)
+		f.batchers[old] = NewBatcher[*task](time.Hour, 3)
 	}
 	f.nodes[i] = newNode(old.home.Instance, old.home.Incarnation+1)
 	f.start(f.nodes[i])
--- a/lib/bfrecord/bfclaim/doc.go
+++ b/lib/bfrecord/bfclaim/doc.go
@@ -2,7 +2,7 @@
 // once, by conditional writes to a row of the platform's table.
 //
 // The node beside the target claims the key before it runs the request and
-// records the outcome afterwards. Claim, Settlement and Group do no I/O: Claim
+// records the outcome afterwards. Claim, Settlement and Batcher do no I/O: Claim
 // and Settlement are state machines that take events and return the next action
 // for the caller to perform.
 //
--- a/lib/bfrecord/bfclaim/group.go
+++ b/lib/bfrecord/bfclaim/group.go
@@ -6,12 +6,12 @@
 	"bilberryflow.org/lib/bfstore"
 )
 
-// Group batches single-row commits into larger transactions.
+// Batcher batches single-row commits into larger transactions.
 //
 // A batch is due when its oldest commit has waited for the window or when the
 // maximum number of commits is pending. Owner identifies the state machine of a
-// commit to the caller. A Group is not safe for concurrent use.
-type Group[Owner any] struct {
+// commit to the caller. A Batcher is not safe for concurrent use.
+type Batcher[Owner any] struct {
 	window     time.Duration
 	maxCommits int
 	pending    []pendingCommit[Owner]
@@ -23,21 +23,21 @@
 	since  time.Time
 }
 
-// NewGroup returns an empty group with a batching window and a maximum number of commits per batch.
-func NewGroup[Owner any](window time.Duration, count int) *Group[Owner] {
-	return &Group[Owner]{window: window, maxCommits: count}
+// NewBatcher returns an empty Batcher with a batching window and a maximum number of commits per batch.
+func NewBatcher[Owner any](window time.Duration, count int) *Batcher[Owner] {
+	return &Batcher[Owner]{window: window, maxCommits: count}
 }
 
 // Add queues a commit of owner's state machine.
-func (g *Group[Owner]) Add(now time.Time, owner Owner, commit Commit) {
+func (g *Batcher[Owner]) Add(now time.Time, owner Owner, commit Commit) {
 	g.pending = append(g.pending, pendingCommit[Owner]{owner: owner, commit: commit, since: now})
 }
 
 // Len returns the number of pending commits.
-func (g *Group[Owner]) Len() int { return len(g.pending) }
+func (g *Batcher[Owner]) Len() int { return len(g.pending) }
 
 // Due returns when the next batch is due; ok is false if no commit is pending.
-func (g *Group[Owner]) Due() (at time.Time, ok bool) {
+func (g *Batcher[Owner]) Due() (at time.Time, ok bool) {
 	if len(g.pending) == 0 {
 		return time.Time{}, false
 	}
@@ -51,7 +51,7 @@
 //
 // A batch never has two commits on one row: the table checks all conditions
 // before it writes, so both would pass and both claims be granted.
-func (g *Group[Owner]) Take(now time.Time) (*Batch[Owner], bool) {
+func (g *Batcher[Owner]) Take(now time.Time) (*Batch[Owner], bool) {
 	if at, ok := g.Due(); !ok || now.Before(at) {
 		return nil, false
 	}
@@ -89,47 +89,47 @@
 	return tx
 }
 
-// Ended is the result of one commit of a batch.
-type Ended[Owner any] struct {
+// CommitResult is the result of one commit of a batch.
+type CommitResult[Owner any] struct {
 	owner Owner
 	event CommitEnded
 }
 
-// Owner returns the owner that was passed to Group.Add.
-func (e Ended[Owner]) Owner() Owner { return e.owner }
+// Owner returns the owner that was passed to Batcher.Add.
+func (e CommitResult[Owner]) Owner() Owner { return e.owner }
 
 // Event returns the event to pass to the owner's state machine.
-func (e Ended[Owner]) Event() CommitEnded { return e.event }
+func (e CommitResult[Owner]) Event() CommitEnded { return e.event }
 
 // maxConflicts is the number of conflicts after which the rest of a batch is
 // committed row by row, so that it does not wait for one retry per conflict.
 const maxConflicts = 2
 
-// End takes the table's result for the batch, and returns the commits that ended and the batches to retry.
-func (b *Batch[Owner]) End(err error) (ended []Ended[Owner], retries []*Batch[Owner]) {
+// Complete takes the table's result for the batch, and returns the commits that ended and the batches to retry.
+func (b *Batch[Owner]) Complete(err error) (ended []CommitResult[Owner], retries []*Batch[Owner]) {
 	end, row, _ := classify(err)
 	if end != commitConflicted {
-		return b.endAll(err), nil
+		return b.completeAll(err), nil
 	}
 	var rest []pendingCommit[Owner]
 	for _, m := range b.commits {
 		if m.commit.key == row.Key {
-			ended = append(ended, Ended[Owner]{owner: m.owner, event: CommitEnded{Err: err}})
+			ended = append(ended, CommitResult[Owner]{owner: m.owner, event: CommitEnded{Err: err}})
 			continue
 		}
 		rest = append(rest, m)
 	}
 	if len(ended) == 0 {
 		// A conflict on a foreign row leaves the result of the batch's rows unknown.
-		return b.endAll(&bfstore.UnknownError{Reason: "conflict on row " + row.Key + ", which is not in the batch"}), nil
+		return b.completeAll(&bfstore.UnknownError{Reason: "conflict on row " + row.Key + ", which is not in the batch"}), nil
 	}
 	return ended, b.split(rest)
 }
 
-func (b *Batch[Owner]) endAll(err error) []Ended[Owner] {
-	ended := make([]Ended[Owner], 0, len(b.commits))
+func (b *Batch[Owner]) completeAll(err error) []CommitResult[Owner] {
+	ended := make([]CommitResult[Owner], 0, len(b.commits))
 	for _, m := range b.commits {
-		ended = append(ended, Ended[Owner]{owner: m.owner, event: CommitEnded{Err: err}})
+		ended = append(ended, CommitResult[Owner]{owner: m.owner, event: CommitEnded{Err: err}})
 	}
 	return ended
 }
--- a/lib/bfrecord/bfclaim/group_test.go
+++ b/lib/bfrecord/bfclaim/group_test.go
@@ -22,23 +22,23 @@
 func TestGroupConflicts(t *testing.T) {
 	is := is.New(t)
 	table := newMemory()
-	group := NewGroup[int](5*time.Millisecond, 100)
+	batcher := NewBatcher[int](5*time.Millisecond, 100)
 	for i := range 8 {
 		commit := firstCommit(i)
-		group.Add(start, i, commit)
+		batcher.Add(start, i, commit)
 		if i%3 == 0 {
 			other := bfstore.Transaction{Writes: []bfstore.Write{{Key: commit.Key(), Value: []byte("x")}}}
 			is.NoErr(table.Commit(context.Background(), other))
 		}
 	}
 	// A resend of the first key must go into another transaction.
-	group.Add(start, 8, firstCommit(0))
-	_, ok := group.Take(start.Add(4 * time.Millisecond))
+	batcher.Add(start, 8, firstCommit(0))
+	_, ok := batcher.Take(start.Add(4 * time.Millisecond))
 	is.True(!ok)
-	batch, ok := group.Take(start.Add(5 * time.Millisecond))
+	batch, ok := batcher.Take(start.Add(5 * time.Millisecond))
 	is.True(ok)
 	is.Equal(batch.Len(), 8)
-	is.Equal(group.Len(), 1)
+	is.Equal(batcher.Len(), 1)
 	ends, transactions := runBatches(table, batch)
 	for i := range 8 {
 		is.Equal(ends[i] == commitConflicted, i%3 == 0)
@@ -59,7 +59,7 @@
 	statuses = map[int]commitStatus{}
 	for batches := []*Batch[int]{first}; len(batches) > 0; batches = batches[1:] {
 		transactions++
-		ended, again := batches[0].End(table.Commit(context.Background(), batches[0].Transaction()))
+		ended, again := batches[0].Complete(table.Commit(context.Background(), batches[0].Transaction()))
 		for _, e := range ended {
 			statuses[e.Owner()], _, _ = classify(e.Event().Err)
 		}
@@ -108,25 +108,25 @@
 	}
 }
 
-// transactionRate returns the batches per second of one node's group at rate commits per second.
+// transactionRate returns the batches per second of one node's Batcher at rate commits per second.
 func transactionRate(rate float64, window time.Duration) float64 {
 	const commits, maxBatch = 4000, 64
 	random := rand.New(rand.NewPCG(1, 2))
-	group := NewGroup[int](window, maxBatch)
+	batcher := NewBatcher[int](window, maxBatch)
 	now := start
 	batches := 0
 	for i := range commits {
 		now = now.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		for {
-			at, waiting := group.Due()
+			at, waiting := batcher.Due()
 			if !waiting || at.After(now) {
 				break
 			}
-			if _, taken := group.Take(at); taken {
+			if _, taken := batcher.Take(at); taken {
 				batches++
 			}
 		}
-		group.Add(now, i, Commit{key: fmt.Sprint(i)})
+		batcher.Add(now, i, Commit{key: fmt.Sprint(i)})
 	}
 	return float64(batches) / now.Sub(start).Seconds()
 }
--- a/lib/bfrecord/bfclaim/settlement.go
+++ b/lib/bfrecord/bfclaim/settlement.go
@@ -8,7 +8,7 @@
 )
 
 // Settlement is the state machine that writes the final state of a claim: its
-// outcome or its release. A Group batches the commits of several into one transaction.
+// outcome or its release. A Batcher batches the commits of several into one transaction.
 type Settlement struct {
 	key      string
 	final    Row
@@ -70,7 +70,7 @@
 		return s.decide(e.Row)
 	case CommitEnded:
 		return s.committed(e.Err)
-	case HomeAnswered, HomeSilent:
+	case HomeAnswered, HomeUnreachable:
 	}
 	return s.backOff()
 }
--- a/lib/bfrecord/bfclaim/step.go
+++ b/lib/bfrecord/bfclaim/step.go
@@ -27,18 +27,18 @@
 // HomeAnswered is the home's response to AskHome.
 type HomeAnswered struct{ Resolution bfrecord.Resolution }
 
-// HomeSilent reports that the home of an AskHome is unreachable.
-type HomeSilent struct{}
+// HomeUnreachable reports that the home of an AskHome is unreachable.
+type HomeUnreachable struct{}
 
 // Elapsed reports that the duration of a Wait has passed.
 type Elapsed struct{}
 
-func (Start) event()        {}
-func (RowRead) event()      {}
-func (CommitEnded) event()  {}
-func (HomeAnswered) event() {}
-func (HomeSilent) event()   {}
-func (Elapsed) event()      {}
+func (Start) event()           {}
+func (RowRead) event()         {}
+func (CommitEnded) event()     {}
+func (HomeAnswered) event()    {}
+func (HomeUnreachable) event() {}
+func (Elapsed) event()         {}
 
 // Action is an output of a state machine. It is a sealed interface: Read, Commit,
 // AskHome, Wait or Done.
