--- a/bfplatform/internal/bfservice/rows.go
+++ b/bfplatform/internal/bfservice/rows.go
@@ -19,7 +19,7 @@
 // Rows is the store's face in the form of the users' platform, with the same
 // faults and ceilings as the other.
 type Rows struct {
-	rows   *bfstore.MemoryRows
+	rows   *bfstore.MemoryTableStore
 	serve  bfdialect.RowsHandler
 	faults *bffault.Switchboard
 	group  *bfgroup.Group
@@ -31,7 +31,7 @@
 // NewRows makes the face over an empty store.
 func NewRows(faults *bffault.Switchboard, group *bfgroup.Group, readRate, writeRate int, metrics *bfmetric.Registry) *Rows {
 	began := time.Now()
-	rows := bfstore.NewMemoryRows()
+	rows := bfstore.NewMemoryTableStore()
 	return &Rows{
 		rows: rows, faults: faults, group: group,
 		serve:  bfdialect.RowsHandler{Rows: rows, Now: func() time.Duration { return time.Since(began) }},
--- a/lib/bfbackend/backend.go
+++ b/lib/bfbackend/backend.go
@@ -42,7 +42,7 @@
 type Config struct {
 	Control   Control
 	Table     bfstore.Table
-	Objects   bfstore.Objects
+	Objects   bfstore.ObjectStore
 	Directory *bfdirectory.Directory
 	Calls     *bfpeer.Calls
 	Timer     *bftimer.Service
--- a/lib/bfbackend/backend_test.go
+++ b/lib/bfbackend/backend_test.go
@@ -65,7 +65,7 @@
 	return &bfstore.UnknownError{Reason: "connection cut"}
 }
 
-func newBackend(t *testing.T, table bfstore.Table, objects bfstore.Objects) *Backend {
+func newBackend(t *testing.T, table bfstore.Table, objects bfstore.ObjectStore) *Backend {
 	group := bfgroup.New(context.Background())
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
--- a/lib/bfbackup/backup.go
+++ b/lib/bfbackup/backup.go
@@ -26,7 +26,7 @@
 type Parts struct {
 	// Table is the name of the table that holds the copy.
 	Table string
-	Rows  bfstore.Rows
+	Rows  bfstore.TableStore
 	// Book is this node's quarantine.
 	Book *bfquarantine.Book
 	// Keeps reports whether this node currently maintains the copy.
--- a/lib/bfbackup/backup_test.go
+++ b/lib/bfbackup/backup_test.go
@@ -17,7 +17,7 @@
 
 // faultyStore counts calls, and can be unavailable or lose the responses of writes.
 type faultyStore struct {
-	*bfstore.MemoryRows
+	*bfstore.MemoryTableStore
 	calls                      atomic.Int32
 	unavailable, loseResponses bool
 }
@@ -27,7 +27,7 @@
 	if s.unavailable {
 		return nil, 0, &bfstore.UnavailableError{Reason: "test"}
 	}
-	return s.MemoryRows.List(ctx, table)
+	return s.MemoryTableStore.List(ctx, table)
 }
 
 func (s *faultyStore) Write(ctx context.Context, table string, writes ...bfstore.RowWrite) (uint64, error) {
@@ -35,7 +35,7 @@
 	if s.unavailable {
 		return 0, &bfstore.UnavailableError{Reason: "test"}
 	}
-	revision, err := s.MemoryRows.Write(ctx, table, writes...)
+	revision, err := s.MemoryTableStore.Write(ctx, table, writes...)
 	if s.loseResponses {
 		return 0, &bfstore.UnknownError{Reason: "test"}
 	}
@@ -64,7 +64,7 @@
 func TestRestoreAfterFleetRestart(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 	b, book := newNode(s, true)
 	for range 5 {
 		is.NoErr(b.step(ctx))
@@ -89,7 +89,7 @@
 func TestCopyDropsReleasedRequests(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 	b, book := newNode(s, true)
 	hold(book, "bad")
 	is.NoErr(b.step(ctx))
@@ -104,7 +104,7 @@
 func TestStoreFaults(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 	b, book := newNode(s, true)
 	hold(book, "bad")
 	s.unavailable = true
@@ -135,16 +135,16 @@
 func TestRowSizeAndDecodeErrors(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+	s := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 	b, book := newNode(s, true)
 	for i := range 600 {
 		hold(book, fmt.Sprint("bad ", i))
 	}
 	is.NoErr(b.step(ctx))
-	entries, _, err := s.MemoryRows.List(ctx, "t")
+	entries, _, err := s.MemoryTableStore.List(ctx, "t")
 	is.NoErr(err)
 	is.True(len(entries[0].Value) <= maxRowBytes)
-	_, err = s.MemoryRows.Write(ctx, "t", bfstore.RowWrite{Key: rowKey, Value: []byte("damaged"), Revision: entries[0].Revision})
+	_, err = s.MemoryTableStore.Write(ctx, "t", bfstore.RowWrite{Key: rowKey, Value: []byte("damaged"), Revision: entries[0].Revision})
 	is.NoErr(err)
 	restarted, restored := newNode(s, false)
 	is.True(restarted.step(ctx) != nil)
--- a/lib/bfbatch/batch.go
+++ b/lib/bfbatch/batch.go
@@ -25,7 +25,7 @@
 // Config holds the dependencies of a Batcher.
 type Config struct {
 	Table  string
-	Rows   bfstore.Rows
+	Rows   bfstore.TableStore
 	Timer  *bftimer.Service
 	Logger *bflog.Logger
 	// Spawn starts a goroutine that the node waits for on shutdown.
--- a/lib/bfbatch/batch_test.go
+++ b/lib/bfbatch/batch_test.go
@@ -22,7 +22,7 @@
 
 // countingRows counts write calls.
 type countingRows struct {
-	*bfstore.MemoryRows
+	*bfstore.MemoryTableStore
 	mu    sync.Mutex
 	calls int
 }
@@ -31,13 +31,13 @@
 	c.mu.Lock()
 	c.calls++
 	c.mu.Unlock()
-	return c.MemoryRows.Write(ctx, table, writes...)
+	return c.MemoryTableStore.Write(ctx, table, writes...)
 }
 
 func withBatcher(t *testing.T, fn func(is *is.I, rows *countingRows, b *Batcher, group *bfgroup.Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		rows := &countingRows{MemoryRows: bfstore.NewMemoryRows()}
+		rows := &countingRows{MemoryTableStore: bfstore.NewMemoryTableStore()}
 		timer := bftimer.New(1)
 		group := bfgroup.New(context.Background())
 		group.Go("timer", timer.Run)
@@ -176,7 +176,7 @@
 	defer group.Cancel()
 	timer := bftimer.New(1)
 	group.Go("timer", timer.Run)
-	rows := bfstore.NewMemoryRows()
+	rows := bfstore.NewMemoryTableStore()
 	b := New(Config{Table: "members", Rows: rows, Timer: timer, Logger: bflog.Discard(), Spawn: group.Go})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/lib/bfcommit/run.go
+++ b/lib/bfcommit/run.go
@@ -103,7 +103,7 @@
 // Load then falls back to the one before it, and finally to the empty version 0;
 // this results in the same state from more deltas. It returns the snapshots it
 // skipped.
-func Load(ctx context.Context, table bfstore.Table, objects bfstore.Objects, page int) (*bfconfig.State, []SkippedSnapshot, error) {
+func Load(ctx context.Context, table bfstore.Table, objects bfstore.ObjectStore, page int) (*bfconfig.State, []SkippedSnapshot, error) {
 	names, err := objects.ListObjects(ctx, snapshotPrefix)
 	if err != nil {
 		names = nil // without the object store, the deltas alone are enough
@@ -128,7 +128,7 @@
 	return nil, skipped, skipped[len(skipped)-1].Err
 }
 
-func loadSnapshot(ctx context.Context, objects bfstore.Objects, version bfconfig.Version) (*bfconfig.State, error) {
+func loadSnapshot(ctx context.Context, objects bfstore.ObjectStore, version bfconfig.Version) (*bfconfig.State, error) {
 	if version == 0 {
 		return bfconfig.Empty(), nil
 	}
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -47,7 +47,7 @@
 	Seeds     []string
 	Profile   Profile
 	Table     bfstore.Table
-	Objects   bfstore.Objects
+	Objects   bfstore.ObjectStore
 	Datagrams Datagrams
 	Calls     Calls
 	Directory *bfdirectory.Directory
--- a/lib/bffollow/follow.go
+++ b/lib/bffollow/follow.go
@@ -25,7 +25,7 @@
 // Follower follows one table.
 type Follower struct {
 	table         string
-	rows          bfstore.Rows
+	rows          bfstore.TableStore
 	apply         func(Batch)
 	batchDelay    time.Duration
 	shouldFollow  func() bool
@@ -45,7 +45,7 @@
 // Config holds the dependencies of a Follower.
 type Config struct {
 	Table string
-	Rows  bfstore.Rows
+	Rows  bfstore.TableStore
 	Apply func(Batch)
 	// BatchDelay is the pause after a change, in which further changes are batched to save
 	// calls.
--- a/lib/bffollow/follow_test.go
+++ b/lib/bffollow/follow_test.go
@@ -19,7 +19,7 @@
 
 // faultyStore is a store that can be down or unresponsive.
 type faultyStore struct {
-	*bfstore.MemoryRows
+	*bfstore.MemoryTableStore
 	mu   sync.Mutex
 	down bool
 	// unresponsive makes the store drop calls that begin while it is set.
@@ -69,7 +69,7 @@
 	if err := f.call(true); err != nil {
 		return nil, 0, err
 	}
-	return f.MemoryRows.List(ctx, table)
+	return f.MemoryTableStore.List(ctx, table)
 }
 
 func (f *faultyStore) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]bfstore.Entry, uint64, error) {
@@ -81,7 +81,7 @@
 	if err := f.call(false); err != nil {
 		return nil, 0, err
 	}
-	return f.MemoryRows.Changes(ctx, table, after, wait)
+	return f.MemoryTableStore.Changes(ctx, table, after, wait)
 }
 
 const batchDelay = 300 * time.Millisecond
@@ -91,7 +91,7 @@
 func runFollower(t *testing.T, fn func(is *is.I, store *faultyStore, f *Follower, rows func() map[string]string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 		var mu sync.Mutex
 		rows := map[string]string{}
 		timer := bftimer.New(1)
@@ -241,7 +241,7 @@
 func TestFollowerContinuesFromKnownRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 		timer := bftimer.New(1)
 		var shouldFollow atomic.Bool
 		var knownRevision atomic.Uint64
@@ -279,7 +279,7 @@
 func TestFirstReadIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 		timer := bftimer.New(1)
 		f := New(Config{
 			Table: "t", Rows: store, Apply: func(Batch) {}, KnownRevision: func() uint64 { return 0 },
@@ -301,7 +301,7 @@
 func TestWokenNodeReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &faultyStore{MemoryRows: bfstore.NewMemoryRows()}
+		store := &faultyStore{MemoryTableStore: bfstore.NewMemoryTableStore()}
 		timer := bftimer.New(1)
 		var shouldFollow atomic.Bool
 		f := New(Config{
--- a/lib/bfpresence/presence.go
+++ b/lib/bfpresence/presence.go
@@ -18,7 +18,7 @@
 type Config struct {
 	Table string
 	Key   string
-	Rows  bfstore.Rows
+	Rows  bfstore.TableStore
 	// WriteBatched writes the row in a batch with rows of other nodes. If it is nil or returns
 	// an error other than ConflictError, the node writes the row directly.
 	WriteBatched func(ctx context.Context, write bfstore.RowWrite) (uint64, error)
--- a/lib/bfpresence/presence_test.go
+++ b/lib/bfpresence/presence_test.go
@@ -18,7 +18,7 @@
 
 // store counts writes. It can be down, or make a write and lose its reply.
 type store struct {
-	*bfstore.MemoryRows
+	*bfstore.MemoryTableStore
 	mu        sync.Mutex
 	down      bool
 	loseReply bool
@@ -54,7 +54,7 @@
 
 func (s *store) Write(ctx context.Context, table string, writes ...bfstore.RowWrite) (revision uint64, err error) {
 	err = s.write(func() (err error) {
-		revision, err = s.MemoryRows.Write(ctx, table, writes...)
+		revision, err = s.MemoryTableStore.Write(ctx, table, writes...)
 		return err
 	})
 	return revision, err
@@ -72,7 +72,7 @@
 func runPresence(t *testing.T, fn func(is *is.I, s *store, p *Presence)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{MemoryRows: bfstore.NewMemoryRows()}
+		s := &store{MemoryTableStore: bfstore.NewMemoryTableStore()}
 		timer := bftimer.New(1)
 		p := New(Config{Table: "members", Key: "self", Rows: s, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New()})
 		group := bfgroup.New(context.Background())
@@ -109,7 +109,7 @@
 // A node restarts beside a running target while its row still exists. It must not write.
 func TestRestartWritesNothing(t *testing.T) {
 	runPresence(t, func(is *is.I, s *store, p *Presence) {
-		_, err := s.MemoryRows.Put(context.Background(), "members", "self", []byte("here"), 0)
+		_, err := s.MemoryTableStore.Put(context.Background(), "members", "self", []byte("here"), 0)
 		is.NoErr(err)
 		p.Observe(s.row())
 		synctest.Wait()
@@ -149,7 +149,7 @@
 		time.Sleep(2 * time.Second)
 		is.True(s.row().Removed)
 		// The store makes the lost write a second time; its condition no longer holds.
-		_, err := s.MemoryRows.Put(context.Background(), "members", "self", []byte("late"), 1)
+		_, err := s.MemoryTableStore.Put(context.Background(), "members", "self", []byte("late"), 1)
 		is.True(err != nil)
 	})
 }
@@ -161,7 +161,7 @@
 		p.Observe(s.row())
 		p.SetDesired([]byte("here"))
 		synctest.Wait()
-		is.NoErr(s.MemoryRows.Remove(context.Background(), "members", "self", s.row().Revision))
+		is.NoErr(s.MemoryTableStore.Remove(context.Background(), "members", "self", s.row().Revision))
 		p.Observe(bfstore.Entry{Key: "self", Removed: true, Revision: 2})
 		synctest.Wait()
 		is.Equal(string(s.row().Value), "here")
@@ -189,14 +189,14 @@
 	for _, performed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			s := &store{MemoryRows: bfstore.NewMemoryRows()}
+			s := &store{MemoryTableStore: bfstore.NewMemoryTableStore()}
 			timer := bftimer.New(1)
 			p := New(Config{
 				Table: "members", Key: "self", Rows: s, Timer: timer, Logger: bflog.Discard(), Metrics: bfmetric.New(),
 				WriteBatched: func(ctx context.Context, write bfstore.RowWrite) (uint64, error) {
 					if performed {
 						// The second attempt is a conflict, since the first was made.
-						_, _ = s.MemoryRows.Write(ctx, "members", write)
+						_, _ = s.MemoryTableStore.Write(ctx, "members", write)
 					}
 					return 0, context.DeadlineExceeded
 				},
--- a/lib/bfstore/memory.go
+++ b/lib/bfstore/memory.go
@@ -9,7 +9,7 @@
 	"github.com/google/btree"
 )
 
-// Memory is an in-memory Table and Objects. It is safe for concurrent use.
+// Memory is an in-memory Table and ObjectStore. It is safe for concurrent use.
 type Memory struct {
 	mu       sync.RWMutex
 	rows     *btree.BTreeG[Row]
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// PutObject implements Objects.
+// PutObject implements ObjectStore.
 func (m *Memory) PutObject(_ context.Context, name string, data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Object implements Objects; its only error is a *NotFoundError.
+// Object implements ObjectStore; its only error is a *NotFoundError.
 func (m *Memory) Object(_ context.Context, name string) ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -97,7 +97,7 @@
 	return data, nil
 }
 
-// ListObjects implements Objects.
+// ListObjects implements ObjectStore.
 func (m *Memory) ListObjects(_ context.Context, prefix string) ([]string, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -111,7 +111,7 @@
 	return names, nil
 }
 
-// DeleteObject implements Objects.
+// DeleteObject implements ObjectStore.
 func (m *Memory) DeleteObject(_ context.Context, name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/lib/bfstore/memoryrows.go
+++ b/lib/bfstore/memoryrows.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// MemoryRows is an in-memory Rows, for tests and the platform stand-in. It is safe for concurrent use.
-type MemoryRows struct {
+// MemoryTableStore is an in-memory TableStore, for tests and the platform stand-in. It is safe for concurrent use.
+type MemoryTableStore struct {
 	mu       sync.Mutex
 	revision uint64
 	// tables holds each table's rows by key, removed ones included.
@@ -20,13 +20,13 @@
 	changed chan struct{}
 }
 
-// NewMemoryRows returns an empty store.
-func NewMemoryRows() *MemoryRows {
-	return &MemoryRows{tables: map[string]map[string]Entry{}, changed: make(chan struct{})}
+// NewMemoryTableStore returns an empty store.
+func NewMemoryTableStore() *MemoryTableStore {
+	return &MemoryTableStore{tables: map[string]map[string]Entry{}, changed: make(chan struct{})}
 }
 
 // List implements Rows.
-func (m *MemoryRows) List(_ context.Context, table string) ([]Entry, uint64, error) {
+func (m *MemoryTableStore) List(_ context.Context, table string) ([]Entry, uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entries := m.changedSince(table, 0)
@@ -34,7 +34,7 @@
 }
 
 // changedSince returns by key the rows changed after a revision; m.mu must be held.
-func (m *MemoryRows) changedSince(table string, after uint64) []Entry {
+func (m *MemoryTableStore) changedSince(table string, after uint64) []Entry {
 	var entries []Entry
 	for _, entry := range m.tables[table] {
 		if entry.Revision > after {
@@ -46,7 +46,7 @@
 }
 
 // Changes implements Rows; its errors are *HistoryError and that of ctx.
-func (m *MemoryRows) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]Entry, uint64, error) {
+func (m *MemoryTableStore) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]Entry, uint64, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (m *MemoryRows) poll(table string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
+func (m *MemoryTableStore) poll(table string, after uint64) ([]Entry, uint64, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if after < m.compactedRevision {
@@ -74,18 +74,18 @@
 }
 
 // Put writes a row if it still has the revision, and returns its new revision.
-func (m *MemoryRows) Put(ctx context.Context, table, key string, value []byte, revision uint64) (uint64, error) {
+func (m *MemoryTableStore) Put(ctx context.Context, table, key string, value []byte, revision uint64) (uint64, error) {
 	return m.Write(ctx, table, RowWrite{Key: key, Value: value, Revision: revision})
 }
 
 // Remove removes a row if it still has the revision.
-func (m *MemoryRows) Remove(ctx context.Context, table, key string, revision uint64) error {
+func (m *MemoryTableStore) Remove(ctx context.Context, table, key string, revision uint64) error {
 	_, err := m.Write(ctx, table, RowWrite{Key: key, Remove: true, Revision: revision})
 	return err
 }
 
 // Write implements Rows; its only error is a *ConflictError.
-func (m *MemoryRows) Write(_ context.Context, table string, writes ...RowWrite) (uint64, error) {
+func (m *MemoryTableStore) Write(_ context.Context, table string, writes ...RowWrite) (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, w := range writes {
@@ -106,7 +106,7 @@
 }
 
 // checkRevision returns a *ConflictError if the row's revision is not the expected one; m.mu must be held.
-func (m *MemoryRows) checkRevision(table string, w RowWrite) error {
+func (m *MemoryTableStore) checkRevision(table string, w RowWrite) error {
 	held := m.tables[table][w.Key]
 	present := held.Revision
 	if held.Removed {
@@ -119,7 +119,7 @@
 }
 
 // DropHistory drops the change history, so that Changes after an earlier revision returns a *HistoryError.
-func (m *MemoryRows) DropHistory() {
+func (m *MemoryTableStore) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.compactedRevision = m.revision
--- a/lib/bfstore/rows.go
+++ b/lib/bfstore/rows.go
@@ -14,8 +14,8 @@
 	Removed  bool
 }
 
-// Rows is a store of named tables whose changes can be watched.
-type Rows interface {
+// TableStore is a store of named tables whose changes can be watched.
+type TableStore interface {
 	// List returns a consistent snapshot of a table and the snapshot's revision.
 	List(ctx context.Context, table string) ([]Entry, uint64, error)
 	// Changes returns the rows changed after a revision, waiting for a change for at most wait,
--- a/lib/bfstore/store.go
+++ b/lib/bfstore/store.go
@@ -43,8 +43,8 @@
 	Commit(ctx context.Context, tx Transaction) error
 }
 
-// Objects is the platform's object store.
-type Objects interface {
+// ObjectStore is the platform's object store.
+type ObjectStore interface {
 	// PutObject stores data under name and replaces an existing object.
 	PutObject(ctx context.Context, name string, data []byte) error
 	// Object returns the data stored under name, or a *NotFoundError.
--- a/lib/bftable/client.go
+++ b/lib/bftable/client.go
@@ -31,8 +31,8 @@
 }
 
 var (
-	_ bfstore.Table   = (*Client)(nil)
-	_ bfstore.Objects = (*Client)(nil)
+	_ bfstore.Table       = (*Client)(nil)
+	_ bfstore.ObjectStore = (*Client)(nil)
 )
 
 // New returns a client for the platform at base, such as http://10.0.0.1:7900; timeout bounds
