--- a/lib/bfstore/memoryrows.go
+++ b/lib/bfstore/memoryrows.go
@@ -25,7 +25,7 @@
 	return &MemoryTableStore{tables: map[string]map[string]Entry{}, changed: make(chan struct{})}
 }
 
-// List implements Rows.
+// List implements TableStore.
 func (m *MemoryTableStore) List(_ context.Context, table string) ([]Entry, uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,7 +45,7 @@
 	return entries
 }
 
-// Changes implements Rows; its errors are *HistoryError and that of ctx.
+// Changes implements TableStore; its errors are *HistoryError and that of ctx.
 func (m *MemoryTableStore) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]Entry, uint64, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -84,7 +84,7 @@
 	return err
 }
 
-// Write implements Rows; its only error is a *ConflictError.
+// Write implements TableStore; its only error is a *ConflictError.
 func (m *MemoryTableStore) Write(_ context.Context, table string, writes ...RowWrite) (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
