--- a/bfnode/internal/bfmesh/quarantine.go
+++ b/bfnode/internal/bfmesh/quarantine.go
@@ -15,9 +15,9 @@
 		Self: n.common.Peer, Book: n.book, Calls: n.calls, Timer: n.timer, Spawn: n.group.Go,
 		Recipients: func(own bool) []string { return n.news.Recipients(own) },
 	})
-	n.backup = bfbackup.New(bfbackup.Parts{
-		Table: quarantineTable, Rows: n.store, Book: n.book, Take: n.rumor.Merge, First: n.settings.FirstStart,
-		Keeps: func() bool { return n.news.IsFirstSource() }, Timer: n.timer, Logger: n.logger,
+	n.backup = bfbackup.New(bfbackup.Config{
+		Table: quarantineTable, Rows: n.store, Book: n.book, Restore: n.rumor.Merge, FirstStart: n.settings.FirstStart,
+		IsMaintainer: func() bool { return n.news.IsFirstSource() }, Timer: n.timer, Logger: n.logger,
 	})
 }
 
--- a/lib/bfbackup/backup.go
+++ b/lib/bfbackup/backup.go
@@ -22,26 +22,26 @@
 	rowKey = "held"
 )
 
-// Parts holds the dependencies of a Backup.
-type Parts struct {
+// Config holds the dependencies of a Backup.
+type Config struct {
 	// Table is the name of the table that holds the copy.
 	Table string
 	Rows  bfstore.TableStore
 	// Book is this node's quarantine.
 	Book *bfquarantine.Book
-	// Keeps reports whether this node currently maintains the copy.
-	Keeps func() bool
-	// Take merges restored records into this node's quarantine and distributes them to the other nodes.
-	Take func([]bfquarantine.Record)
-	// First reports that the fleet starts for the first time, so that there is no copy to read.
-	First  bool
-	Timer  *bftimer.Service
-	Logger *bflog.Logger
+	// IsMaintainer reports whether this node currently maintains the copy.
+	IsMaintainer func() bool
+	// Restore merges restored records into this node's quarantine and distributes them to the other nodes.
+	Restore func([]bfquarantine.Record)
+	// FirstStart reports that the fleet starts for the first time, so that there is no copy to read.
+	FirstStart bool
+	Timer      *bftimer.Service
+	Logger     *bflog.Logger
 }
 
-// Backup maintains the copy while Parts.Keeps reports true.
+// Backup maintains the copy while Config.IsMaintainer reports true.
 type Backup struct {
-	parts Parts
+	config Config
 	// rowKnown reports that revision and storedDigest match the stored row.
 	rowKnown     bool
 	revision     uint64
@@ -49,7 +49,7 @@
 }
 
 // New returns the Backup of a node; Run starts it.
-func New(parts Parts) *Backup { return &Backup{parts: parts, rowKnown: parts.First} }
+func New(config Config) *Backup { return &Backup{config: config, rowKnown: config.FirstStart} }
 
 // row is the value of the stored row.
 type row struct {
@@ -60,14 +60,14 @@
 
 // Run maintains the copy until ctx is done; it logs errors and returns nil.
 func (b *Backup) Run(ctx context.Context) error {
-	for b.parts.Timer.Wait(ctx, b.parts.Timer.Jittered(pollInterval, pollJitter)()) == nil {
-		if !b.parts.Keeps() {
+	for b.config.Timer.Wait(ctx, b.config.Timer.Jittered(pollInterval, pollJitter)()) == nil {
+		if !b.config.IsMaintainer() {
 			// Another node may write the row in the meantime.
 			b.rowKnown = false
 			continue
 		}
 		if err := b.step(ctx); err != nil && ctx.Err() == nil {
-			b.parts.Logger.Emit(bflog.BackupError, bflog.Err(err))
+			b.config.Logger.Emit(bflog.BackupError, bflog.Err(err))
 		}
 	}
 	return nil
@@ -83,14 +83,14 @@
 			return err
 		}
 	}
-	if heldDigest := b.parts.Book.View().HeldDigest(); heldDigest != b.storedDigest {
+	if heldDigest := b.config.Book.View().HeldDigest(); heldDigest != b.storedDigest {
 		return b.write(ctx, heldDigest)
 	}
 	return nil
 }
 
 func (b *Backup) read(ctx context.Context) error {
-	entries, _, err := b.parts.Rows.List(ctx, b.parts.Table)
+	entries, _, err := b.config.Rows.List(ctx, b.config.Table)
 	if err != nil {
 		return err
 	}
@@ -106,18 +106,18 @@
 			return err
 		}
 		b.storedDigest = stored.Digest
-		b.parts.Take(stored.Records)
-		b.parts.Logger.Emit(bflog.BackupRead, slog.Int("contents", len(stored.Records)))
+		b.config.Restore(stored.Records)
+		b.config.Logger.Emit(bflog.BackupRead, slog.Int("contents", len(stored.Records)))
 	}
 	return nil
 }
 
 func (b *Backup) write(ctx context.Context, heldDigest uint64) error {
-	value, err := encode(b.parts.Book.Held(b.parts.Timer.Now()), heldDigest)
+	value, err := encode(b.config.Book.Held(b.config.Timer.Now()), heldDigest)
 	if err != nil {
 		return err
 	}
-	revision, err := b.parts.Rows.Write(ctx, b.parts.Table, bfstore.RowWrite{Key: rowKey, Value: value, Revision: b.revision})
+	revision, err := b.config.Rows.Write(ctx, b.config.Table, bfstore.RowWrite{Key: rowKey, Value: value, Revision: b.revision})
 	if err == nil {
 		b.revision, b.storedDigest = revision, heldDigest
 		return nil
--- a/lib/bfbackup/backup_test.go
+++ b/lib/bfbackup/backup_test.go
@@ -44,9 +44,9 @@
 
 func newNode(s *faultyStore, first bool) (*Backup, *bfquarantine.Book) {
 	book := bfquarantine.New("n")
-	return New(Parts{
-		Table: "t", Rows: s, Book: book, First: first, Timer: bftimer.New(1), Logger: bflog.Discard(),
-		Take: func(records []bfquarantine.Record) { book.Merge(records, time.Now()) },
+	return New(Config{
+		Table: "t", Rows: s, Book: book, FirstStart: first, Timer: bftimer.New(1), Logger: bflog.Discard(),
+		Restore: func(records []bfquarantine.Record) { book.Merge(records, time.Now()) },
 	}), book
 }
 
