--- a/lib/bfrecord/bfclaim/step.go
+++ b/lib/bfrecord/bfclaim/step.go
@@ -9,7 +9,7 @@
 )
 
 // Event is an input of a state machine. It is a sealed interface: Start, RowRead,
-// CommitEnded, HomeAnswered, HomeSilent or Elapsed.
+// CommitEnded, HomeAnswered, HomeUnreachable or Elapsed.
 type Event interface{ event() }
 
 // Start is the first event of each state machine.
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -20,7 +20,7 @@
 	_ [48]byte
 }
 
-// NewShardedTracker returns an empty Sharded for home. Each shard gets an equal part of
+// NewShardedTracker returns an empty ShardedTracker for home. Each shard gets an equal part of
 // the Records, Scopes and Bytes limits; the other limits apply to each shard in full.
 func NewShardedTracker(home NodeIncarnation, limits Limits, shardCount int) *ShardedTracker {
 	limits.Records = max(limits.Records/shardCount, 1)
