--- a/lib/bfguard/guard.go
+++ b/lib/bfguard/guard.go
@@ -27,7 +27,7 @@
 // Config holds the dependencies of a Guard.
 type Config struct {
 	// Home is the node's instance name and its incarnation at start.
-	Home bfrecord.Home
+	Home bfrecord.NodeIncarnation
 	// Service is the service of the local target.
 	Service string
 	// ColdStart returns the duration of the slow start of the service's targets.
@@ -55,7 +55,7 @@
 // Guard proxies requests from entry nodes to one target.
 type Guard struct {
 	config    Config
-	records   *bfrecord.Sharded
+	records   *bfrecord.ShardedTracker
 	announced announcedTarget
 	claims    *claims
 	// flights tracks the requests that the target is processing.
@@ -93,7 +93,7 @@
 		config.Quarantine = bfquarantine.New("")
 	}
 	g := &Guard{
-		config: config, records: bfrecord.NewSharded(config.Home, bfrecord.DefaultLimits(), recordShards),
+		config: config, records: bfrecord.NewShardedTracker(config.Home, bfrecord.DefaultLimits(), recordShards),
 		announced: announcedTarget{service: config.Service, coldStart: config.ColdStart},
 		claims:    newClaims(config),
 		latency:   config.Metrics.Family("target_latency_by_class"),
@@ -121,7 +121,7 @@
 }
 
 // canonicalHome maps any incarnation of this process to the one used in the records.
-func (g *Guard) canonicalHome(home bfrecord.Home) bfrecord.Home {
+func (g *Guard) canonicalHome(home bfrecord.NodeIncarnation) bfrecord.NodeIncarnation {
 	if home.Instance == g.config.Home.Instance && (*g.ownIncarnations.Load())[home.Incarnation] {
 		return g.config.Home
 	}
@@ -209,7 +209,7 @@
 	service := slog.String("service", g.config.Service)
 	switch {
 	case after.State == bfroster.TargetLeaving:
-		g.config.Logger.Emit(bflog.TargetLeaving, service)
+		g.config.Logger.Emit(bflog.TargetDraining, service)
 	case after.State == bfroster.TargetSilent:
 		g.config.Logger.Emit(bflog.TargetSilent, service)
 	case before == nil || before.status.Incarnation != after.Incarnation:
--- a/lib/bfguard/serve.go
+++ b/lib/bfguard/serve.go
@@ -32,7 +32,7 @@
 	deadline time.Time
 	arrived  time.Time
 	// sentTo is this node with the incarnation that the entry node sent to.
-	sentTo bfrecord.Home
+	sentTo bfrecord.NodeIncarnation
 	// content is a digest of the request's content.
 	content bfrecord.Digest
 	// answer is the result of the run, nil if the request was not sent to the target.
--- a/lib/bfrecord/bfclaim/group_test.go
+++ b/lib/bfrecord/bfclaim/group_test.go
@@ -18,63 +18,59 @@
 
 func newMemory() *bfstore.Memory { return bfstore.NewMemory() }
 
-// Eight claims share a transaction; three of their keys were claimed elsewhere
-// meanwhile. Those three must hear of it, and the other five callers must not
-// be refused for them.
+// Guards against conflicts on some rows of a batch failing its other commits.
 func TestGroupConflicts(t *testing.T) {
 	is := is.New(t)
 	table := newMemory()
-	group := NewGroup[int](5*time.Millisecond, 100)
+	batcher := NewBatcher[int](5*time.Millisecond, 100)
 	for i := range 8 {
 		commit := firstCommit(i)
-		group.Add(start, i, commit)
+		batcher.Add(start, i, commit)
 		if i%3 == 0 {
 			other := bfstore.Transaction{Writes: []bfstore.Write{{Key: commit.Key(), Value: []byte("x")}}}
 			is.NoErr(table.Commit(context.Background(), other))
 		}
 	}
-	// A resend of the first key waits for another transaction.
-	group.Add(start, 8, firstCommit(0))
-	_, ok := group.Take(start.Add(4 * time.Millisecond))
+	// A resend of the first key must go into another transaction.
+	batcher.Add(start, 8, firstCommit(0))
+	_, ok := batcher.Take(start.Add(4 * time.Millisecond))
 	is.True(!ok)
-	batch, ok := group.Take(start.Add(5 * time.Millisecond))
+	batch, ok := batcher.Take(start.Add(5 * time.Millisecond))
 	is.True(ok)
 	is.Equal(batch.Len(), 8)
-	is.Equal(group.Len(), 1)
+	is.Equal(batcher.Len(), 1)
 	ends, transactions := runBatches(table, batch)
 	for i := range 8 {
 		is.Equal(ends[i] == commitConflicted, i%3 == 0)
 		is.Equal(ends[i] == commitApplied, i%3 != 0)
 	}
-	// Two conflicts in common, then the six that are left one by one.
+	// Two batch transactions end in conflicts; the remaining six commits go one by one.
 	is.Equal(transactions, 8)
 }
 
 // firstCommit is the first write of a claim of the i-th key.
 func firstCommit(i int) Commit {
-	id := bfrecord.ID{Entry: bfrecord.Home{Instance: "entry", Incarnation: 1}, Counter: uint64(i) + 1}
+	id := bfrecord.ID{Entry: bfrecord.NodeIncarnation{Instance: "entry", Incarnation: 1}, Counter: uint64(i) + 1}
 	_, claim := newNode("a", 1).arrive(start, id, fmt.Sprint("stem-", i), 1)
 	return claim.Next(start, Start{}).(Commit)
 }
 
-func runBatches(table *bfstore.Memory, first *Batch[int]) (ends map[int]commitEnd, transactions int) {
-	ends = map[int]commitEnd{}
+func runBatches(table *bfstore.Memory, first *Batch[int]) (statuses map[int]commitStatus, transactions int) {
+	statuses = map[int]commitStatus{}
 	for batches := []*Batch[int]{first}; len(batches) > 0; batches = batches[1:] {
 		transactions++
-		ended, again := batches[0].End(table.Commit(context.Background(), batches[0].Transaction()))
+		ended, again := batches[0].Complete(table.Commit(context.Background(), batches[0].Transaction()))
 		for _, e := range ended {
-			ends[e.Owner()], _, _ = classify(e.Event().Err)
+			statuses[e.Owner()], _, _ = classify(e.Event().Err)
 		}
 		batches = append(batches, again...)
 	}
-	return ends, transactions
+	return statuses, transactions
 }
 
-// What grouping saves depends on how many nodes the claims are spread over. The
-// table counts transactions a second for claim and record, by Poisson arrivals
-// of 4,000 commits through the real Group, at 1,000 keyed requests a second (0.1 %
-// of the letter's million calls) and at the brief's own sizes.
-func TestGroupingFigures(t *testing.T) {
+// Guards against changes of the transaction rates that batching achieves, for claims
+// and records, by request rate, number of nodes and batching windows (Poisson arrivals).
+func TestGroupingTransactionRates(t *testing.T) {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%-34s %9s %9s %9s %9s %9s\n", "transactions a second", "none", "5ms/5ms", "20ms/20ms", "20ms/1s", "20ms/10s")
 	rows := []struct {
@@ -112,25 +108,25 @@
 	}
 }
 
-// transactionRate is how many batches a second one node's group sends for rate commits a second.
+// transactionRate returns the batches per second of one node's Batcher at rate commits per second.
 func transactionRate(rate float64, window time.Duration) float64 {
 	const commits, maxBatch = 4000, 64
 	random := rand.New(rand.NewPCG(1, 2))
-	group := NewGroup[int](window, maxBatch)
+	batcher := NewBatcher[int](window, maxBatch)
 	now := start
 	batches := 0
 	for i := range commits {
 		now = now.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		for {
-			at, waiting := group.Due()
+			at, waiting := batcher.Due()
 			if !waiting || at.After(now) {
 				break
 			}
-			if _, taken := group.Take(at); taken {
+			if _, taken := batcher.Take(at); taken {
 				batches++
 			}
 		}
-		group.Add(now, i, Commit{key: fmt.Sprint(i)})
+		batcher.Add(now, i, Commit{key: fmt.Sprint(i)})
 	}
 	return float64(batches) / now.Sub(start).Seconds()
 }
