--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -281,9 +281,9 @@
 
 // inspector returns the backend of the operators' commands.
 func (n *node) inspector() *bfinspect.Backend {
-	return bfinspect.New(bfinspect.Parts{
+	return bfinspect.New(bfinspect.Config{
 		Self: n.common.Inbound, Region: n.common.Region, Traffic: n.traffic, Fleet: n.fleet,
-		Ask: n.news.VersionAt, Refused: n.state.refused.Load, Quarantine: n.quarantine, Timer: n.timer,
+		QueryVersion: n.news.VersionAt, Rejected: n.state.refused.Load, Quarantine: n.quarantine, Timer: n.timer,
 	})
 }
 
@@ -302,7 +302,7 @@
 	}
 	ports := []port{
 		{"target", n.common.Target, bfdialect.ReportHandler{OnHeartbeat: n.host.HandleHeartbeat, OnDeparture: n.host.HandleDeparture, OnInvalid: n.logRefusedReport}},
-		{"operator", n.common.Operator, bfoperator.NewOpen(n.inspector())},
+		{"operator", n.common.Operator, bfoperator.NewUnauthenticated(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
 	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -38,7 +38,7 @@
 	readVersions func() uint64
 
 	// refused is the newest rejected version, nil once a newer one is in force.
-	refused atomic.Pointer[bfinspect.Refusal]
+	refused atomic.Pointer[bfinspect.RejectedVersion]
 	// versionAdopted and membersUpdated are the times of the last update of each.
 	versionAdopted, membersUpdated timestamp
 
@@ -59,7 +59,7 @@
 		}
 		spec, err := bfdialect.DecodeConfiguration(entry.Value)
 		if err != nil {
-			s.refused.Store(&bfinspect.Refusal{Reason: err.Error()})
+			s.refused.Store(&bfinspect.RejectedVersion{Reason: err.Error()})
 			s.logger.Emit(bflog.VersionRefused, bflog.Err(err), slog.Uint64("revision", entry.Revision))
 			continue
 		}
@@ -84,7 +84,7 @@
 	}
 	snapshot, err := held.Next(spec)
 	if err != nil {
-		s.refused.Store(&bfinspect.Refusal{Version: spec.Version, Reason: err.Error()})
+		s.refused.Store(&bfinspect.RejectedVersion{Version: spec.Version, Reason: err.Error()})
 		s.logger.Emit(bflog.VersionRefused, slog.Uint64("version", uint64(spec.Version)), bflog.Err(err))
 		return false
 	}
@@ -116,7 +116,7 @@
 		s.refused.CompareAndSwap(refused, nil)
 	}
 	s.changed()
-	s.logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(snapshot.Version())), slog.Int("routes", snapshot.Routes()), how)
+	s.logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(snapshot.Version())), slog.Int("routes", snapshot.RouteCount()), how)
 }
 
 // applyMembers applies a batch of changes of the members' table.
--- a/bfplatform/internal/bfservice/rows.go
+++ b/bfplatform/internal/bfservice/rows.go
@@ -19,7 +19,7 @@
 // Rows serves the store in the form of the platform's rows, with the same faults and
 // rate limits as Service.
 type Rows struct {
-	rows    *bfstore.MemoryRows
+	rows    *bfstore.MemoryTableStore
 	handler bfdialect.RowsHandler
 	faults  *bffault.Injector
 	group   *bfgroup.Group
@@ -31,7 +31,7 @@
 // NewRows returns a handler with an empty store; the rates are calls per second.
 func NewRows(faults *bffault.Injector, group *bfgroup.Group, readRate, writeRate int, metrics *bfmetric.Registry) *Rows {
 	start := time.Now()
-	rows := bfstore.NewMemoryRows()
+	rows := bfstore.NewMemoryTableStore()
 	return &Rows{
 		rows: rows, faults: faults, group: group,
 		handler: bfdialect.RowsHandler{Rows: rows, Now: func() time.Duration { return time.Since(start) }},
--- a/lib/bfcommit/rebase.go
+++ b/lib/bfcommit/rebase.go
@@ -49,7 +49,7 @@
 
 func modifies(delta bfconfig.Delta, ref bfconfig.Ref) bool {
 	for _, op := range delta.Change().Ops() {
-		if op.Target() == ref {
+		if op.ObjectRef() == ref {
 			return true
 		}
 	}
@@ -76,7 +76,7 @@
 // revision of the base and the result is valid. It returns a ConflictError if a
 // later change is the cause, and the validation error otherwise.
 func (s Staged) Rebase(state *bfconfig.State, at time.Time, lookup Lookup) (*bfconfig.State, bfconfig.Delta, error) {
-	for _, ref := range s.Reads() {
+	for _, ref := range s.Refs() {
 		if state.Revision(ref) != s.revisions[ref] {
 			return nil, bfconfig.Delta{}, newConflict(ref, s.base, nil, lookup)
 		}
@@ -132,7 +132,7 @@
 	var ops []bfconfig.Op
 	seen := map[bfconfig.Ref]bool{}
 	for _, op := range undone.Change().Ops() {
-		ref := op.Target()
+		ref := op.ObjectRef()
 		if seen[ref] {
 			continue
 		}
--- a/lib/bfguard/claims.go
+++ b/lib/bfguard/claims.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// claimWindow is how long a claim waits for others to join its transaction.
+	// claimWindow is how long claims are collected for one transaction.
 	claimWindow = 4 * time.Millisecond
 	// maxClaimBatch is the maximum number of claims in one transaction.
 	maxClaimBatch = 64
@@ -42,7 +42,7 @@
 	settling atomic.Int64
 
 	mu    sync.Mutex
-	group *bfclaim.Group[chan bfclaim.Event]
+	group *bfclaim.Batcher[chan bfclaim.Event]
 	flush *bftimer.Subscription
 }
 
@@ -50,23 +50,23 @@
 	return &claims{
 		table: config.Table, timer: config.Timer, directory: config.Directory, resolver: config.Resolver,
 		spawn: config.Spawn, logger: config.Logger,
-		group: bfclaim.NewGroup[chan bfclaim.Event](claimWindow, maxClaimBatch),
+		group: bfclaim.NewBatcher[chan bfclaim.Event](claimWindow, maxClaimBatch),
 	}
 }
 
-// stateMachine is a claim or a settlement.
+// stateMachine is implemented by bfclaim.Claim and bfclaim.Settlement.
 type stateMachine interface {
 	Next(now time.Time, event bfclaim.Event) bfclaim.Action
 }
 
-// claim claims the key of a request.
+// claim runs a claim of a request's key, for at most claimTimeout.
 func (c *claims) claim(ctx context.Context, spec bfclaim.Spec) bfclaim.Result {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	return c.run(ctx, bfclaim.NewClaim(spec))
 }
 
-// run executes a state machine until it ends.
+// run executes a state machine until it ends. It returns nil if ctx ended during a wait.
 func (c *claims) run(ctx context.Context, m stateMachine) bfclaim.Result {
 	var event bfclaim.Event = bfclaim.Start{}
 	for {
@@ -97,7 +97,7 @@
 	return bfclaim.RowRead{Row: rows[0]}
 }
 
-// resolve queries the node of the request that holds a key.
+// resolve queries the home node of the request that holds a key.
 func (c *claims) resolve(ctx context.Context, request bfrecord.ResolveRequest) bfclaim.Event {
 	member, found := c.directory.Member(request.Home.Instance)
 	if !found {
@@ -108,12 +108,12 @@
 	defer cancel()
 	reply, err := c.resolver.Resolve(ctx, member.Peer, request)
 	if err != nil {
-		return bfclaim.HomeSilent{}
+		return bfclaim.HomeUnreachable{}
 	}
 	resolution, err := reply.Resolution()
 	if err != nil {
 		c.logger.Emit(bflog.InvariantBroken, bflog.Err(err))
-		return bfclaim.HomeSilent{}
+		return bfclaim.HomeUnreachable{}
 	}
 	return bfclaim.HomeAnswered{Resolution: resolution}
 }
@@ -159,7 +159,7 @@
 	err := c.table.Commit(ctx, batch.Transaction())
 	var conflict *bfstore.ConflictError
 	c.breaker.record(c.timer.Now(), err != nil && !errors.As(err, &conflict))
-	finished, retries := batch.End(err)
+	finished, retries := batch.Complete(err)
 	for _, end := range finished {
 		end.Owner() <- end.Event()
 	}
@@ -170,14 +170,14 @@
 
 // settle writes the outcome of a claim, retrying as needed.
 //
-// The caller already has its response. If this node fails first, the key stays
-// claimed by a node that is gone, and a retry correctly gets "unknown".
+// The caller already has its response. If this node fails before the write, the row
+// still names this node as the claim's holder, and a retry correctly gets "unknown".
 func (c *claims) settle(s *bfclaim.Settlement) {
 	c.settling.Add(1)
 	c.spawn("settle claim", func(ctx context.Context) error {
 		defer c.settling.Add(-1)
 		if settled, ended := c.run(ctx, s).(bfclaim.Settled); ended && !settled.Written() {
-			c.logger.Emit(bflog.ClaimNotSettled, slog.Any("claim", s))
+			c.logger.Emit(bflog.ClaimNotRecorded, slog.Any("claim", s))
 		}
 		return nil
 	})
--- a/lib/bfnews/tell.go
+++ b/lib/bfnews/tell.go
@@ -78,7 +78,7 @@
 		return
 	}
 	e.reported = now
-	e.logger.Emit(bflog.StandingChanged, slog.String("standing", now.role.String()), slog.Bool("reads_store", reads),
+	e.logger.Emit(bflog.UpdateRoleChanged, slog.String("standing", now.role.String()), slog.Bool("reads_store", reads),
 		slog.Int("members", p.size), slog.Bool("hears_fresh", e.ReceivesFresh()))
 }
 
@@ -120,7 +120,7 @@
 func (u update) withChanges(last, now sentState) update {
 	if last.snapshot != nil && now.snapshot != nil && now.snapshot.Version() != last.snapshot.Version() {
 		u.Version = now.snapshot.Version()
-		u.Delta = marshalOrNil(bftraffic.DeltaOf(last.snapshot, now.snapshot))
+		u.Delta = marshalOrNil(bftraffic.Diff(last.snapshot, now.snapshot))
 	}
 	if last.roster.Revision > 0 && now.roster.Revision != last.roster.Revision {
 		u.Revision = now.roster.Revision
--- a/lib/bfrecord/main_test.go
+++ b/lib/bfrecord/main_test.go
@@ -9,7 +9,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "1000", "rapid.steps": "60"} {
@@ -22,11 +22,11 @@
 
 var (
 	start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
-	home1 = Home{Instance: "order-desk-1", Incarnation: 1}
-	home2 = Home{Instance: "order-desk-1", Incarnation: 2}
-	entry = Home{Instance: "portal-core-4", Incarnation: 7}
+	home1 = NodeIncarnation{Instance: "order-desk-1", Incarnation: 1}
+	home2 = NodeIncarnation{Instance: "order-desk-1", Incarnation: 2}
+	entry = NodeIncarnation{Instance: "portal-core-4", Incarnation: 7}
 )
 
-func request(id ID, home Home) Request {
+func request(id ID, home NodeIncarnation) Request {
 	return Request{ID: id, Home: home, Content: Digest{1}, Class: "nomination"}
 }
