--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -283,7 +283,7 @@
 func (n *node) inspector() *bfinspect.Backend {
 	return bfinspect.New(bfinspect.Config{
 		Self: n.common.Inbound, Region: n.common.Region, Traffic: n.traffic, Fleet: n.fleet,
-		QueryVersion: n.news.VersionAt, Rejected: n.state.refused.Load, Quarantine: n.quarantine, Timer: n.timer,
+		QueryVersion: n.news.VersionAt, Rejected: n.state.rejected.Load, Quarantine: n.quarantine, Timer: n.timer,
 	})
 }
 
--- a/bfnode/internal/bfmesh/state.go
+++ b/bfnode/internal/bfmesh/state.go
@@ -37,8 +37,8 @@
 	// versions.
 	readVersions func() uint64
 
-	// refused is the newest rejected version, nil once a newer one is in force.
-	refused atomic.Pointer[bfinspect.RejectedVersion]
+	// rejected is the newest rejected version, nil once a newer one is in force.
+	rejected atomic.Pointer[bfinspect.RejectedVersion]
 	// versionAdopted and membersUpdated are the times of the last update of each.
 	versionAdopted, membersUpdated timestamp
 
@@ -59,7 +59,7 @@
 		}
 		spec, err := bfdialect.DecodeConfiguration(entry.Value)
 		if err != nil {
-			s.refused.Store(&bfinspect.RejectedVersion{Reason: err.Error()})
+			s.rejected.Store(&bfinspect.RejectedVersion{Reason: err.Error()})
 			s.logger.Emit(bflog.VersionRefused, bflog.Err(err), slog.Uint64("revision", entry.Revision))
 			continue
 		}
@@ -84,7 +84,7 @@
 	}
 	snapshot, err := held.Next(spec)
 	if err != nil {
-		s.refused.Store(&bfinspect.RejectedVersion{Version: spec.Version, Reason: err.Error()})
+		s.rejected.Store(&bfinspect.RejectedVersion{Version: spec.Version, Reason: err.Error()})
 		s.logger.Emit(bflog.VersionRefused, slog.Uint64("version", uint64(spec.Version)), bflog.Err(err))
 		return false
 	}
@@ -112,8 +112,8 @@
 		return
 	}
 	s.versionAdopted.set()
-	if refused := s.refused.Load(); refused != nil && refused.Version < snapshot.Version() {
-		s.refused.CompareAndSwap(refused, nil)
+	if rejected := s.rejected.Load(); rejected != nil && rejected.Version < snapshot.Version() {
+		s.rejected.CompareAndSwap(rejected, nil)
 	}
 	s.changed()
 	s.logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(snapshot.Version())), slog.Int("routes", snapshot.RouteCount()), how)
--- a/bfnode/internal/bfmesh/state_test.go
+++ b/bfnode/internal/bfmesh/state_test.go
@@ -114,7 +114,7 @@
 	for _, wrong := range []bfstore.Entry{cut, version(t, 4, bftraffic.Kind(99), "s"), version(t, 4, bftraffic.Idempotent, "gone")} {
 		s.applyConfiguration(bffollow.Batch{Entries: []bfstore.Entry{wrong}})
 		is.Equal(s.Version(), bftraffic.Version(3))
-		is.True(s.refused.Load() != nil)
+		is.True(s.rejected.Load() != nil)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	s.applyConfiguration(bffollow.Batch{Entries: entries})
 	is.Equal(s.Version(), bftraffic.Version(7))
-	is.Equal(s.refused.Load().Version, bftraffic.Version(8))
+	is.Equal(s.rejected.Load().Version, bftraffic.Version(8))
 	is.True(s.Recent(3) == nil) // never adopted
 }
 
