--- a/bftrial/internal/bfsoak/target.go
+++ b/bftrial/internal/bfsoak/target.go
@@ -70,7 +70,7 @@
 	ledger  *ledger
 	server  *http.Server
 	proxy   *proxy
-	reports bfdialect.TargetReports
+	reports bfdialect.ReportSender
 	service string
 	node    *nodeSlot
 	working atomic.Int32
@@ -97,7 +97,7 @@
 	}
 	t := &incarnation{
 		id: fmt.Sprintf("i-%d", starts.Add(1)), ledger: l, proxy: p, service: service, node: node,
-		reports: bfdialect.TargetReports{Control: node.process.Settings().Listen.Target, Client: &http.Client{Timeout: time.Second}},
+		reports: bfdialect.ReportSender{NodeAddress: node.process.Settings().Listen.Target, Client: &http.Client{Timeout: time.Second}},
 	}
 	t.crashed = func() { crashed(t) }
 	t.state.Store(int32(bfhost.Ready))
@@ -115,7 +115,7 @@
 func (t *incarnation) beat(ctx context.Context) error {
 	for ctx.Err() == nil && t.state.Load() != 0 {
 		state := bfhost.State(t.state.Load())
-		err := t.reports.Beat(ctx, bfhost.Heartbeat{
+		err := t.reports.SendHeartbeat(ctx, bfhost.Heartbeat{
 			Incarnation: t.id, Sequence: t.seq.Add(1), Service: t.service, Address: t.proxy.address(),
 			Slots: targetSlots, State: state,
 		})
@@ -189,12 +189,12 @@
 		t.state.Store(int32(bfhost.Draining))
 	} else {
 		t.state.Store(0)
-		if t.reports.Leave(ctx, bfhost.Departure{Incarnation: t.id}) == nil {
+		if t.reports.SendDeparture(ctx, bfhost.Departure{Incarnation: t.id}) == nil {
 			t.ledger.left(t.id)
 		}
 	}
 	time.Sleep(2500 * time.Millisecond)
 	t.state.Store(0)
-	_ = t.reports.Leave(ctx, bfhost.Departure{Incarnation: t.id})
+	_ = t.reports.SendDeparture(ctx, bfhost.Departure{Incarnation: t.id})
 	t.server.Close()
 }
