--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -47,7 +47,7 @@
 	Seeds     []string
 	Profile   Profile
 	Table     bfstore.Table
-	Objects   bfstore.Objects
+	Objects   bfstore.ObjectStore
 	Datagrams Datagrams
 	Calls     Calls
 	Directory *bfdirectory.Directory
@@ -274,7 +274,7 @@
 func (c *Control) logOutage(outage bfgossip.Outage) {
 	event := bflog.DomainLost
 	if !outage.Lost {
-		event = bflog.DomainBack
+		event = bflog.DomainRecovered
 	}
 	c.parts.Logger.Emit(event, slog.String("region", outage.Region), slog.String("domain", outage.Domain))
 }
