--- a/bfnode/internal/bfcommand/node.go
+++ b/bfnode/internal/bfcommand/node.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	n.control, err = bfcontrol.New(bfcontrol.Parts{
+	n.control, err = bfcontrol.New(bfcontrol.Config{
 		Self: n.row(), Seeds: n.settings.Seeds, Profile: n.settings.profile(),
 		Table: n.platform, Objects: n.platform, Datagrams: datagrams, Calls: n.calls,
 		Directory: directory, Timer: n.timer, Group: n.group, Logger: n.logger, Metrics: n.metrics,
--- a/bfnode/internal/bfmesh/node.go
+++ b/bfnode/internal/bfmesh/node.go
@@ -130,11 +130,11 @@
 	names := bfdialect.Headers()
 	n.targets = bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: dialTimeout, DefaultIdleTimeout: targetIdleTimeout})
 	n.nodes = bfexchange.New(bfexchange.Options{DialTimeout: dialTimeout, DefaultIdleTimeout: nodeIdleTimeout, Wrap: n.wrap})
-	n.host = bfhost.New(bfhost.Parts{
+	n.host = bfhost.New(bfhost.Config{
 		Service: common.Service, Names: names, Client: n.targets, Timer: n.timer, Account: account,
 		Changed: n.targetChanged, Quarantine: n.quarantine, Crashed: n.targetCrashed,
 	})
-	n.entry = bfentry.New(bfentry.Parts{
+	n.entry = bfentry.New(bfentry.Config{
 		Service: common.Service, Inbound: common.Inbound, Names: names,
 		Traffic: n.traffic, Fleet: n.fleet, Host: n.host, Client: n.nodes, Pacer: n.pacer,
 		Spawn: n.group.Go, OnMemberLost: n.removeLostMember, Account: account, Quarantine: n.quarantine,
@@ -305,7 +305,7 @@
 		{"operator", n.common.Operator, bfoperator.NewUnauthenticated(n.inspector())},
 		{"ready", n.settings.Ready, ready},
 	}
-	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Parts{
+	callers, err := bfpipeline.Listen(n.common.Caller, bfpipeline.Config{
 		Name: "caller", Handler: n.entry, MayRunConcurrently: n.entry.MayRunConcurrently, Limits: n.limits,
 		SendBuffer: n.settings.sendBuffer(), Logger: n.logger,
 	})
--- a/lib/bfcontrol/activation.go
+++ b/lib/bfcontrol/activation.go
@@ -54,7 +54,7 @@
 
 func newActivation(c *Control) *activation {
 	return &activation{
-		control: c, settings: c.parts.Profile.Recover, self: recoverMember(&c.parts.Self),
+		control: c, settings: c.config.Profile.Recover, self: recoverMember(&c.config.Self),
 		heartbeatNotes: map[string]bfrecover.Note{}, lastNotes: map[string]bfrecover.Note{},
 	}
 }
@@ -65,7 +65,7 @@
 
 // begin starts to determine the start version.
 func (act *activation) begin(now time.Time) {
-	act.notes = bfrecover.NewNotes(now, act.self.ID, act.control.parts.Self.Incarnation, act.settings)
+	act.notes = bfrecover.NewNotes(now, act.self.ID, act.control.config.Self.Incarnation, act.settings)
 	act.start = bfrecover.NewStart(now, act.self, act.settings)
 	act.lastWaitingLog = now
 	act.nextTick = now
@@ -166,13 +166,13 @@
 	case bfrecover.Waiting:
 		if now.Sub(act.lastWaitingLog) >= waitingLogInterval {
 			act.lastWaitingLog = now
-			act.control.parts.Logger.Emit(bflog.RecoveryWaiting, slog.String("for", decision.String()))
+			act.control.config.Logger.Emit(bflog.RecoveryWaiting, slog.String("for", decision.String()))
 		}
 	case bfrecover.Contradiction:
 		act.headReads.known = false
 		if now.Sub(act.lastWaitingLog) >= waitingLogInterval {
 			act.lastWaitingLog = now
-			act.control.parts.Logger.Emit(bflog.InvariantBroken, slog.String("what", "witness note newer than the table's head"),
+			act.control.config.Logger.Emit(bflog.InvariantBroken, slog.String("what", "witness note newer than the table's head"),
 				slog.Uint64("head", uint64(decision.Head)), slog.Uint64("noted", uint64(decision.Noted)))
 		}
 	}
@@ -181,8 +181,8 @@
 // openGate creates the gate that admits versions from the decided one on.
 func (act *activation) openGate(now time.Time, at bfrecover.StartAt) {
 	act.start = nil
-	act.gate = bfrecover.NewGate(now, act.self, act.control.parts.Self.Incarnation, at, act.settings)
-	act.control.parts.Logger.Emit(bflog.RecoveryDone,
+	act.gate = bfrecover.NewGate(now, act.self, act.control.config.Self.Incarnation, at, act.settings)
+	act.control.config.Logger.Emit(bflog.RecoveryDone,
 		slog.Uint64("version", uint64(at.Version)), slog.Bool("fromTable", at.FromTable))
 	act.minVersion = at.Version
 	act.discardOlder(at.Version)
@@ -330,5 +330,5 @@
 	c.inForceSince.Store(now.UnixMicro())
 	c.inForce.Store(uint64(state.Version()))
 	c.spreader.SetInForce(state.Version())
-	c.parts.Logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(state.Version())))
+	c.config.Logger.Emit(bflog.VersionAdopted, slog.Uint64("version", uint64(state.Version())))
 }
--- a/lib/bfcontrol/cluster_test.go
+++ b/lib/bfcontrol/cluster_test.go
@@ -121,7 +121,7 @@
 	seed := c.rand.Uint64()
 	c.mu.Unlock()
 	timer := bftimer.New(seed)
-	control, err := New(Parts{
+	control, err := New(Config{
 		Self: c.row(id), Seeds: []string{address("n1"), address("n2"), address("n3")}, Profile: Convergence(),
 		Table: table{n}, Objects: objects{c.store, n}, Datagrams: n, Calls: n,
 		Directory: bfdirectory.New(c.row(id).Domain), Timer: timer, Group: n.group,
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -39,8 +39,8 @@
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Parts holds the dependencies and the settings of a Control.
-type Parts struct {
+// Config holds the dependencies and the settings of a Control.
+type Config struct {
 	// Self is the node's own row in the membership.
 	Self bfroster.Row
 	// Seeds are the configured addresses of peers to join.
@@ -73,7 +73,7 @@
 //
 // All fields except the atomics are owned by the loop's goroutine.
 type Control struct {
-	parts      Parts
+	config     Config
 	loop       *bfloop.Loop
 	members    *bfmember.Members
 	spreader   *bfspread.Spreader
@@ -110,33 +110,33 @@
 }
 
 // New returns a Control with the given dependencies; it fails if the membership settings are invalid.
-func New(parts Parts) (*Control, error) {
-	rng := rand.New(rand.NewPCG(parts.Seed, parts.Self.Incarnation))
-	members, err := bfmember.New(parts.Profile.Members, parts.Self, rng)
+func New(config Config) (*Control, error) {
+	rng := rand.New(rand.NewPCG(config.Seed, config.Self.Incarnation))
+	members, err := bfmember.New(config.Profile.Members, config.Self, rng)
 	if err != nil {
 		return nil, err
 	}
 	c := &Control{
-		parts: parts, members: members,
-		spreader: bfspread.New(parts.Profile.Spread, parts.Self, bfconfig.Empty(), rng),
+		config: config, members: members,
+		spreader: bfspread.New(config.Profile.Spread, config.Self, bfconfig.Empty(), rng),
 		rand:     rng, peers: map[string]uint64{}, memberHeads: map[uint64]memberHead{},
 		censuses:      map[uint32]func(bfcount.Tally){},
 		deliverySlots: make(chan struct{}, maxPendingDeliveries),
-		undecodable:   parts.Metrics.Counter("control_undecodable"),
+		undecodable:   config.Metrics.Counter("control_undecodable"),
 		reportLimiter: rate.NewLimiter(reportRate, reportBurst),
-		reportCount:   parts.Metrics.Counter("control_reports"),
+		reportCount:   config.Metrics.Counter("control_reports"),
 	}
 	c.publication.order = members.Order()
-	c.peers[parts.Self.Peer] = parts.Self.Key().Hash
-	c.outbox = bfpeer.NewOutbox(parts.Datagrams, parts.Metrics)
-	c.source.registerGauges(parts.Timer, parts.Metrics)
+	c.peers[config.Self.Peer] = config.Self.Key().Hash
+	c.outbox = bfpeer.NewOutbox(config.Datagrams, config.Metrics)
+	c.source.registerGauges(config.Timer, config.Metrics)
 	c.activation = newActivation(c)
 	c.state.Store(bfconfig.Empty())
-	c.loop = bfloop.New(parts.Timer, bfloop.Core{Next: c.next, Tick: c.tick, After: c.after})
-	parts.Metrics.Gauge("config_version_held", func() int64 { return int64(c.state.Load().Version()) })
-	parts.Metrics.Gauge("config_version_in_force", func() int64 { return int64(c.inForce.Load()) })
-	parts.Metrics.Gauge("config_in_force_since_us", c.inForceSince.Load)
-	parts.Metrics.Gauge("members", func() int64 { return int64(c.members.Order().Len()) })
+	c.loop = bfloop.New(config.Timer, bfloop.Core{Next: c.next, Tick: c.tick, After: c.after})
+	config.Metrics.Gauge("config_version_held", func() int64 { return int64(c.state.Load().Version()) })
+	config.Metrics.Gauge("config_version_in_force", func() int64 { return int64(c.inForce.Load()) })
+	config.Metrics.Gauge("config_in_force_since_us", c.inForceSince.Load)
+	config.Metrics.Gauge("members", func() int64 { return int64(c.members.Order().Len()) })
 	return c, nil
 }
 
@@ -148,7 +148,7 @@
 func (c *Control) State() *bfconfig.State { return c.state.Load() }
 
 // Self returns the ID of the node's instance.
-func (c *Control) Self() string { return c.parts.Self.ID }
+func (c *Control) Self() string { return c.config.Self.ID }
 
 // Order returns the current membership order.
 func (c *Control) Order() *bfroster.Order { return c.members.Order() }
@@ -158,13 +158,13 @@
 // The cores start before the loop processes any message: the socket may already
 // contain messages that peers sent to a previous process.
 func (c *Control) Run(ctx context.Context) error {
-	now := c.parts.Timer.Now()
+	now := c.config.Timer.Now()
 	c.source.recordContact(now)
-	c.memberActions(now, c.members.Start(now, c.parts.Seeds))
+	c.memberActions(now, c.members.Start(now, c.config.Seeds))
 	c.activation.begin(now)
-	c.parts.Group.Go("send datagrams", c.outbox.Run)
-	c.parts.Group.Go("datagrams", func(ctx context.Context) error {
-		return c.parts.Datagrams.Receive(ctx, c.receive)
+	c.config.Group.Go("send datagrams", c.outbox.Run)
+	c.config.Group.Go("datagrams", func(ctx context.Context) error {
+		return c.config.Datagrams.Receive(ctx, c.receive)
 	})
 	return c.loop.Run(ctx)
 }
@@ -188,7 +188,7 @@
 
 // async runs fn on its own goroutine and passes the result to then on the loop.
 func async[T any](c *Control, name string, fn func(ctx context.Context) T, then func(now time.Time, result T)) {
-	c.parts.Group.Go(name, func(ctx context.Context) error {
+	c.config.Group.Go(name, func(ctx context.Context) error {
 		result := fn(ctx)
 		c.loop.Post(ctx, func(now time.Time) { then(now, result) })
 		return nil
@@ -203,8 +203,8 @@
 
 func (c *Control) report(err error) {
 	c.reportCount.Add(1)
-	if c.reportLimiter.AllowN(c.parts.Timer.Now(), 1) {
-		c.parts.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
+	if c.reportLimiter.AllowN(c.config.Timer.Now(), 1) {
+		c.config.Logger.Emit(bflog.InvariantBroken, bflog.Err(err))
 	}
 }
 
@@ -212,7 +212,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case bfmember.Send:
-			data, err := bfgossip.Encode(bfgossip.WithQuarantine(a.Message, c.parts.Self.Key().Hash, c.parts.Quarantine.Digest()))
+			data, err := bfgossip.Encode(bfgossip.WithQuarantine(a.Message, c.config.Self.Key().Hash, c.config.Quarantine.Digest()))
 			c.send(a.Address, memberPurpose(a.Message), data, err)
 		case bfmember.AdvertReceived:
 			c.advertReceived(now, a)
@@ -226,8 +226,8 @@
 			}
 			c.logMember(a)
 		case bfmember.Refuted:
-			c.parts.Reincarnated(a.Self.Incarnation)
-			c.parts.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Received.State.String()),
+			c.config.Reincarnated(a.Self.Incarnation)
+			c.config.Logger.Emit(bflog.SelfRefuted, slog.String("told", a.Received.State.String()),
 				slog.Bool("newIncarnation", a.Received.Incarnation != a.Self.Incarnation))
 		case bfmember.OutageChanged:
 			c.logOutage(a.Outage)
@@ -265,7 +265,7 @@
 		return
 	}
 	c.recordContact(now)
-	c.parts.Quarantine.ObserveDigest(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
+	c.config.Quarantine.ObserveDigest(c.members.Order().At(rank).Row().Peer, a.Advert.Quarantine)
 	c.memberHeads[a.From] = memberHead{bfconfig.Version(a.Advert.Version), now}
 }
 
@@ -276,21 +276,21 @@
 	if !outage.Lost {
 		event = bflog.DomainRecovered
 	}
-	c.parts.Logger.Emit(event, slog.String("region", outage.Region), slog.String("domain", outage.Domain))
+	c.config.Logger.Emit(event, slog.String("region", outage.Region), slog.String("domain", outage.Domain))
 }
 
 func (c *Control) logMember(a bfmember.Changed) {
 	instance := slog.String("member", a.New.ID)
 	switch {
 	case a.Old.ID == "" && a.New.State.Present():
-		c.parts.Logger.Emit(bflog.MemberJoined, instance)
+		c.config.Logger.Emit(bflog.MemberJoined, instance)
 	case a.Old.State == a.New.State:
 	case a.New.State == bfroster.Suspect:
-		c.parts.Logger.Emit(bflog.MemberSuspected, instance)
+		c.config.Logger.Emit(bflog.MemberSuspected, instance)
 	case a.New.State == bfroster.Dead:
-		c.parts.Logger.Emit(bflog.MemberDead, instance)
+		c.config.Logger.Emit(bflog.MemberDead, instance)
 	case a.New.State == bfroster.Left:
-		c.parts.Logger.Emit(bflog.MemberLeft, instance)
+		c.config.Logger.Emit(bflog.MemberLeft, instance)
 	}
 }
 
@@ -333,7 +333,7 @@
 	if errors.As(a.Err, &digest) {
 		event = bflog.DigestMismatch
 	}
-	c.parts.Logger.Emit(event, slog.Uint64("version", uint64(a.Version)), bflog.Err(a.Err))
+	c.config.Logger.Emit(event, slog.Uint64("version", uint64(a.Version)), bflog.Err(a.Err))
 }
 
 // versionAdopted handles a newly adopted state; it is put in force once the witnesses acknowledge it.
--- a/lib/bfcontrol/directory.go
+++ b/lib/bfcontrol/directory.go
@@ -114,7 +114,7 @@
 		})
 	}
 	c.publication.coldTargets = cold
-	c.parts.Directory.Swap(members)
+	c.config.Directory.Swap(members)
 }
 
 // directoryTarget converts the target of a member, and records it in cold if it is cold.
--- a/lib/bfcontrol/hostile_test.go
+++ b/lib/bfcontrol/hostile_test.go
@@ -48,7 +48,7 @@
 // newIdleControl returns a Control whose loop is not running, so a test can call its methods directly.
 func newIdleControl(tb testing.TB, datagrams Datagrams) *Control {
 	memory := bfstore.NewMemory()
-	c, err := New(Parts{
+	c, err := New(Config{
 		Self: memberRow(0), Profile: Convergence(), Table: memory, Objects: memory,
 		Datagrams: datagrams, Calls: discardNetwork{}, Directory: bfdirectory.New("d0"), Timer: bftimer.New(1),
 		Group: bfgroup.New(context.Background()), Logger: bflog.Discard(), Metrics: bfmetric.New(), Seed: 1,
@@ -73,8 +73,8 @@
 
 // stop stops the goroutines that the Control started and waits for them.
 func (c *Control) stop() error {
-	c.parts.Group.Cancel()
-	return c.parts.Group.Wait()
+	c.config.Group.Cancel()
+	return c.config.Group.Wait()
 }
 
 // sampleMessages returns a valid message of every kind, followed by short invalid ones.
@@ -199,12 +199,12 @@
 	c := newIdleControl(t, discardNetwork{})
 	note := witnessMessage{bfrecover.Note{Instance: "n2", Incarnation: 1, Epoch: 1, Version: 3}}
 	c.loop.Post(t.Context(), func(now time.Time) { c.dispatch(now, "10.0.0.1:1", note) })
-	c.parts.Group.Go("timer", c.parts.Timer.Run)
-	c.parts.Group.Go("control", c.Run)
+	c.config.Group.Go("timer", c.config.Timer.Run)
+	c.config.Group.Go("control", c.Run)
 	is := is.New(t)
 	is.NoErr(c.loop.Call(t.Context(), func(time.Time) {}))
-	c.parts.Group.Cancel()
-	is.NoErr(c.parts.Group.Wait())
+	c.config.Group.Cancel()
+	is.NoErr(c.config.Group.Wait())
 }
 
 // blockedNetwork is a socket with a full buffer: Send blocks until ctx ends.
@@ -224,8 +224,8 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	c := newIdleControl(t, blockedNetwork{ctx: ctx})
-	c.parts.Group.Go("timer", c.parts.Timer.Run)
-	c.parts.Group.Go("control", c.Run)
+	c.config.Group.Go("timer", c.config.Timer.Run)
+	c.config.Group.Go("control", c.Run)
 	is.NoErr(c.loop.Call(ctx, func(time.Time) {
 		for range 2 * bfpeer.OutboxCapacity {
 			c.send("10.0.0.1:1", bfpeer.Membership, []byte{1}, nil)
@@ -233,8 +233,8 @@
 	}))
 	is.True(c.outbox.Dropped() >= bfpeer.OutboxCapacity-1)
 	cancel()
-	c.parts.Group.Cancel()
-	is.NoErr(c.parts.Group.Wait())
+	c.config.Group.Cancel()
+	is.NoErr(c.config.Group.Wait())
 	var stopped *bfloop.StoppedError
 	is.True(errors.As(c.Leave(context.Background()), &stopped)) // an error, not a call that blocks forever
 }
--- a/lib/bfcontrol/platform.go
+++ b/lib/bfcontrol/platform.go
@@ -29,9 +29,9 @@
 }
 
 func (c *Control) readMeeting() {
-	began := c.parts.Timer.Now()
+	began := c.config.Timer.Now()
 	async(c, "read meeting rows", func(ctx context.Context) meetingsRead {
-		rows, err := c.parts.Table.Range(ctx, meetingPrefix, meetingEnd, c.parts.Profile.Members.MeetingSlots)
+		rows, err := c.config.Table.Range(ctx, meetingPrefix, meetingEnd, c.config.Profile.Members.MeetingSlots)
 		if err != nil {
 			return meetingsRead{err: err}
 		}
@@ -53,14 +53,14 @@
 }
 
 func (c *Control) writeMeeting(meeting bfgossip.Meeting) {
-	c.parts.Group.Go("write meeting row", func(ctx context.Context) error {
+	c.config.Group.Go("write meeting row", func(ctx context.Context) error {
 		value, err := bfgossip.EncodeMeeting(meeting)
 		if err != nil {
 			c.report(err)
 			return nil
 		}
 		// A failed write is ignored: other nodes write meeting rows too, and nothing depends on this one.
-		_ = c.parts.Table.Commit(ctx, bfstore.Transaction{
+		_ = c.config.Table.Commit(ctx, bfstore.Transaction{
 			Writes: []bfstore.Write{{Key: meetingKey(meeting.Slot), Value: value}},
 		})
 		return nil
@@ -73,7 +73,7 @@
 }
 
 func (c *Control) readHead() {
-	began := c.parts.Timer.Now()
+	began := c.config.Timer.Now()
 	async(c, "read head", c.tableHead, func(now time.Time, h headRead) {
 		c.tableAnswered(now, began, h.err)
 		c.activation.headRead(now, h.version, h.err)
@@ -82,7 +82,7 @@
 }
 
 func (c *Control) tableHead(ctx context.Context) headRead {
-	rows, err := c.parts.Table.Get(ctx, bfcommit.HeadKey)
+	rows, err := c.config.Table.Get(ctx, bfcommit.HeadKey)
 	if err != nil {
 		return headRead{err: err}
 	}
@@ -106,10 +106,10 @@
 // very next row is unusable, no further read can get past it, so a snapshot is
 // loaded instead. Otherwise the node would stay at its version forever.
 func (c *Control) fetchDeltas(after bfconfig.Version) {
-	began := c.parts.Timer.Now()
+	began := c.config.Timer.Now()
 	async(c, "fetch deltas", func(ctx context.Context) deltasRead {
 		from, to := bfcommit.VersionRange(after+1, after+fetchLimit)
-		rows, err := c.parts.Table.Range(ctx, from, to, fetchLimit)
+		rows, err := c.config.Table.Range(ctx, from, to, fetchLimit)
 		read := deltasRead{deltas: consecutiveDeltas(after, rows), err: err}
 		// Checking the head keeps a member that advertises a nonexistent version
 		// from making other nodes load snapshots in vain.
@@ -156,9 +156,9 @@
 }
 
 func (c *Control) loadSnapshot(ctx context.Context, atLeast bfconfig.Version) snapshotRead {
-	state, unusable, err := bfcommit.Load(ctx, c.parts.Table, c.parts.Objects, fetchLimit)
+	state, unusable, err := bfcommit.Load(ctx, c.config.Table, c.config.Objects, fetchLimit)
 	for _, u := range unusable {
-		c.parts.Logger.Emit(bflog.SnapshotUnusable, slog.Uint64("version", uint64(u.Version)), bflog.Err(u.Err))
+		c.config.Logger.Emit(bflog.SnapshotUnusable, slog.Uint64("version", uint64(u.Version)), bflog.Err(u.Err))
 	}
 	if err != nil {
 		return snapshotRead{err: err}
--- a/lib/bfcontrol/receive.go
+++ b/lib/bfcontrol/receive.go
@@ -18,7 +18,7 @@
 		c.undecodable.Add(1)
 		return purpose
 	}
-	c.loop.Post(c.parts.Group.Context(), func(now time.Time) { c.dispatch(now, from.String(), message) })
+	c.loop.Post(c.config.Group.Context(), func(now time.Time) { c.dispatch(now, from.String(), message) })
 	return purpose
 }
 
--- a/lib/bfcontrol/scale_test.go
+++ b/lib/bfcontrol/scale_test.go
@@ -211,17 +211,17 @@
 	now = now.Add(time.Minute)
 	c.dispatchTargetChange(now, 2, 1)
 	c.after(now)
-	member, _ := c.parts.Directory.Member(memberRow(2).ID)
+	member, _ := c.config.Directory.Member(memberRow(2).ID)
 	is.Equal(member.Target.Slots, 1) // the first change is published immediately
 	for i := 3; i < 200; i++ {
 		c.dispatchTargetChange(now, i, 1)
 		c.after(now)
 	}
-	member, _ = c.parts.Directory.Member(memberRow(3).ID)
+	member, _ = c.config.Directory.Member(memberRow(3).ID)
 	is.Equal(member.Target.Slots, 12)
 	is.Equal(c.publication.next(), now.Add(publishInterval))
 	c.after(now.Add(publishInterval))
-	member, _ = c.parts.Directory.Member(memberRow(199).ID)
+	member, _ = c.config.Directory.Member(memberRow(199).ID)
 	is.Equal(member.Target.Slots, 1)
 	is.True(c.publication.next().IsZero())
 	suspect := memberRow(250)
@@ -300,7 +300,7 @@
 
 func (c *Control) checkDirectory() error {
 	for i := range 16 {
-		member, found := c.parts.Directory.Member(memberRow(i).ID)
+		member, found := c.config.Directory.Member(memberRow(i).ID)
 		rank, present := c.Order().Rank(memberRow(i).ID)
 		if found != present {
 			return fmt.Errorf("member %d: in directory %v, in order %v", i, found, present)
--- a/lib/bfcontrol/send.go
+++ b/lib/bfcontrol/send.go
@@ -36,11 +36,11 @@
 		if !c.outbox.Acquire() {
 			return
 		}
-		c.parts.Group.Go("deliver", func(ctx context.Context) error {
+		c.config.Group.Go("deliver", func(ctx context.Context) error {
 			defer c.outbox.Release()
 			ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 			defer cancel()
-			_ = c.parts.Calls.Call(ctx, address, deliverMethod, &delivery{From: c.parts.Self.Peer, Data: data}, nil)
+			_ = c.config.Calls.Call(ctx, address, deliverMethod, &delivery{From: c.config.Self.Peer, Data: data}, nil)
 			return nil
 		})
 		return
--- a/lib/bfcontrol/source.go
+++ b/lib/bfcontrol/source.go
@@ -51,7 +51,7 @@
 	c.source.recordContact(now)
 	if c.source.stale {
 		c.source.stale = false
-		c.parts.Logger.Emit(bflog.ConfigurationCurrent)
+		c.config.Logger.Emit(bflog.ConfigurationCurrent)
 	}
 }
 
@@ -59,7 +59,7 @@
 func (c *Control) checkAge(now time.Time) {
 	if age := now.Sub(c.source.lastContact); !c.source.stale && age >= staleAfter {
 		c.source.stale = true
-		c.parts.Logger.Emit(bflog.ConfigurationStale, slog.Duration("age", age))
+		c.config.Logger.Emit(bflog.ConfigurationStale, slog.Duration("age", age))
 	}
 }
 
@@ -79,8 +79,8 @@
 	c.source.tableUnavailable.Store(unavailable)
 	c.source.tableChanged = now
 	if unavailable {
-		c.parts.Logger.Emit(bflog.TableUnavailable, bflog.Err(err))
+		c.config.Logger.Emit(bflog.TableUnavailable, bflog.Err(err))
 		return
 	}
-	c.parts.Logger.Emit(bflog.TableAvailable)
+	c.config.Logger.Emit(bflog.TableAvailable)
 }
--- a/lib/bfcontrol/source_test.go
+++ b/lib/bfcontrol/source_test.go
@@ -24,7 +24,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	c := newIdleControl(t, discardNetwork{})
-	c.parts.Logger = bflog.New(&out, "n1", slog.LevelInfo)
+	c.config.Logger = bflog.New(&out, "n1", slog.LevelInfo)
 	began := time.Unix(1_800_000_000, 0)
 	away := &bfstore.UnavailableError{Reason: "refused"}
 	c.tableAnswered(began.Add(2*time.Second), began.Add(time.Second), away)
@@ -46,7 +46,7 @@
 	c.dispatch(now, memberRow(1).Peer, bfgossip.Repair{Self: memberRow(1), Rows: []bfroster.Row{cold}})
 	now = now.Add(time.Minute)
 	c.after(now)
-	member, _ := c.parts.Directory.Member(cold.ID)
+	member, _ := c.config.Directory.Member(cold.ID)
 	is.Equal(member.Target.ColdStart, time.Duration(0))
 	change := bfconfig.NewChange("c", "anna", now, []bfconfig.Op{
 		bfconfig.Put{Object: bfconfig.ServiceSpec{Name: cold.Service, ColdStart: time.Minute}},
@@ -55,7 +55,7 @@
 	is.NoErr(err)
 	c.versionAdopted(now, state)
 	c.after(now.Add(publishInterval))
-	member, _ = c.parts.Directory.Member(cold.ID)
+	member, _ = c.config.Directory.Member(cold.ID)
 	is.Equal(member.Target.ColdStart, time.Minute)
 	is.Equal(member.Target.ColdSince, now)
 }
@@ -84,7 +84,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	c := &Control{}
-	c.parts.Logger = bflog.New(&out, "n1", slog.LevelInfo)
+	c.config.Logger = bflog.New(&out, "n1", slog.LevelInfo)
 	for _, lost := range []bool{true, false} {
 		outage := bfgossip.Outage{Region: "vienna", Domain: "wien-sued", Epoch: 1, Lost: lost}
 		c.memberActions(time.Now(), []bfmember.Action{bfmember.OutageChanged{Outage: outage}})
--- a/lib/bfentry/call.go
+++ b/lib/bfentry/call.go
@@ -56,11 +56,11 @@
 	if c.parent != nil {
 		c.parent.BeginCall(c.service)
 	} else {
-		c.handler.parts.Account.Sent(c.service)
+		c.handler.config.Account.Sent(c.service)
 	}
 	result := c.callerResult(c.send(ctx))
 	if c.retryGranted {
-		c.handler.parts.Account.Return(c.service)
+		c.handler.config.Account.Return(c.service)
 	}
 	if c.parent != nil {
 		c.parent.EndCall(c.wasShed)
@@ -79,11 +79,11 @@
 func (c *call) send(ctx context.Context) bfhost.Result {
 	refusal := bfhost.Refused{Reason: bfhost.NoTarget, RetryAfter: startingRetryAfter}
 	for {
-		now := c.handler.parts.Timer.Now()
+		now := c.handler.config.Timer.Now()
 		if refused, ok := c.quarantined(now); ok {
 			return c.withRetryAfter(refused)
 		}
-		choice := c.handler.parts.Fleet.Pick(c.demand(refusal), now, c.tried)
+		choice := c.handler.config.Fleet.Pick(c.demand(refusal), now, c.tried)
 		target := choice.Target()
 		done := target == nil || c.searchTimedOut(now, refusal)
 		if done && refusal.Reason == bfhost.Full && !c.isLastTarget && c.retriesWhenAllFull() {
@@ -167,7 +167,7 @@
 	c.wasShed = true
 	if c.parent.ShedCall(c.service) {
 		// A wait that is cut short needs no handling: mayRetry checks ctx next.
-		_ = c.handler.parts.Timer.Wait(ctx, siblingShedWait)
+		_ = c.handler.config.Timer.Wait(ctx, siblingShedWait)
 	}
 }
 
@@ -244,7 +244,7 @@
 // mayRetry reports whether a request that reached a target may be sent to another one,
 // and takes the retry from the budget if so.
 func (c *call) mayRetry(ctx context.Context) bool {
-	now := c.handler.parts.Timer.Now()
+	now := c.handler.config.Timer.Now()
 	switch {
 	case ctx.Err() != nil, c.caller.Err() != nil, c.sent >= c.route.MaxAttempts(), c.request.Rest != nil:
 		return false
@@ -254,7 +254,7 @@
 	if c.parent != nil {
 		c.retryGranted = c.parent.Take(c.service)
 	} else {
-		c.retryGranted = c.handler.parts.Account.Take(c.service)
+		c.retryGranted = c.handler.config.Account.Take(c.service)
 	}
 	c.handler.metrics.countRetry(c.retryGranted)
 	return c.retryGranted
@@ -267,14 +267,14 @@
 func (c *call) sendTo(ctx context.Context, target *bffleet.Target) bfhost.Result {
 	target.Begin()
 	defer target.End()
-	began := c.handler.parts.Timer.Now()
+	began := c.handler.config.Timer.Now()
 	var result bfhost.Result
-	if target.Member().Inbound == c.handler.parts.Inbound {
+	if target.Member().Inbound == c.handler.config.Inbound {
 		result = c.sendLocal(ctx, target)
 	} else {
 		result = c.sendRemote(ctx, target)
 	}
-	c.lastSendDuration = c.handler.parts.Timer.Now().Sub(began)
+	c.lastSendDuration = c.handler.config.Timer.Now().Sub(began)
 	c.recordOutcome(target, result, c.lastSendDuration)
 	c.recordAcceptance(target, result)
 	return result
@@ -287,13 +287,13 @@
 		// The refusal does not depend on the target's free slots.
 		return
 	}
-	c.handler.metrics.countAcceptance(c.handler.parts.Fleet.IsInOtherDomain(target), isRefused)
+	c.handler.metrics.countAcceptance(c.handler.config.Fleet.IsInOtherDomain(target), isRefused)
 	c.acceptRatesOf(target).Note(c.service, !isRefused)
 }
 
 // acceptRatesOf returns the acceptance rates of the target's failure domain, local or remote.
 func (c *call) acceptRatesOf(target *bffleet.Target) *bfwalk.AcceptRates {
-	if c.handler.parts.Fleet.IsInOtherDomain(target) {
+	if c.handler.config.Fleet.IsInOtherDomain(target) {
 		return &c.handler.remoteAcceptRates
 	}
 	return &c.handler.localAcceptRates
@@ -301,7 +301,7 @@
 
 // recordOutcome updates the target's health with the result of a send.
 func (c *call) recordOutcome(target *bffleet.Target, result bfhost.Result, duration time.Duration) {
-	now := c.handler.parts.Timer.Now()
+	now := c.handler.config.Timer.Now()
 	switch result := result.(type) {
 	case bfhost.Refused:
 		if suspendsTarget(result.Reason) {
@@ -330,10 +330,10 @@
 func (c *call) sendLocal(ctx context.Context, target *bffleet.Target) bfhost.Result {
 	request := *c.request
 	request.Header = c.request.Header.Clone()
-	result := c.handler.parts.Host.Run(ctx, bfhost.Job{Request: &request, Deadline: c.deadline, Policy: c.policy()})
-	used, slots := c.handler.parts.Host.Load()
-	target.ReportLoad(used, slots, c.handler.parts.Timer.Now())
-	c.updateHealth(target, c.handler.parts.Host.Health(c.route.Name()))
+	result := c.handler.config.Host.Run(ctx, bfhost.Job{Request: &request, Deadline: c.deadline, Policy: c.policy()})
+	used, slots := c.handler.config.Host.Load()
+	target.ReportLoad(used, slots, c.handler.config.Timer.Now())
+	c.updateHealth(target, c.handler.config.Host.Health(c.route.Name()))
 	return result
 }
 
@@ -346,5 +346,5 @@
 		}
 		c.handler.runTimes.add(c.route.Name(), health.MeanRunTime.Nanoseconds())
 	}
-	target.ReportHealth(health.FailureRate, slowness, c.handler.parts.Timer.Now())
+	target.ReportHealth(health.FailureRate, slowness, c.handler.config.Timer.Now())
 }
--- a/lib/bfentry/entry_test.go
+++ b/lib/bfentry/entry_test.go
@@ -76,9 +76,9 @@
 	})
 	m.NoErr(err)
 	traffic.Adopt(snapshot)
-	m.entry = New(Parts{
+	m.entry = New(Config{
 		Service: "vault", Names: names, Traffic: traffic, Fleet: m.fleet, Account: m.account(terms), Timer: timer,
-		Host:   bfhost.New(bfhost.Parts{Service: "vault", Timer: timer}),
+		Host:   bfhost.New(bfhost.Config{Service: "vault", Timer: timer}),
 		Client: bfexchange.New(bfexchange.Options{DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 		Logger: bflog.Discard(), Metrics: bfmetric.New(),
 		Spawn: group.Go, OnMemberLost: func(member bffleet.Member) { m.lost.Store(&member) },
@@ -108,7 +108,7 @@
 		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
 		n.serve(w, r)
 	}))
-	n.host = bfhost.New(bfhost.Parts{
+	n.host = bfhost.New(bfhost.Config{
 		Service: "portal", Names: names, Timer: timer, Account: account, Changed: func(*bfhost.Target) {},
 		Client: bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 	})
@@ -187,7 +187,7 @@
 	m := newMesh(t, generous, hello)
 	answer, _ := m.send(http.MethodGet, "/nowhere/1", nil)
 	m.True(strings.HasPrefix(answer, "404"))
-	m.entry.parts.Traffic = bftraffic.NewHolder(nil)
+	m.entry.config.Traffic = bftraffic.NewHolder(nil)
 	answer, header := m.send(http.MethodGet, "/look/1", nil)
 	m.Equal(answer, "503 ") // without a configuration the route may exist
 	m.True(header.Get("Retry-After") != "")
@@ -370,7 +370,7 @@
 	m := newMesh(t, generous, hello)
 	now := time.Now()
 	expire := func(left time.Duration, end bfhost.Expired) *httptest.ResponseRecorder {
-		route := m.entry.parts.Traffic.Current().Match("h.example", "/look/1")
+		route := m.entry.config.Traffic.Current().Match("h.example", "/look/1")
 		c := &call{handler: m.entry, route: route, arrived: now, callerDeadline: now.Add(left)}
 		answer := httptest.NewRecorder()
 		c.expire(answer, end)
--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -24,8 +24,8 @@
 	"bilberryflow.org/lib/bfwalk"
 )
 
-// Parts are the dependencies of a Handler.
-type Parts struct {
+// Config are the dependencies of a Handler.
+type Config struct {
 	// Service is the service of this node's target, sent to other targets as the caller's service.
 	Service string
 	// Inbound is this node's inbound address, which identifies it in the fleet.
@@ -53,7 +53,7 @@
 
 // Handler serves callers' requests.
 type Handler struct {
-	parts Parts
+	config Config
 	// sizes, latencies and runTimes are averages per route: bytes of a request and its
 	// answer, nanoseconds from a send to its answer, and nanoseconds that targets run it.
 	sizes, latencies, runTimes routeMeans
@@ -72,11 +72,11 @@
 }
 
 // New makes the handler of the callers' port.
-func New(parts Parts) *Handler {
-	if parts.Quarantine == nil {
-		parts.Quarantine = bfquarantine.New("")
+func New(config Config) *Handler {
+	if config.Quarantine == nil {
+		config.Quarantine = bfquarantine.New("")
 	}
-	return &Handler{parts: parts, metrics: newMetrics(parts.Metrics)}
+	return &Handler{config: config, metrics: newMetrics(config.Metrics)}
 }
 
 // Active is the number of requests in progress.
@@ -94,7 +94,7 @@
 // connection, which holds for idempotent ones. A download may not: one that is cut off
 // closes the connection, and the answers queued behind it are lost.
 func (h *Handler) MayRunConcurrently(r *http.Request) bool {
-	traffic := h.parts.Traffic.Current()
+	traffic := h.config.Traffic.Current()
 	if traffic == nil {
 		return false
 	}
@@ -113,14 +113,14 @@
 
 // ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	now := h.parts.Timer.Now()
+	now := h.config.Timer.Now()
 	h.active.Add(1)
 	defer h.active.Add(-1)
 	if h.exitTime.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
-	traffic := h.parts.Traffic.Current()
-	parent := h.parts.Host.Parent(r.Header.Get(h.parts.Names.RequestID))
+	traffic := h.config.Traffic.Current()
+	parent := h.config.Host.Parent(r.Header.Get(h.config.Names.RequestID))
 	if traffic == nil || parent == nil && h.closed.Load() {
 		refuse(w, startingRetryAfter)
 		return
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	result := c.run(ctx)
-	h.metrics.observe(c, result, h.parts.Timer.Now())
+	h.metrics.observe(c, result, h.config.Timer.Now())
 	c.recordUnserved(result)
 	switch result := result.(type) {
 	case bfhost.Answered:
@@ -202,7 +202,7 @@
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	refuse(w, min(c.retryAfter(), c.callerDeadline.Sub(c.handler.parts.Timer.Now())))
+	refuse(w, min(c.retryAfter(), c.callerDeadline.Sub(c.handler.config.Timer.Now())))
 }
 
 // refuse answers that the request has not run and when to retry.
@@ -219,7 +219,7 @@
 		handler: h, caller: r.Context(), route: route, service: route.PickService(), arrived: now,
 		deadline: now.Add(route.Timeout()), callerDeadline: now.Add(route.Timeout()), parent: parent,
 	}
-	if left, err := strconv.ParseInt(r.Header.Get(h.parts.Names.Deadline), 10, 64); err == nil && left > 0 {
+	if left, err := strconv.ParseInt(r.Header.Get(h.config.Names.Deadline), 10, 64); err == nil && left > 0 {
 		timeout := time.Duration(left) * time.Millisecond
 		c.callerDeadline = now.Add(timeout)
 		if c.callerDeadline.Before(c.deadline) {
@@ -229,12 +229,12 @@
 	if parent == nil {
 		c.usedBefore = h.attempts.elapsed(route.Name(), c.callerDeadline, now)
 	}
-	request, err := bfhost.ReadRequest(r, h.parts.Names.RequestID)
+	request, err := bfhost.ReadRequest(r, h.config.Names.RequestID)
 	if err != nil {
 		return nil, err
 	}
 	bfheader.Strip(request.Header)
-	request.Header[h.parts.Names.CallerService] = []string{h.parts.Service}
+	request.Header[h.config.Names.CallerService] = []string{h.config.Service}
 	c.request = request
 	return c, nil
 }
@@ -257,12 +257,12 @@
 	if result.Err != nil {
 		attributes = append(attributes, bflog.Err(result.Err))
 	}
-	h.parts.Logger.Emit(bflog.TargetExcluded, attributes...)
+	h.config.Logger.Emit(bflog.TargetExcluded, attributes...)
 }
 
 // reportLate logs an answer that missed its objective and where the time was spent.
 func (h *Handler) reportLate(c *call, answer *bfhost.Answer) {
-	elapsed := h.parts.Timer.Now().Sub(c.arrived)
+	elapsed := h.config.Timer.Now().Sub(c.arrived)
 	if elapsed+c.usedBefore <= c.route.Objective() {
 		return
 	}
@@ -272,11 +272,11 @@
 }
 
 func (h *Handler) report(event bflog.Event, c *call, attributes ...slog.Attr) {
-	h.parts.Logger.Emit(event, append([]slog.Attr{
+	h.config.Logger.Emit(event, append([]slog.Attr{
 		slog.String("request", c.request.ID), slog.String("route", c.route.Name()), slog.String("service", c.service),
-		slog.String("node", c.lastNode()), slog.Uint64("version", uint64(c.version)), slog.Int("members", h.parts.Fleet.Size()),
+		slog.String("node", c.lastNode()), slog.Uint64("version", uint64(c.version)), slog.Int("members", h.config.Fleet.Size()),
 		slog.Int("sent", c.sent), slog.Bool("nested", c.parent != nil), slog.Int("asked", len(c.tried)),
-		slog.Duration("after", h.parts.Timer.Now().Sub(c.arrived)),
-		slog.Duration("left", c.deadline.Sub(h.parts.Timer.Now())),
+		slog.Duration("after", h.config.Timer.Now().Sub(c.arrived)),
+		slog.Duration("left", c.deadline.Sub(h.config.Timer.Now())),
 	}, attributes...)...)
 }
--- a/lib/bfentry/policy.go
+++ b/lib/bfentry/policy.go
@@ -59,7 +59,7 @@
 
 // timeLeft is the time left until the request misses its objective, negative afterwards.
 func (c *call) timeLeft() time.Duration {
-	return c.route.Objective() - c.usedBefore - c.handler.parts.Timer.Now().Sub(c.arrived)
+	return c.route.Objective() - c.usedBefore - c.handler.config.Timer.Now().Sub(c.arrived)
 }
 
 // usualDuration is the average time from a send to its answer on the request's route.
--- a/lib/bfentry/probe.go
+++ b/lib/bfentry/probe.go
@@ -29,7 +29,7 @@
 	if !target.StartProbing() {
 		return
 	}
-	h.parts.Spawn("probe node", func(ctx context.Context) error {
+	h.config.Spawn("probe node", func(ctx context.Context) error {
 		h.probe(ctx, target)
 		return nil
 	})
@@ -37,23 +37,23 @@
 
 // probe tries to connect to the target's node until it succeeds or the target leaves the fleet.
 func (h *Handler) probe(ctx context.Context, target *bffleet.Target) {
-	began := h.parts.Timer.Now()
+	began := h.config.Timer.Now()
 	pause := minProbeInterval
 	reported := false
-	for h.parts.Fleet.Contains(target) {
-		if h.parts.Timer.Wait(ctx, h.parts.Timer.Jittered(pause, probeJitter)()) != nil {
+	for h.config.Fleet.Contains(target) {
+		if h.config.Timer.Wait(ctx, h.config.Timer.Jittered(pause, probeJitter)()) != nil {
 			return
 		}
-		if h.parts.Client.Preconnect(ctx, target.Member().Inbound) == nil {
+		if h.config.Client.Preconnect(ctx, target.Member().Inbound) == nil {
 			target.StopProbing()
-			h.parts.Logger.Emit(bflog.NodeReachable, slog.String("node", target.Member().Inbound))
+			h.config.Logger.Emit(bflog.NodeReachable, slog.String("node", target.Member().Inbound))
 			return
 		}
 		pause = min(2*pause, maxProbeInterval)
-		lost := float64(h.parts.Fleet.Lost()) / float64(max(h.parts.Fleet.Size(), 1))
-		if !reported && h.parts.Timer.Now().Sub(began) > removeAfter && lost <= maxLostShare {
+		lost := float64(h.config.Fleet.Lost()) / float64(max(h.config.Fleet.Size(), 1))
+		if !reported && h.config.Timer.Now().Sub(began) > removeAfter && lost <= maxLostShare {
 			reported = true
-			h.parts.OnMemberLost(target.Member())
+			h.config.OnMemberLost(target.Member())
 		}
 	}
 }
--- a/lib/bfentry/quarantine_test.go
+++ b/lib/bfentry/quarantine_test.go
@@ -27,8 +27,8 @@
 // Guards against sending a request to nodes that would all refuse it.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	m := newMesh(t, generous, hello, hello)
-	m.entry.parts.Quarantine = bfquarantine.New("entry")
-	crashTargets(m.entry.parts.Quarantine, "/look/bad", 3)
+	m.entry.config.Quarantine = bfquarantine.New("entry")
+	crashTargets(m.entry.config.Quarantine, "/look/bad", 3)
 	answer, header := m.send(http.MethodGet, "/look/bad", nil)
 	m.Equal(answer, "503 ")
 	retryAfter, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
@@ -47,8 +47,8 @@
 	for _, n := range m.nodes {
 		book := bfquarantine.New("home")
 		crashTargets(book, "/look/bad", 3)
-		n.host = bfhost.New(bfhost.Parts{
-			Service: "portal", Names: names, Timer: m.entry.parts.Timer, Account: n.account, Changed: func(*bfhost.Target) {}, Quarantine: book,
+		n.host = bfhost.New(bfhost.Config{
+			Service: "portal", Names: names, Timer: m.entry.config.Timer, Account: n.account, Changed: func(*bfhost.Target) {}, Quarantine: book,
 		})
 		n.host.HandleHeartbeat(bfhost.Heartbeat{Incarnation: "a", Sequence: 1, Service: "portal", State: bfhost.Ready, Slots: slots, Address: "127.0.0.1:1"})
 		inbound := bfhost.NewInbound(n.host, nil)
--- a/lib/bfentry/refusal.go
+++ b/lib/bfentry/refusal.go
@@ -46,7 +46,7 @@
 // retryAfter is the retry delay advertised to a refused caller.
 func (c *call) retryAfter() time.Duration {
 	refused := bfwalk.Refused{
-		Objective: c.route.Objective(), Used: c.usedBefore, Left: c.callerDeadline.Sub(c.handler.parts.Timer.Now()),
+		Objective: c.route.Objective(), Used: c.usedBefore, Left: c.callerDeadline.Sub(c.handler.config.Timer.Now()),
 	}
 	return refused.RetryAfter(c.handler.localAcceptRates.Of(c.service), rand.Float64())
 }
@@ -56,7 +56,7 @@
 	if c.parent != nil {
 		return
 	}
-	now := c.handler.parts.Timer.Now()
+	now := c.handler.config.Timer.Now()
 	retryAt := now
 	switch result := result.(type) {
 	case bfhost.Answered:
@@ -84,13 +84,13 @@
 
 // key identifies the request's content over all its attempts.
 func (c *call) key() bfquarantine.Key {
-	return bfquarantine.KeyOf(bfhost.NewQuarantineRequest(c.request, c.handler.parts.Names.CallerService))
+	return bfquarantine.KeyOf(bfhost.NewQuarantineRequest(c.request, c.handler.config.Names.CallerService))
 }
 
 // quarantined returns the refusal of a request that is quarantined for crashing targets;
 // such a request is sent to no target.
 func (c *call) quarantined(now time.Time) (refusal bfhost.Refused, ok bool) {
-	view := c.handler.parts.Quarantine.View()
+	view := c.handler.config.Quarantine.View()
 	if !view.HasHeld() {
 		return bfhost.Refused{}, false
 	}
--- a/lib/bfentry/remote.go
+++ b/lib/bfentry/remote.go
@@ -12,22 +12,22 @@
 
 // sendRemote sends the request to the target through another node.
 func (c *call) sendRemote(ctx context.Context, target *bffleet.Target) bfhost.Result {
-	parts := c.handler.parts
-	left := c.deadline.Sub(parts.Timer.Now())
+	config := c.handler.config
+	left := c.deadline.Sub(config.Timer.Now())
 	if left <= 0 {
 		return bfhost.Expired{Sent: c.sent > 0}
 	}
 	request := *c.request
 	request.Header = c.request.Header.Clone()
-	request.Header[parts.Names.Deadline] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
+	request.Header[config.Names.Deadline] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	bfhost.WritePolicy(request.Header, c.policy())
-	parts.Pacer.Charge(len(request.Head))
-	from, err := parts.Client.Send(ctx, target.Member().Inbound, &request)
+	config.Pacer.Charge(len(request.Head))
+	from, err := config.Client.Send(ctx, target.Member().Inbound, &request)
 	var notSent *bfexchange.NotSentError
 	switch {
 	case errors.As(err, &notSent) && c.request.Rest == nil:
 		return bfhost.Refused{Reason: bfhost.Unreachable, Err: err}
-	case err != nil && !parts.Timer.Now().Before(c.deadline):
+	case err != nil && !config.Timer.Now().Before(c.deadline):
 		return bfhost.Expired{Sent: true}
 	case err != nil:
 		return bfhost.Lost{Reason: err.Error()}
@@ -37,7 +37,7 @@
 
 // readResult reads the other node's answer.
 func (c *call) readResult(from *bfexchange.Answer, target *bffleet.Target) bfhost.Result {
-	now := c.handler.parts.Timer.Now()
+	now := c.handler.config.Timer.Now()
 	if used, slots, ok := bfhost.ReadLoad(from.Header()); ok {
 		target.ReportLoad(used, slots, now)
 		target.ReportBacklog(bfhost.ReadBacklog(from.Header()), now)
--- a/lib/bfhost/crash_test.go
+++ b/lib/bfhost/crash_test.go
@@ -31,7 +31,7 @@
 
 // onCrash registers fn for crashes of the target.
 func (r *fixture) onCrash(fn func(bfflight.Crash)) {
-	r.host.parts.Crashed = fn
+	r.host.config.Crashed = fn
 	r.host.flights = r.host.newFlightTracker()
 }
 
--- a/lib/bfhost/flight.go
+++ b/lib/bfhost/flight.go
@@ -27,15 +27,15 @@
 }
 
 func (h *Host) newQuarantineRequest(job Job) bfquarantine.Request {
-	return NewQuarantineRequest(job.Request, h.parts.Names.CallerService)
+	return NewQuarantineRequest(job.Request, h.config.Names.CallerService)
 }
 
 // newFlightTracker makes the tracker of the requests in flight at the target.
 func (h *Host) newFlightTracker() *bfflight.Tracker {
 	return bfflight.New(bfflight.Options{
-		Book: h.parts.Quarantine, Now: h.parts.Timer.Now, Crashed: h.crashed,
+		Book: h.config.Quarantine, Now: h.config.Timer.Now, Crashed: h.crashed,
 		// A successful dial leaves an idle connection, which replaces the broken one.
-		Dial: h.parts.Client.Preconnect,
+		Dial: h.config.Client.Preconnect,
 	})
 }
 
@@ -44,8 +44,8 @@
 	h.mu.Lock()
 	h.tracker.crash(crash.Target.(flightTarget).heartbeat)
 	h.mu.Unlock()
-	if h.parts.Crashed != nil {
-		h.parts.Crashed(crash)
+	if h.config.Crashed != nil {
+		h.config.Crashed(crash)
 	}
 }
 
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -19,8 +19,8 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Parts are the dependencies of a Host.
-type Parts struct {
+// Config are the dependencies of a Host.
+type Config struct {
 	Service string
 	Names   bfheader.Names
 	Client  *bfexchange.Client
@@ -38,7 +38,7 @@
 
 // Host manages the node's target.
 type Host struct {
-	parts   Parts
+	config  Config
 	gate    *bfslot.Gate
 	mu      sync.Mutex
 	tracker targetTracker
@@ -55,14 +55,14 @@
 }
 
 // New makes a Host without a target.
-func New(parts Parts) *Host {
-	if parts.Quarantine == nil {
-		parts.Quarantine = bfquarantine.New("")
+func New(config Config) *Host {
+	if config.Quarantine == nil {
+		config.Quarantine = bfquarantine.New("")
 	}
 	h := &Host{
-		parts:   parts,
-		gate:    bfslot.New(parts.Timer),
-		tracker: targetTracker{service: parts.Service},
+		config:  config,
+		gate:    bfslot.New(config.Timer),
+		tracker: targetTracker{service: config.Service},
 	}
 	h.flights = h.newFlightTracker()
 	return h
@@ -70,7 +70,7 @@
 
 // HandleHeartbeat applies a heartbeat of the target.
 func (h *Host) HandleHeartbeat(beat Heartbeat) {
-	now := h.parts.Timer.Now()
+	now := h.config.Timer.Now()
 	h.change(func(b *targetTracker) bool { return b.applyHeartbeat(beat, now) })
 }
 
@@ -82,20 +82,20 @@
 // target for even longer. Each request carries the incarnation, so a different target at
 // the address refuses it.
 func (h *Host) RestoreTarget(target Heartbeat) {
-	now := h.parts.Timer.Now()
+	now := h.config.Timer.Now()
 	h.change(func(b *targetTracker) bool { return b.restore(target, now) })
 }
 
 // HandleDeparture applies the target's departure.
 func (h *Host) HandleDeparture(departure Departure) {
-	now := h.parts.Timer.Now()
+	now := h.config.Timer.Now()
 	h.change(func(b *targetTracker) bool { return b.applyDeparture(departure, now) })
 }
 
-// change applies fn to the tracker and reports a changed view to Parts.Changed.
+// change applies fn to the tracker and reports a changed view to Config.Changed.
 func (h *Host) change(fn func(*targetTracker) bool) {
 	if target, changed := h.update(fn); changed {
-		h.parts.Changed(target)
+		h.config.Changed(target)
 	}
 }
 
@@ -135,9 +135,9 @@
 func (h *Host) usableTarget(service string) (*Target, Result) {
 	target := h.target.Load()
 	switch {
-	case service != h.parts.Service:
+	case service != h.config.Service:
 		return nil, Refused{Reason: WrongService}
-	case target == nil || target.isStale(h.parts.Timer.Now()):
+	case target == nil || target.isStale(h.config.Timer.Now()):
 		return nil, Refused{Reason: NoTarget}
 	case !target.acceptsWork || h.leaving.Load():
 		return nil, Refused{Reason: Leaving}
@@ -154,7 +154,7 @@
 	if err := h.flights.Check(request); err != nil {
 		return flightRefusal(err)
 	}
-	arrived := h.parts.Timer.Now()
+	arrived := h.config.Timer.Now()
 	slot, err := h.gate.Acquire(ctx, bfslot.Request{
 		Class: job.Policy.Class, Nested: job.Policy.Nested, Late: job.Policy.Late, Rank: job.Policy.Rank, MaxWait: job.Policy.MaxSlotWait,
 	})
@@ -177,7 +177,7 @@
 		slot.Release()
 		return flightRefusal(err)
 	}
-	run, ok := h.parts.Account.Begin(job.Policy.Class, job.Policy.origin())
+	run, ok := h.config.Account.Begin(job.Policy.Class, job.Policy.origin())
 	if !ok {
 		flight.End()
 		slot.Release()
@@ -192,7 +192,7 @@
 	h.failures.record(result)
 	if answered, ok := result.(Answered); ok {
 		flight.Answered()
-		answered.Answer.Spent = Spent{Wait: flight.Began().Sub(arrived), Run: h.parts.Timer.Now().Sub(flight.Began())}
+		answered.Answer.Spent = Spent{Wait: flight.Began().Sub(arrived), Run: h.config.Timer.Now().Sub(flight.Began())}
 	}
 	return result
 }
@@ -238,7 +238,7 @@
 // sendToTarget sends the job to the target; done is called when the request no longer
 // occupies it.
 func (h *Host) sendToTarget(ctx context.Context, job Job, to dispatch, done func()) Result {
-	left := job.Deadline.Sub(h.parts.Timer.Now())
+	left := job.Deadline.Sub(h.config.Timer.Now())
 	if left <= 0 {
 		done()
 		return Expired{}
@@ -254,9 +254,9 @@
 		done()
 	}
 	header := job.Request.Header
-	header[h.parts.Names.Deadline] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
-	header[h.parts.Names.ExpectTarget] = []string{to.target.Incarnation()}
-	answer, err := h.parts.Client.Send(ctx, to.target.Address(), job.Request)
+	header[h.config.Names.Deadline] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
+	header[h.config.Names.ExpectTarget] = []string{to.target.Incarnation()}
+	answer, err := h.config.Client.Send(ctx, to.target.Address(), job.Request)
 	var notSent *bfexchange.NotSentError
 	switch {
 	case errors.As(err, &notSent):
@@ -275,7 +275,7 @@
 
 // lost is the result of a request whose answer did not arrive.
 func (h *Host) lost(ctx context.Context, err error, job Job, to dispatch) Result {
-	if !h.parts.Timer.Now().Before(job.Deadline) {
+	if !h.config.Timer.Now().Before(job.Deadline) {
 		return Expired{Sent: true}
 	}
 	to.flight.CheckCrash(ctx)
@@ -288,11 +288,11 @@
 		// The address belongs to another incarnation; refuse requests until its first heartbeat.
 		from.Close()
 		finish()
-		now := h.parts.Timer.Now()
+		now := h.config.Timer.Now()
 		h.change(func(b *targetTracker) bool { return b.applyMisdirected(to.target.Incarnation(), now) })
 		return Refused{Reason: NoTarget}
 	}
-	if from.Header().Get(h.parts.Names.NotRun) != "" {
+	if from.Header().Get(h.config.Names.NotRun) != "" {
 		status := from.Status()
 		from.Discard()
 		finish()
--- a/lib/bfhost/host_test.go
+++ b/lib/bfhost/host_test.go
@@ -50,7 +50,7 @@
 	group := bfgroup.New(context.Background())
 	r.group = group
 	group.Go("timer", timer.Run)
-	r.host = New(Parts{
+	r.host = New(Config{
 		Service: "portal", Names: names, Timer: timer, Account: r.account,
 		Client:  bfexchange.New(bfexchange.Options{IDHeader: names.RequestID, DialTimeout: time.Second, DefaultIdleTimeout: time.Second}),
 		Changed: func(*Target) { r.changes.Add(1) },
--- a/lib/bfhost/inbound.go
+++ b/lib/bfhost/inbound.go
@@ -66,7 +66,7 @@
 
 // read parses a request between nodes.
 func (i *Inbound) read(r *http.Request) (Job, error) {
-	names := i.host.parts.Names
+	names := i.host.config.Names
 	policy, err := ReadPolicy(r.Header)
 	if err != nil {
 		return Job{}, err
@@ -82,7 +82,7 @@
 	bfheader.Strip(request.Header)
 	return Job{
 		Request: request, Policy: policy,
-		Deadline: i.host.parts.Timer.Now().Add(time.Duration(left) * time.Millisecond),
+		Deadline: i.host.config.Timer.Now().Add(time.Duration(left) * time.Millisecond),
 	}, nil
 }
 
--- a/lib/bfhost/inbound_test.go
+++ b/lib/bfhost/inbound_test.go
@@ -19,7 +19,7 @@
 	const linkMbps = 2 // 64 kB take a third of a second
 	r := newFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(bytes.Repeat([]byte("x"), length)) })
 	r.heartbeat("a", 1, Ready)
-	server := httptest.NewServer(NewInbound(r.host, bfpacer.New(r.host.parts.Timer, linkMbps)))
+	server := httptest.NewServer(NewInbound(r.host, bfpacer.New(r.host.config.Timer, linkMbps)))
 	t.Cleanup(server.Close)
 	request, err := http.NewRequest(http.MethodGet, server.URL+"/x", nil)
 	r.NoErr(err)
@@ -44,7 +44,7 @@
 func TestBusyLinkRefusesDownloads(t *testing.T) {
 	r := newFixture(t, hello)
 	r.heartbeat("a", 1, Ready)
-	pacer := bfpacer.New(r.host.parts.Timer, 5)
+	pacer := bfpacer.New(r.host.config.Timer, 5)
 	busy := pacer.Begin(1 << 20)
 	inbound := NewInbound(r.host, pacer)
 	send := func(linkWait time.Duration) *httptest.ResponseRecorder {
--- a/lib/bfhost/quarantine_test.go
+++ b/lib/bfhost/quarantine_test.go
@@ -19,7 +19,7 @@
 func (r *fixture) suspect(j Job, crashes int) {
 	key := bfquarantine.KeyOf(NewQuarantineRequest(j.Request, names.CallerService))
 	for i := range crashes {
-		r.host.parts.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
+		r.host.config.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
 	}
 }
 
@@ -62,7 +62,7 @@
 	close(finish)
 	r.Equal(<-end, "200 hello")
 	r.Equal(r.run(other), "200 hello")
-	r.True(!r.host.parts.Quarantine.View().HasSuspects()) // both were answered
+	r.True(!r.host.config.Quarantine.View().HasSuspects()) // both were answered
 }
 
 // Guards against a request staying quarantined after it was answered.
@@ -79,10 +79,10 @@
 	r.group.Go("run", func(context.Context) error { end <- r.run(suspected); return nil })
 	<-begun
 	r.suspect(suspected, 3)
-	r.True(r.host.parts.Quarantine.View().HasHeld())
+	r.True(r.host.config.Quarantine.View().HasHeld())
 	close(finish)
 	r.Equal(<-end, "200 hello")
-	r.True(!r.host.parts.Quarantine.View().HasHeld())
+	r.True(!r.host.config.Quarantine.View().HasHeld())
 }
 
 // Guards against running a request that was quarantined while it waited for a slot.
--- a/lib/bfpipeline/connection.go
+++ b/lib/bfpipeline/connection.go
@@ -76,7 +76,7 @@
 		if !c.admit(e) {
 			continue
 		}
-		c.server.group.Go(c.server.parts.Name+" request", e.run)
+		c.server.group.Go(c.server.config.Name+" request", e.run)
 		// The handler reads the body from c.reader, so the next request must not be read until it is done.
 		<-e.bodyDone
 	}
@@ -164,7 +164,7 @@
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		return nil, err
 	}
-	e := newExchange(c, request, c.server.parts.Handler)
+	e := newExchange(c, request, c.server.config.Handler)
 	e.limitBody(limits.BodyBytes)
 	return e, nil
 }
--- a/lib/bfpipeline/exchange.go
+++ b/lib/bfpipeline/exchange.go
@@ -60,7 +60,7 @@
 	if c.conn != nil {
 		e.request.RemoteAddr = c.conn.RemoteAddr().String()
 	}
-	mayRunConcurrently := c.server.parts.MayRunConcurrently
+	mayRunConcurrently := c.server.config.MayRunConcurrently
 	e.exclusive = request.Body != http.NoBody || mayRunConcurrently == nil || !mayRunConcurrently(e.request)
 	if request.Body == http.NoBody {
 		e.finishBody()
@@ -120,7 +120,7 @@
 		complete = false
 		if err, ok := value.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 			// A panic of the handler ends its request and not the process.
-			e.connection.server.parts.Logger.Emit(bflog.InvariantBroken,
+			e.connection.server.config.Logger.Emit(bflog.InvariantBroken,
 				slog.String("panic", fmt.Sprint(value)), slog.String("stack", string(debug.Stack())))
 		}
 	}()
--- a/lib/bfpipeline/pipeline_test.go
+++ b/lib/bfpipeline/pipeline_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	p := &testPort{I: is.New(t)}
 	group := bfgroup.New(context.Background())
-	server, err := Listen("127.0.0.1:0", Parts{
+	server, err := Listen("127.0.0.1:0", Config{
 		Name: "caller", Handler: handler, Logger: bflog.Discard(),
 		MayRunConcurrently: func(r *http.Request) bool { return r.Method == http.MethodGet },
 		Limits:             func() Limits { return limits },
--- a/lib/bfpipeline/server.go
+++ b/lib/bfpipeline/server.go
@@ -42,8 +42,8 @@
 	maxConcurrentTotal = 1024
 )
 
-// Parts are the dependencies and settings of a Server.
-type Parts struct {
+// Config are the dependencies and settings of a Server.
+type Config struct {
 	// Name is the port's name in messages.
 	Name string
 	// Handler serves the requests.
@@ -76,7 +76,7 @@
 
 // Server is a listening port; it implements the kratos transport.Server.
 type Server struct {
-	parts    Parts
+	config   Config
 	listener net.Listener
 	// group runs the goroutines of connections and requests. It is the server's own, so that
 	// a stopping process does not wait for requests that Stop has cut off.
@@ -93,13 +93,13 @@
 }
 
 // Listen opens the port; Start serves it. Its errors are of type ListenError.
-func Listen(address string, parts Parts) (*Server, error) {
+func Listen(address string, config Config) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, &ListenError{Port: parts.Name, Address: address, Reason: err}
+		return nil, &ListenError{Port: config.Name, Address: address, Reason: err}
 	}
 	return &Server{
-		parts: parts, listener: listener, group: bfgroup.New(context.Background()),
+		config: config, listener: listener, group: bfgroup.New(context.Background()),
 		open: map[*connection]struct{}{}, idle: make(chan struct{}),
 	}, nil
 }
@@ -139,9 +139,9 @@
 
 // serveConn serves an accepted connection in a goroutine of its own.
 func (s *Server) serveConn(accepted net.Conn) {
-	if tcp, ok := accepted.(*net.TCPConn); ok && s.parts.SendBuffer > 0 {
+	if tcp, ok := accepted.(*net.TCPConn); ok && s.config.SendBuffer > 0 {
 		// On an error the system's default buffer size stays in effect.
-		_ = tcp.SetWriteBuffer(s.parts.SendBuffer)
+		_ = tcp.SetWriteBuffer(s.config.SendBuffer)
 	}
 	c := newConnection(s.group.Context(), s, accepted)
 	s.mu.Lock()
@@ -152,7 +152,7 @@
 	}
 	s.open[c] = struct{}{}
 	s.mu.Unlock()
-	s.group.Go(s.parts.Name+" connection", func(context.Context) error {
+	s.group.Go(s.config.Name+" connection", func(context.Context) error {
 		defer s.remove(c)
 		c.serve()
 		return nil
@@ -216,8 +216,8 @@
 // limits returns the current limits with defaults filled in.
 func (s *Server) limits() Limits {
 	var l Limits
-	if s.parts.Limits != nil {
-		l = s.parts.Limits()
+	if s.config.Limits != nil {
+		l = s.config.Limits()
 	}
 	if l.HeaderBytes <= 0 {
 		l.HeaderBytes = defaultHeaderBytes
