--- a/bfnode/internal/bfcommand/settings.go
+++ b/bfnode/internal/bfcommand/settings.go
@@ -114,7 +114,7 @@
 
 func (s Settings) profile() bfcontrol.Profile {
 	if s.Profile == profileBytes {
-		return bfcontrol.Bytes()
+		return bfcontrol.LowTrafficProfile()
 	}
-	return bfcontrol.Convergence()
+	return bfcontrol.FastConvergenceProfile()
 }
--- a/lib/bfcontrol/cluster_test.go
+++ b/lib/bfcontrol/cluster_test.go
@@ -122,7 +122,7 @@
 	c.mu.Unlock()
 	timer := bftimer.New(seed)
 	control, err := New(Config{
-		Self: c.row(id), Seeds: []string{address("n1"), address("n2"), address("n3")}, Profile: Convergence(),
+		Self: c.row(id), Seeds: []string{address("n1"), address("n2"), address("n3")}, Profile: FastConvergenceProfile(),
 		Table: table{n}, Objects: objects{c.store, n}, Datagrams: n, Calls: n,
 		Directory: bfdirectory.New(c.row(id).Domain), Timer: timer, Group: n.group,
 		Logger: bflog.New(&recorder{c, id}, id, slog.LevelInfo), Metrics: n.metrics, Seed: seed,
--- a/lib/bfcontrol/hostile_test.go
+++ b/lib/bfcontrol/hostile_test.go
@@ -49,7 +49,7 @@
 func newIdleControl(tb testing.TB, datagrams Datagrams) *Control {
 	memory := bfstore.NewMemory()
 	c, err := New(Config{
-		Self: memberRow(0), Profile: Convergence(), Table: memory, Objects: memory,
+		Self: memberRow(0), Profile: FastConvergenceProfile(), Table: memory, Objects: memory,
 		Datagrams: datagrams, Calls: discardNetwork{}, Directory: bfdirectory.New("d0"), Timer: bftimer.New(1),
 		Group: bfgroup.New(context.Background()), Logger: bflog.Discard(), Metrics: bfmetric.New(), Seed: 1,
 		Reincarnated: func(uint64) {}, Quarantine: &fakeComparer{},
--- a/lib/bfcontrol/profile.go
+++ b/lib/bfcontrol/profile.go
@@ -20,9 +20,9 @@
 // its versions until every older note expires.
 const witnessTimeout = 5 * time.Second
 
-// Convergence returns the profile that favors fast convergence over control traffic.
-func Convergence() Profile {
-	p := Profile{Members: bfmember.Convergence(), Spread: bfspread.Convergence(), Recover: bfrecover.DefaultSettings()}
+// FastConvergenceProfile returns the profile that favors fast convergence over control traffic.
+func FastConvergenceProfile() Profile {
+	p := Profile{Members: bfmember.FastConvergenceProfile(), Spread: bfspread.FastConvergenceProfile(), Recover: bfrecover.DefaultSettings()}
 	p.Recover.WitnessTimeout = witnessTimeout
 	// Five witnesses tolerate the loss of two without delay. Three tolerate
 	// only one: after the loss of two machines a node could have to wait until notes expire.
@@ -30,9 +30,9 @@
 	return p
 }
 
-// Bytes returns the profile that favors low control traffic over fast convergence.
-func Bytes() Profile {
-	p := Profile{Members: bfmember.Bytes(), Spread: bfspread.Bytes(), Recover: bfrecover.DefaultSettings()}
+// LowTrafficProfile returns the profile that favors low control traffic over fast convergence.
+func LowTrafficProfile() Profile {
+	p := Profile{Members: bfmember.LowTrafficProfile(), Spread: bfspread.LowTrafficProfile(), Recover: bfrecover.DefaultSettings()}
 	p.Recover.WitnessTimeout = witnessTimeout
 	p.Recover.Mode = bfrecover.BytesFirst
 	return p
--- a/lib/bfmember/figures_test.go
+++ b/lib/bfmember/figures_test.go
@@ -62,8 +62,8 @@
 		fmt.Fprintf(&page, "%-24s %7d B\n", s.name, s.bytes)
 	}
 	is.Equal(loss(domainSize).Packed[:17], loss(1).Packed)
-	writeTraffic(&page, "convergence", Convergence(), row, mark, loss(1), probe+ack)
-	writeTraffic(&page, "bytes", Bytes(), row, mark, loss(1), probe+ack)
+	writeTraffic(&page, "convergence", FastConvergenceProfile(), row, mark, loss(1), probe+ack)
+	writeTraffic(&page, "bytes", LowTrafficProfile(), row, mark, loss(1), probe+ack)
 	bfgolden.Check(t, "testdata/sizes.golden", page.String())
 }
 
@@ -110,7 +110,7 @@
 		b.Run(fmt.Sprintf("factor=%v", factor), func(b *testing.B) {
 			for b.Loop() {
 				const size, changes = 400, 20
-				o := Convergence()
+				o := FastConvergenceProfile()
 				o.RetransmitFactor, o.RepairInterval = factor, 1000*time.Hour
 				f := newJoinedFleet(5, o, size, 26)
 				f.run(5 * time.Second)
@@ -157,7 +157,7 @@
 // BenchmarkMassLoss measures the time until every node has detected the loss of a rack
 // or a domain, and its return after ten minutes.
 func BenchmarkMassLoss(b *testing.B) {
-	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
+	for name, o := range map[string]Options{"convergence": FastConvergenceProfile(), "bytes": LowTrafficProfile()} {
 		for _, domains := range []int{26, 5} {
 			b.Run(fmt.Sprintf("%s/lost=%d of 500", name, 500/domains), func(b *testing.B) {
 				for b.Loop() {
@@ -201,7 +201,7 @@
 // BenchmarkDomainLoss measures how 500 nodes detect the loss of 960 members, which
 // exist as rows only.
 func BenchmarkDomainLoss(b *testing.B) {
-	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
+	for name, o := range map[string]Options{"convergence": FastConvergenceProfile(), "bytes": LowTrafficProfile()} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				domainLoss(b, o)
@@ -254,7 +254,7 @@
 // BenchmarkPublish measures the copy of the order on a change in a fleet of 25 000 members.
 func BenchmarkPublish(b *testing.B) {
 	f := newFleet(3)
-	core, err := New(Convergence(), f.row(0, 26), f.rng)
+	core, err := New(FastConvergenceProfile(), f.row(0, 26), f.rng)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 // BenchmarkProbe measures the handling of one probe while twenty changes are queued.
 func BenchmarkProbe(b *testing.B) {
 	f := newFleet(3)
-	core, err := New(Convergence(), f.row(0, 26), f.rng)
+	core, err := New(FastConvergenceProfile(), f.row(0, 26), f.rng)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lib/bfmember/members_test.go
+++ b/lib/bfmember/members_test.go
@@ -18,7 +18,7 @@
 // Guards against corrupted datagrams that change or remove the node's own row.
 func TestCorruptedMessagesKeepOwnRow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newJoinedFleet(3, Convergence(), 3, 1)
+		f := newJoinedFleet(3, FastConvergenceProfile(), 3, 1)
 		self := f.nodes[0].core.Self()
 		packed := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "packed")
 		probe := bfgossip.Probe{From: 7, News: bfgossip.News{Rows: []bfroster.Row{self, f.row(9, 2)}, Losses: []bfgossip.Loss{{State: bfroster.Dead, Packed: packed}}}}
@@ -52,7 +52,7 @@
 		"sequence": func(r *bfroster.Row) { r.Sequence = math.MaxUint64 }, "state": func(r *bfroster.Row) { r.State = 9 },
 		"target": func(r *bfroster.Row) { r.Target = 9 },
 	} {
-		f := newJoinedFleet(3, Convergence(), 3, 1)
+		f := newJoinedFleet(3, FastConvergenceProfile(), 3, 1)
 		core := f.nodes[0].core
 		before, row := core.Order(), f.row(7, 1)
 		corrupt(&row)
@@ -77,7 +77,7 @@
 	f := newFleet(11)
 	f.lossRate = 0.2
 	for i := range 12 {
-		n := f.add(Convergence(), f.row(i, 3))
+		n := f.add(FastConvergenceProfile(), f.row(i, 3))
 		f.execute(n, n.core.Start(f.now, nil))
 	}
 	f.run(60 * time.Second)
@@ -97,7 +97,7 @@
 
 func checkPausedNode(t *testing.T, overflowed bool) {
 	is := is.New(t)
-	f := newJoinedFleet(5, Convergence(), 10, 2)
+	f := newJoinedFleet(5, FastConvergenceProfile(), 10, 2)
 	f.run(10 * time.Second)
 	stalled, suspected := f.nodes[0], f.nodes[1]
 	before := stalled.core.Self()
@@ -124,7 +124,7 @@
 // member died still holds it as alive, and must not reintroduce it elsewhere.
 func TestDroppedRowIsNotReintroduced(t *testing.T) {
 	is := is.New(t)
-	options := Convergence()
+	options := FastConvergenceProfile()
 	options.DeadRetention = 2 * time.Minute
 	f := newJoinedFleet(9, options, 6, 2)
 	f.run(5 * time.Second)
@@ -153,7 +153,7 @@
 // anti-entropy must transfer it to every node.
 func TestRepairDeliversLostGossip(t *testing.T) {
 	is := is.New(t)
-	f := newJoinedFleet(21, Convergence(), 12, 3)
+	f := newJoinedFleet(21, FastConvergenceProfile(), 12, 3)
 	f.lossRate = 1
 	n := f.nodes[4]
 	f.execute(n, n.core.SetTarget(f.now, bfroster.TargetLeaving, 3))
@@ -170,7 +170,7 @@
 // the other dead, both must merge without the table, an operator or a restart.
 func TestHealedPartitionMerges(t *testing.T) {
 	is := is.New(t)
-	f := newJoinedFleet(13, Convergence(), 12, 2)
+	f := newJoinedFleet(13, FastConvergenceProfile(), 12, 2)
 	f.tableDown = true
 	side := func(n *node) bool { return slices.Index(f.nodes, n)%2 == 0 }
 	f.partitioned = func(a, b *node) bool { return side(a) != side(b) }
@@ -187,7 +187,7 @@
 // minutes.
 func TestLostDomainIsDetectedAndReturns(t *testing.T) {
 	is := is.New(t)
-	f := newJoinedFleet(41, Convergence(), 120, 4)
+	f := newJoinedFleet(41, FastConvergenceProfile(), 120, 4)
 	lost := func(n *node) bool { return n.core.Self().Domain == "wien-domain-02" }
 	started := f.now.UnixMicro()
 	f.run(5 * time.Second)
@@ -217,7 +217,7 @@
 // stay unreachable.
 func TestPartialDomainLossIsNotAnOutage(t *testing.T) {
 	is := is.New(t)
-	f := newJoinedFleet(43, Convergence(), 120, 3)
+	f := newJoinedFleet(43, FastConvergenceProfile(), 120, 3)
 	f.run(5 * time.Second)
 	for i, n := range f.nodes {
 		n.down = i%3 == 1 && i%2 == 0
@@ -236,7 +236,7 @@
 // gossip that is still in transit.
 func TestLeaveIsGossipedAndFinal(t *testing.T) {
 	is := is.New(t)
-	f := newJoinedFleet(17, Convergence(), 12, 3)
+	f := newJoinedFleet(17, FastConvergenceProfile(), 12, 3)
 	f.run(5 * time.Second)
 	leaver := f.nodes[3]
 	f.execute(leaver, leaver.core.Leave(f.now))
@@ -256,7 +256,7 @@
 func TestMeetingWritesDoNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []int{20, 160} {
-		f := newJoinedFleet(uint64(size), Bytes(), size, 4)
+		f := newJoinedFleet(uint64(size), LowTrafficProfile(), size, 4)
 		f.run(10 * time.Minute)
 		perSecond := float64(f.writes) / 600
 		t.Logf("%d nodes: %.2f writes a second", size, perSecond)
--- a/lib/bfmember/options.go
+++ b/lib/bfmember/options.go
@@ -47,8 +47,8 @@
 	ReconnectInterval time.Duration
 }
 
-// Convergence returns the options that favor a short convergence time.
-func Convergence() Options {
+// FastConvergenceProfile returns the options that favor a short convergence time.
+func FastConvergenceProfile() Options {
 	return Options{
 		ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3,
 		SuspicionFactor: 3, RetransmitFactor: 1, NewsBytes: 800,
@@ -59,9 +59,9 @@
 	}
 }
 
-// Bytes returns the options that favor low control traffic.
-func Bytes() Options {
-	o := Convergence()
+// LowTrafficProfile returns the options that favor low control traffic.
+func LowTrafficProfile() Options {
+	o := FastConvergenceProfile()
 	o.ProbeInterval = 3 * time.Second
 	o.ProbeTimeout = 600 * time.Millisecond
 	o.SuspicionFactor = 2
--- a/lib/bfpeer/figures_test.go
+++ b/lib/bfpeer/figures_test.go
@@ -106,7 +106,7 @@
 	encoded, err := bfgossip.Encode(probe)
 	deliver("probe, no news", probe, encoded, err)
 	page := bfgossip.Page{Nonce: 1 << 30, More: true}
-	for i := range bfmember.Convergence().PageRows {
+	for i := range bfmember.FastConvergenceProfile().PageRows {
 		page.Rows = append(page.Rows, row(i))
 	}
 	encoded, err = bfgossip.Encode(page)
--- a/lib/bfspread/figures_test.go
+++ b/lib/bfspread/figures_test.go
@@ -11,7 +11,7 @@
 // newQuietWorld returns a world without adverts and with hardly any polls, so that
 // only pushes send.
 func newQuietWorld(size, fanout int) *world {
-	options := Convergence()
+	options := FastConvergenceProfile()
 	options.Fanout, options.PollRate = fanout, 0.0001
 	w := newWorld(uint64(size+fanout), options, size, 26)
 	w.queue, w.advertInterval, w.messages = nil, 0, 0
@@ -77,7 +77,7 @@
 	var worst, sum time.Duration
 	sent, behind := 0, 0
 	for seed := range runs {
-		w := newWorld(uint64(seed), Convergence(), 1000, 26)
+		w := newWorld(uint64(seed), FastConvergenceProfile(), 1000, 26)
 		w.lossRate = loss
 		for i, n := range w.nodes {
 			n.down = i%26 == domain
@@ -100,7 +100,7 @@
 
 // BenchmarkSteadyChanges measures 1.1 changes per second for a minute, from random nodes, without adverts.
 func BenchmarkSteadyChanges(b *testing.B) {
-	for name, options := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
+	for name, options := range map[string]Options{"convergence": FastConvergenceProfile(), "bytes": LowTrafficProfile()} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				w := newWorld(79, options, 400, 26)
--- a/lib/bfspread/options.go
+++ b/lib/bfspread/options.go
@@ -39,8 +39,8 @@
 	MinPollInterval time.Duration
 }
 
-// Convergence returns the options that favor a short convergence time.
-func Convergence() Options {
+// FastConvergenceProfile returns the options that favor a short convergence time.
+func FastConvergenceProfile() Options {
 	return Options{
 		Fanout: 8, BatchWindow: 50 * time.Millisecond,
 		LocalAckTimeout: 250 * time.Millisecond, RemoteAckTimeout: 600 * time.Millisecond, PushAttempts: 3,
@@ -51,9 +51,9 @@
 	}
 }
 
-// Bytes returns the options that favor low control traffic.
-func Bytes() Options {
-	o := Convergence()
+// LowTrafficProfile returns the options that favor low control traffic.
+func LowTrafficProfile() Options {
+	o := FastConvergenceProfile()
 	o.BatchWindow = 500 * time.Millisecond
 	o.PullDelay, o.PullDelayJitter = time.Second, 2*time.Second
 	o.PollRate = 5
--- a/lib/bfspread/pull_test.go
+++ b/lib/bfspread/pull_test.go
@@ -14,7 +14,7 @@
 // and still forward the version to the nodes behind it.
 func TestVersionThatCanNotBeAppliedIsRejected(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(19, Convergence(), 8, 1)
+	w := newWorld(19, FastConvergenceProfile(), 8, 1)
 	w.commitToTable()
 	faulty := w.nodes[4]
 	for _, n := range w.nodes {
@@ -44,7 +44,7 @@
 // members that hold the state, hardly use the store, and catch up within seconds.
 func TestMassRestartSpreadsOverMembers(t *testing.T) {
 	is := is.New(t)
-	options := Convergence()
+	options := FastConvergenceProfile()
 	options.LogVersions, options.SnapshotRate = 2, 0.2
 	w := newWorld(31, options, 60, 3)
 	for range 21 {
@@ -72,7 +72,7 @@
 // answer Busy with a delay, since without an answer all nodes would use the store.
 func TestSnapshotRateIsLimited(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, Convergence(), 40, 1)
+	w := newWorld(3, FastConvergenceProfile(), 40, 1)
 	for range 3 {
 		w.commitToTable()
 	}
@@ -97,7 +97,7 @@
 // versions were pushed must be ignored.
 func TestLateSnapshotIsIgnored(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5, Convergence(), 2, 1)
+	w := newWorld(5, FastConvergenceProfile(), 2, 1)
 	for range 5 {
 		w.commitToTable()
 	}
--- a/lib/bfspread/spreader_test.go
+++ b/lib/bfspread/spreader_test.go
@@ -19,7 +19,7 @@
 // node reaches the head within a bounded time after the faults end.
 func TestAnyInterleavingConvergesToTheNaiveReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		options := Convergence()
+		options := FastConvergenceProfile()
 		options.LogVersions, options.BufferVersions, options.SnapshotRate = 4, 3, 1
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), options, rapid.IntRange(2, 12).Draw(t, "size"), 4)
 		w.fail = t.Fatalf
@@ -76,7 +76,7 @@
 // other node pulls, and all nodes adopt 41, 42 and 43 in this order.
 func TestCase3VersionsCrossAndOneBodyIsLost(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(41, Convergence(), 12, 3)
+	w := newWorld(41, FastConvergenceProfile(), 12, 3)
 	for range 40 {
 		w.commitToTable()
 	}
@@ -114,7 +114,7 @@
 // head, and no node may have gone backwards.
 func TestCase7PartitionHealsAndNobodyWentBack(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(7, Convergence(), 12, 4)
+	w := newWorld(7, FastConvergenceProfile(), 12, 4)
 	w.commit(w.nodes[0])
 	w.run(2 * time.Second)
 	is.Equal(w.behind(), 0)
@@ -142,7 +142,7 @@
 // others don't each read it from the table.
 func TestOrphanedVersionIsPushedAfterPoll(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(23, Convergence(), 12, 3)
+	w := newWorld(23, FastConvergenceProfile(), 12, 3)
 	w.advertInterval = 0
 	for _, n := range w.nodes {
 		w.start(n, bfconfig.Empty())
@@ -162,7 +162,7 @@
 // relays and pulls must bring a commit to every running node within 1.5 seconds.
 func TestFailedRelaysAreReplacedOrRepaired(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(29, Convergence(), 60, 3)
+	w := newWorld(29, FastConvergenceProfile(), 60, 3)
 	for _, n := range w.nodes[10:20] {
 		n.down = true
 	}
@@ -215,7 +215,7 @@
 // domain down it must count the others and report the number missing.
 func TestCensusReportsMissingMembers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(37, Convergence(), 90, 3)
+	w := newWorld(37, FastConvergenceProfile(), 90, 3)
 	w.commitToTable()
 	for i, n := range w.nodes {
 		w.start(n, w.states[min(1, i%5)])
@@ -242,7 +242,7 @@
 func TestHeadReadsDoNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []int{20, 200, 800} {
-		w := newWorld(uint64(size), Convergence(), size, 4)
+		w := newWorld(uint64(size), FastConvergenceProfile(), size, 4)
 		w.advertInterval = 0
 		w.run(60 * time.Second)
 		before := w.reads
