--- a/lib/bfentry/handler.go
+++ b/lib/bfentry/handler.go
@@ -24,7 +24,7 @@
 	"bilberryflow.org/lib/bfwalk"
 )
 
-// Config are the dependencies of a Handler.
+// Config holds the dependencies of a Handler.
 type Config struct {
 	// Service is the service of this node's target, sent to other targets as the caller's service.
 	Service string
--- a/lib/bfhost/host.go
+++ b/lib/bfhost/host.go
@@ -19,7 +19,7 @@
 	"bilberryflow.org/lib/bftimer"
 )
 
-// Config are the dependencies of a Host.
+// Config holds the dependencies of a Host.
 type Config struct {
 	Service string
 	Names   bfheader.Names
--- a/lib/bfpipeline/server.go
+++ b/lib/bfpipeline/server.go
@@ -42,7 +42,7 @@
 	maxConcurrentTotal = 1024
 )
 
-// Config are the dependencies and settings of a Server.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	// Name is the port's name in messages.
 	Name string
