--- a/lib/bfheader/forward.go
+++ b/lib/bfheader/forward.go
@@ -17,7 +17,7 @@
 const internalPrefix = "Bilberry-"
 
 // Strip removes the headers that are not forwarded to the next hop: hop-by-hop headers and
-// those with ownPrefix.
+// those with internalPrefix.
 //
 // A caller that could set the latter would choose the identity, home or policy of its
 // request, and a target's Connection header would close connections between nodes.
--- a/lib/bfquery/bfgrammar/bench_test.go
+++ b/lib/bfquery/bfgrammar/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkParse parses a typical request and the most expensive requests within maxText.
+// BenchmarkParse parses a typical request and the most expensive requests within maxTextBytes.
 func BenchmarkParse(b *testing.B) {
 	for name, text := range map[string]string{
 		"show":   `show policies where idempotent = no and (deadline > 2s or class ~ "^order") order by deadline desc limit 10`,
