--- a/lib/bfguard/serve.go
+++ b/lib/bfguard/serve.go
@@ -31,8 +31,8 @@
 	body     []byte
 	deadline time.Time
 	arrived  time.Time
-	// sentTo is this node as the entry node addressed it, with the incarnation known there.
-	sentTo bfrecord.Home
+	// sentTo is this node with the incarnation that the entry node sent to.
+	sentTo bfrecord.NodeIncarnation
 	// content is a digest of the request's content.
 	content bfrecord.Digest
 	// answer is the result of the run, nil if the request was not sent to the target.
--- a/lib/bfhost/quarantine_test.go
+++ b/lib/bfhost/quarantine_test.go
@@ -15,11 +15,11 @@
 	"bilberryflow.org/lib/bfquarantine"
 )
 
-// suspect records that a job's request crashed so many targets.
-func (r *fixture) suspect(j Job, ends int) {
+// suspect records that a job's request caused a number of crashes.
+func (r *fixture) suspect(j Job, crashes int) {
 	key := bfquarantine.KeyOf(NewQuarantineRequest(j.Request, names.CallerService))
-	for i := range ends {
-		r.host.parts.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
+	for i := range crashes {
+		r.host.config.Quarantine.Crashed(bfquarantine.CrashOf(fmt.Sprint("end ", i)), []bfquarantine.Key{key}, time.Now())
 	}
 }
 
@@ -62,7 +62,7 @@
 	close(finish)
 	r.Equal(<-end, "200 hello")
 	r.Equal(r.run(other), "200 hello")
-	r.True(!r.host.parts.Quarantine.View().HasSuspects()) // both were answered
+	r.True(!r.host.config.Quarantine.View().HasSuspects()) // both were answered
 }
 
 // Guards against a request staying quarantined after it was answered.
@@ -74,15 +74,15 @@
 		hello(w, q)
 	})
 	r.heartbeat("a", 1, Ready)
-	popular := job("1")
+	suspected := job("1")
 	end := make(chan string, 1)
-	r.group.Go("run", func(context.Context) error { end <- r.run(popular); return nil })
+	r.group.Go("run", func(context.Context) error { end <- r.run(suspected); return nil })
 	<-begun
-	r.suspect(popular, 3)
-	r.True(r.host.parts.Quarantine.View().HasHeld())
+	r.suspect(suspected, 3)
+	r.True(r.host.config.Quarantine.View().HasHeld())
 	close(finish)
 	r.Equal(<-end, "200 hello")
-	r.True(!r.host.parts.Quarantine.View().HasHeld())
+	r.True(!r.host.config.Quarantine.View().HasHeld())
 }
 
 // Guards against running a request that was quarantined while it waited for a slot.
--- a/lib/bfmember/figures_test.go
+++ b/lib/bfmember/figures_test.go
@@ -62,8 +62,8 @@
 		fmt.Fprintf(&page, "%-24s %7d B\n", s.name, s.bytes)
 	}
 	is.Equal(loss(domainSize).Packed[:17], loss(1).Packed)
-	writeTraffic(&page, "convergence", Convergence(), row, mark, loss(1), probe+ack)
-	writeTraffic(&page, "bytes", Bytes(), row, mark, loss(1), probe+ack)
+	writeTraffic(&page, "convergence", FastConvergenceProfile(), row, mark, loss(1), probe+ack)
+	writeTraffic(&page, "bytes", LowTrafficProfile(), row, mark, loss(1), probe+ack)
 	bfgolden.Check(t, "testdata/sizes.golden", page.String())
 }
 
@@ -77,7 +77,7 @@
 
 func size(m bfgossip.Message) int { return bfgossip.EncodedSize(m) + 1 }
 
-// writeTraffic sums up what one idle node sends; on average it receives as much.
+// writeTraffic prints the bytes a second that one idle node sends; on average it receives as much.
 func writeTraffic(page *strings.Builder, name string, o Options, row bfroster.Row, mark bfgossip.Mark, loss bfgossip.Loss, pair int) {
 	seconds := o.ProbeInterval.Seconds()
 	probes := float64(pair) / seconds
@@ -110,7 +110,7 @@
 		b.Run(fmt.Sprintf("factor=%v", factor), func(b *testing.B) {
 			for b.Loop() {
 				const size, changes = 400, 20
-				o := Convergence()
+				o := FastConvergenceProfile()
 				o.RetransmitFactor, o.RepairInterval = factor, 1000*time.Hour
 				f := newJoinedFleet(5, o, size, 26)
 				f.run(5 * time.Second)
@@ -154,10 +154,10 @@
 	return count
 }
 
-// BenchmarkMassLoss measures the time until every node has noticed that a rack or
-// a domain is down, and that it is back after ten minutes.
+// BenchmarkMassLoss measures the time until every node has detected the loss of a rack
+// or a domain, and its return after ten minutes.
 func BenchmarkMassLoss(b *testing.B) {
-	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
+	for name, o := range map[string]Options{"convergence": FastConvergenceProfile(), "bytes": LowTrafficProfile()} {
 		for _, domains := range []int{26, 5} {
 			b.Run(fmt.Sprintf("%s/lost=%d of 500", name, 500/domains), func(b *testing.B) {
 				for b.Loop() {
@@ -201,7 +201,7 @@
 // BenchmarkDomainLoss measures how 500 nodes detect the loss of 960 members, which
 // exist as rows only.
 func BenchmarkDomainLoss(b *testing.B) {
-	for name, o := range map[string]Options{"convergence": Convergence(), "bytes": Bytes()} {
+	for name, o := range map[string]Options{"convergence": FastConvergenceProfile(), "bytes": LowTrafficProfile()} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				domainLoss(b, o)
@@ -254,7 +254,7 @@
 // BenchmarkPublish measures the copy of the order on a change in a fleet of 25 000 members.
 func BenchmarkPublish(b *testing.B) {
 	f := newFleet(3)
-	core, err := New(Convergence(), f.row(0, 26), f.rng)
+	core, err := New(FastConvergenceProfile(), f.row(0, 26), f.rng)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -281,10 +281,10 @@
 	b.ReportMetric(float64(before.HeapAlloc-after.HeapAlloc)/(1<<20), "MB-held")
 }
 
-// BenchmarkProbe measures the answer to one probe while twenty changes are queued.
+// BenchmarkProbe measures the handling of one probe while twenty changes are queued.
 func BenchmarkProbe(b *testing.B) {
 	f := newFleet(3)
-	core, err := New(Convergence(), f.row(0, 26), f.rng)
+	core, err := New(FastConvergenceProfile(), f.row(0, 26), f.rng)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -7,77 +7,78 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sharded is a Book for concurrent use: each ID belongs to one of several books with a lock of its own.
-type Sharded struct {
-	home   Home
+// ShardedTracker is a Tracker for concurrent use, sharded by request ID with a lock per shard.
+type ShardedTracker struct {
+	home   NodeIncarnation
 	shards []shard
 }
 
 type shard struct {
-	mu   sync.Mutex
-	book *Book
-	// Locks on one cache line would slow each other down.
+	mu      sync.Mutex
+	tracker *Tracker
+	// Padding avoids false sharing of locks on one cache line.
 	_ [48]byte
 }
 
-// NewSharded makes the empty books of home; all of limits but Running are shared out among them.
-func NewSharded(home Home, limits Limits, shards int) *Sharded {
-	limits.Records = max(limits.Records/shards, 1)
-	limits.Scopes = max(limits.Scopes/shards, 1)
-	limits.Bytes /= shards
-	s := &Sharded{home: home, shards: make([]shard, shards)}
+// NewShardedTracker returns an empty ShardedTracker for home. Each shard gets an equal part of
+// the Records, Scopes and Bytes limits; the other limits apply to each shard in full.
+func NewShardedTracker(home NodeIncarnation, limits Limits, shardCount int) *ShardedTracker {
+	limits.Records = max(limits.Records/shardCount, 1)
+	limits.Scopes = max(limits.Scopes/shardCount, 1)
+	limits.Bytes /= shardCount
+	s := &ShardedTracker{home: home, shards: make([]shard, shardCount)}
 	for i := range s.shards {
-		s.shards[i].book = NewBook(home, limits)
+		s.shards[i].tracker = NewTracker(home, limits)
 	}
 	return s
 }
 
-// Home is the incarnation whose books these are.
-func (s *Sharded) Home() Home { return s.home }
+// Home returns the incarnation whose requests are tracked.
+func (s *ShardedTracker) Home() NodeIncarnation { return s.home }
 
-func (s *Sharded) shard(id ID) *shard {
-	const odd = 0x9e3779b97f4a7c15
-	hash := (xxhash.Sum64String(id.Entry.Instance) ^ id.Counter) * odd
+func (s *ShardedTracker) shard(id ID) *shard {
+	const multiplier = 0x9e3779b97f4a7c15
+	hash := (xxhash.Sum64String(id.Entry.Instance) ^ id.Counter) * multiplier
 	return &s.shards[(hash>>32)%uint64(len(s.shards))]
 }
 
-// Begin is Book.Begin.
-func (s *Sharded) Begin(now time.Time, request Request) Verdict {
-	of := s.shard(request.ID)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Begin(now, request)
+// Begin calls Tracker.Begin on the ID's shard.
+func (s *ShardedTracker) Begin(now time.Time, request Request) Verdict {
+	locked := s.shard(request.ID)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.tracker.Begin(now, request)
 }
 
-// Finish is Book.Finish.
-func (s *Sharded) Finish(now time.Time, id ID, answer Answer) error {
-	of := s.shard(id)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Finish(now, id, answer)
+// Finish calls Tracker.Finish on the ID's shard.
+func (s *ShardedTracker) Finish(now time.Time, id ID, answer Answer) error {
+	locked := s.shard(id)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.tracker.Finish(now, id, answer)
 }
 
-// Abort is Book.Abort.
-func (s *Sharded) Abort(now time.Time, id ID) error {
-	of := s.shard(id)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Abort(now, id)
+// Abort calls Tracker.Abort on the ID's shard.
+func (s *ShardedTracker) Abort(now time.Time, id ID) error {
+	locked := s.shard(id)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.tracker.Abort(now, id)
 }
 
-// Resolve is Book.Resolve.
-func (s *Sharded) Resolve(now time.Time, id ID, home Home) Resolution {
-	of := s.shard(id)
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	return of.book.Resolve(now, id, home)
+// Resolve calls Tracker.Resolve on the ID's shard.
+func (s *ShardedTracker) Resolve(now time.Time, id ID, home NodeIncarnation) Resolution {
+	locked := s.shard(id)
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.tracker.Resolve(now, id, home)
 }
 
-// Stats sums what the books hold.
-func (s *Sharded) Stats() Stats {
+// Stats returns the sum of the shards' counters.
+func (s *ShardedTracker) Stats() Stats {
 	var sum Stats
 	for i := range s.shards {
-		sum = sum.plus(s.shards[i].stats())
+		sum = sum.add(s.shards[i].stats())
 	}
 	return sum
 }
@@ -85,10 +86,10 @@
 func (s *shard) stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Stats()
+	return s.tracker.Stats()
 }
 
-func (s Stats) plus(o Stats) Stats {
+func (s Stats) add(o Stats) Stats {
 	return Stats{
 		records: s.records + o.records, running: s.running + o.running,
 		scopes: s.scopes + o.scopes, bytes: s.bytes + o.bytes,
