--- a/lib/bfcontrol/activation.go
+++ b/lib/bfcontrol/activation.go
@@ -26,6 +26,11 @@
 // activation decides when an adopted version is put in force: only once enough
 // witnesses have recorded it, and after a restart never a version older than the
 // one that was in force before.
+//
+// Witnesses are other members that store a node's notes in memory; a note contains
+// the highest version that the node may put in force. The gate holds a version back
+// until enough witnesses acknowledge its note. After a restart, the start queries the
+// witnesses and the table's head for the version to start from.
 type activation struct {
 	control  *Control
 	settings bfrecover.Settings
@@ -288,7 +293,7 @@
 	}
 }
 
-// send sends a message to a member. Messages to departed members are dropped; the gate replaces those witnesses.
+// send sends a recovery message to a member. Messages to departed members are dropped; the gate replaces those witnesses.
 func (act *activation) send(id string, message any) {
 	order := act.control.publication.order
 	if rank, found := order.Rank(id); found {
--- a/lib/bfcontrol/cluster_test.go
+++ b/lib/bfcontrol/cluster_test.go
@@ -334,7 +334,8 @@
 // table is the platform's table as seen by one instance.
 type table struct{ node *node }
 
-func (t table) answer(ctx context.Context) error {
+// simulateCall counts a call to the table, waits for its latency, and fails if the platform is unreachable.
+func (t table) simulateCall(ctx context.Context) error {
 	c := t.node.cluster
 	c.mu.Lock()
 	c.tableCallCount++
@@ -351,21 +352,21 @@
 }
 
 func (t table) Get(ctx context.Context, keys ...string) ([]bfstore.Row, error) {
-	if err := t.answer(ctx); err != nil {
+	if err := t.simulateCall(ctx); err != nil {
 		return nil, err
 	}
 	return t.node.cluster.store.Get(ctx, keys...)
 }
 
 func (t table) Range(ctx context.Context, from, to string, limit int) ([]bfstore.Row, error) {
-	if err := t.answer(ctx); err != nil {
+	if err := t.simulateCall(ctx); err != nil {
 		return nil, err
 	}
 	return t.node.cluster.store.Range(ctx, from, to, limit)
 }
 
 func (t table) Commit(ctx context.Context, tx bfstore.Transaction) error {
-	if err := t.answer(ctx); err != nil {
+	if err := t.simulateCall(ctx); err != nil {
 		return err
 	}
 	return t.node.cluster.store.Commit(ctx, tx)
@@ -377,7 +378,7 @@
 }
 
 func (o objects) Object(ctx context.Context, name string) ([]byte, error) {
-	if err := (table{o.node}).answer(ctx); err != nil {
+	if err := (table{o.node}).simulateCall(ctx); err != nil {
 		return nil, err
 	}
 	return o.Memory.Object(ctx, name)
--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -78,7 +78,7 @@
 	members    *bfmember.Members
 	spreader   *bfspread.Spreader
 	activation *activation
-	// polling is set once the spreader polls the head.
+	// polling is set once the spreader polls the head, the row of the table with the newest committed version.
 	polling     bool
 	publication publication
 	source      sourceStatus
@@ -97,10 +97,11 @@
 	reportLimiter *rate.Limiter
 	reportCount   *bfmetric.Counter
 
-	view    atomic.Pointer[bfroute.View]
-	state   atomic.Pointer[bfconfig.State]
+	view  atomic.Pointer[bfroute.View]
+	state atomic.Pointer[bfconfig.State]
+	// inForce is the version of view.
 	inForce atomic.Uint64
-	// inForceSince is when that version was put in force, in microseconds since the Unix epoch.
+	// inForceSince is when view was put in force, in microseconds since the Unix epoch.
 	inForceSince atomic.Int64
 }
 
@@ -245,8 +246,8 @@
 
 // joined passes the full membership to recovery and starts polling the head.
 //
-// Before it has joined, a node would take itself for the whole fleet. If many
-// nodes started at once, each would poll the table many times a second.
+// Before it has joined, a node's membership contains only the node itself. Polling
+// at the rate for a fleet of one would overload the table if many nodes started at once.
 func (c *Control) joined(now time.Time) {
 	c.activation.joined = true
 	c.publication.pending = unpublished{directory: true, recovery: true}
--- a/lib/bfcontrol/head.go
+++ b/lib/bfcontrol/head.go
@@ -13,6 +13,7 @@
 // It uses exponential backoff with jitter and one read at a time. Otherwise many
 // nodes that restart during a table outage would overload the table on recovery.
 type headReads struct {
+	// known is set if the last read succeeded; it ends the reads.
 	known, inFlight bool
 	nextRead        time.Time
 	backoff         time.Duration
--- a/lib/bfcontrol/platform.go
+++ b/lib/bfcontrol/platform.go
@@ -14,6 +14,8 @@
 )
 
 const (
+	// meetingPrefix starts the keys of the meeting rows, in which nodes store their
+	// addresses so that starting nodes find members to join.
 	meetingPrefix = "meeting/"
 	// meetingEnd is the first key after the meeting rows.
 	meetingEnd = "meeting0"
@@ -44,7 +46,7 @@
 		}
 		return meetingsRead{rows: found}
 	}, func(now time.Time, m meetingsRead) {
-		c.tableAnswered(now, began, m.err)
+		c.recordTableRead(now, began, m.err)
 		if m.err == nil {
 			c.activation.setMeetingMembers(m.rows)
 		}
@@ -75,7 +77,7 @@
 func (c *Control) readHead() {
 	began := c.config.Timer.Now()
 	async(c, "read head", c.tableHead, func(now time.Time, h headRead) {
-		c.tableAnswered(now, began, h.err)
+		c.recordTableRead(now, began, h.err)
 		c.activation.headRead(now, h.version, h.err)
 		c.spreadActions(now, "", c.spreader.HeadRead(now, h.version, h.err))
 	})
@@ -119,7 +121,7 @@
 		}
 		return read
 	}, func(now time.Time, d deltasRead) {
-		c.tableAnswered(now, began, d.err)
+		c.recordTableRead(now, began, d.err)
 		if d.snapshot != nil {
 			c.spreadActions(now, "", c.spreader.StoreSnapshot(now, d.snapshot.version, d.snapshot.data, d.snapshot.err))
 		}
--- a/lib/bfcontrol/receive.go
+++ b/lib/bfcontrol/receive.go
@@ -62,10 +62,10 @@
 }
 
 // maxPendingDeliveries bounds the deliveries that wait for the loop. Each may be
-// megabytes, and senders retry what matters.
+// megabytes; the senders' cores detect rejected ones by timeout or repair.
 const maxPendingDeliveries = 16
 
-// BusyError reports a delivery rejected because too many are pending.
+// BusyError reports a delivery rejected because too many are pending or the loop did not accept it in time.
 type BusyError struct{}
 
 // Error describes the overload.
--- a/lib/bfcontrol/source.go
+++ b/lib/bfcontrol/source.go
@@ -63,11 +63,11 @@
 	}
 }
 
-// tableAnswered records the result of a table read that started at began, and logs changes of availability.
+// recordTableRead records the result of a table read that started at began, and logs changes of availability.
 //
 // Reads can complete out of order. The result of a read that started before the
 // last change is outdated and is ignored, or the log would repeat transitions.
-func (c *Control) tableAnswered(now, began time.Time, err error) {
+func (c *Control) recordTableRead(now, began time.Time, err error) {
 	var unavailableErr *bfstore.UnavailableError
 	unavailable := errors.As(err, &unavailableErr)
 	if !unavailable {
--- a/lib/bfcontrol/source_test.go
+++ b/lib/bfcontrol/source_test.go
@@ -26,12 +26,12 @@
 	c := newIdleControl(t, discardNetwork{})
 	c.config.Logger = bflog.New(&out, "n1", slog.LevelInfo)
 	began := time.Unix(1_800_000_000, 0)
-	away := &bfstore.UnavailableError{Reason: "refused"}
-	c.tableAnswered(began.Add(2*time.Second), began.Add(time.Second), away)
-	c.tableAnswered(began.Add(3*time.Second), began, nil)
-	c.tableAnswered(began.Add(4*time.Second), began.Add(3*time.Second), away)
+	unavailable := &bfstore.UnavailableError{Reason: "refused"}
+	c.recordTableRead(began.Add(2*time.Second), began.Add(time.Second), unavailable)
+	c.recordTableRead(began.Add(3*time.Second), began, nil)
+	c.recordTableRead(began.Add(4*time.Second), began.Add(3*time.Second), unavailable)
 	is.Equal(strings.Count(out.String(), "\n"), 1)
-	c.tableAnswered(began.Add(6*time.Second), began.Add(5*time.Second), nil)
+	c.recordTableRead(began.Add(6*time.Second), began.Add(5*time.Second), nil)
 	is.Equal(strings.Count(out.String(), "\n"), 2)
 }
 
