--- a/lib/bfrecord/bfclaim/case_test.go
+++ b/lib/bfrecord/bfclaim/case_test.go
@@ -184,7 +184,7 @@
 // was refused: a resend queries the home and takes the key over.
 func TestLateClaimIsTakenOver(t *testing.T) {
 	s := newCluster(t)
-	s.faults = []fault{faultLandsLate, faultUnavailable}
+	s.faults = []fault{faultAppliedLate, faultUnavailable}
 	first, result := s.send("a", 1)
 	s.wantType(result, Refused{})
 	s.is.True(result.(Refused).NeedsRelease())
@@ -220,8 +220,8 @@
 // crashed home: the release changes the revision, so the late write fails.
 func TestReleaseFencesLateClaim(t *testing.T) {
 	for _, c := range []struct{ claim, release []fault }{
-		{[]fault{faultLandsLate, faultUnavailable}, []fault{faultUnavailable, faultNone, faultAnswerLost}},
-		{[]fault{faultLandsLate}, nil},
+		{[]fault{faultAppliedLate, faultUnavailable}, []fault{faultUnavailable, faultNone, faultAnswerLost}},
+		{[]fault{faultAppliedLate}, nil},
 	} {
 		s := newCluster(t)
 		s.faults = c.claim
--- a/lib/bfrecord/bfclaim/claim.go
+++ b/lib/bfrecord/bfclaim/claim.go
@@ -97,8 +97,8 @@
 }
 
 func (c *Claim) committed(now time.Time, err error) Action {
-	end, row, wait := classify(err)
-	switch end {
+	status, row, wait := classify(err)
+	switch status {
 	case commitApplied:
 		return c.granted(now)
 	case commitConflicted:
--- a/lib/bfrecord/bfclaim/claim_rapid_test.go
+++ b/lib/bfrecord/bfclaim/claim_rapid_test.go
@@ -153,7 +153,7 @@
 }
 
 func (f *fleet) drawFault(t *rapid.T) fault {
-	faults := []fault{faultNone, faultNone, faultNone, faultNone, faultUnavailable, faultAnswerLost, faultWriteLost, faultLandsLate}
+	faults := []fault{faultNone, faultNone, faultNone, faultNone, faultUnavailable, faultAnswerLost, faultWriteLost, faultAppliedLate}
 	return rapid.SampledFrom(faults).Draw(t, "fault")
 }
 
@@ -191,15 +191,15 @@
 	}
 	for batches := []*Batch[*task]{first}; len(batches) > 0; batches = batches[1:] {
 		err := f.table.commit(batches[0].Transaction(), f.drawFault(t))
-		ended, again := batches[0].Complete(err)
-		batches = append(batches, again...)
+		ended, retries := batches[0].Complete(err)
+		batches = append(batches, retries...)
 		for _, e := range ended {
 			f.take(e.Owner(), e.Owner().machine.Next(f.now, e.Event()))
 		}
 	}
 }
 
-func (f *fleet) land(t *rapid.T) {
+func (f *fleet) applyLateWrites(t *rapid.T) {
 	if len(f.table.late) == 0 {
 		t.Skip("nothing late")
 	}
@@ -262,7 +262,7 @@
 			"pass": f.advanceTime,
 			"send": f.send, "send2": f.send,
 			"step": f.step, "step2": f.step, "step3": f.step, "step4": f.step, "step5": f.step,
-			"flush": f.flush, "land": f.land,
+			"flush": f.flush, "land": f.applyLateWrites,
 			"run": f.run, "run2": f.run,
 			"replace": f.replace,
 		})
--- a/lib/bfrecord/bfclaim/fake_test.go
+++ b/lib/bfrecord/bfclaim/fake_test.go
@@ -34,10 +34,10 @@
 
 const (
 	faultNone        fault = "none"
-	faultUnavailable fault = "away"        // not applied, and reported so
-	faultAnswerLost  fault = "answer lost" // applied, but the response was lost
-	faultWriteLost   fault = "write lost"  // not applied, but reported as unknown
-	faultLandsLate   fault = "lands late"  // reported as unknown, applied later
+	faultUnavailable fault = "unavailable"  // not applied, and reported so
+	faultAnswerLost  fault = "answer lost"  // applied, but the response was lost
+	faultWriteLost   fault = "write lost"   // not applied, but reported as unknown
+	faultAppliedLate fault = "applied late" // reported as unknown, applied later
 )
 
 // faultyTable is an in-memory table with a fault injected per call.
@@ -49,10 +49,10 @@
 func (t *faultyTable) commit(tx bfstore.Transaction, f fault) error {
 	switch f {
 	case faultUnavailable:
-		return &bfstore.UnavailableError{Reason: "away", RetryAfter: 3 * time.Second}
+		return &bfstore.UnavailableError{Reason: "unavailable", RetryAfter: 3 * time.Second}
 	case faultWriteLost:
 		return &bfstore.UnknownError{Reason: "lost"}
-	case faultLandsLate:
+	case faultAppliedLate:
 		t.late = append(t.late, tx)
 		return &bfstore.UnknownError{Reason: "late"}
 	}
@@ -65,7 +65,7 @@
 
 func (t *faultyTable) read(key string, f fault) RowRead {
 	if f != faultNone {
-		return RowRead{Err: &bfstore.UnavailableError{Reason: "away", RetryAfter: 3 * time.Second}}
+		return RowRead{Err: &bfstore.UnavailableError{Reason: "unavailable", RetryAfter: 3 * time.Second}}
 	}
 	rows, err := t.Get(context.Background(), key)
 	if err != nil {
--- a/lib/bfrecord/bfclaim/group.go
+++ b/lib/bfrecord/bfclaim/group.go
@@ -24,49 +24,49 @@
 }
 
 // NewBatcher returns an empty Batcher with a batching window and a maximum number of commits per batch.
-func NewBatcher[Owner any](window time.Duration, count int) *Batcher[Owner] {
-	return &Batcher[Owner]{window: window, maxCommits: count}
+func NewBatcher[Owner any](window time.Duration, maxCommits int) *Batcher[Owner] {
+	return &Batcher[Owner]{window: window, maxCommits: maxCommits}
 }
 
 // Add queues a commit of owner's state machine.
-func (g *Batcher[Owner]) Add(now time.Time, owner Owner, commit Commit) {
-	g.pending = append(g.pending, pendingCommit[Owner]{owner: owner, commit: commit, since: now})
+func (b *Batcher[Owner]) Add(now time.Time, owner Owner, commit Commit) {
+	b.pending = append(b.pending, pendingCommit[Owner]{owner: owner, commit: commit, since: now})
 }
 
 // Len returns the number of pending commits.
-func (g *Batcher[Owner]) Len() int { return len(g.pending) }
+func (b *Batcher[Owner]) Len() int { return len(b.pending) }
 
 // Due returns when the next batch is due; ok is false if no commit is pending.
-func (g *Batcher[Owner]) Due() (at time.Time, ok bool) {
-	if len(g.pending) == 0 {
+func (b *Batcher[Owner]) Due() (at time.Time, ok bool) {
+	if len(b.pending) == 0 {
 		return time.Time{}, false
 	}
-	if len(g.pending) >= g.maxCommits {
-		return g.pending[0].since, true
+	if len(b.pending) >= b.maxCommits {
+		return b.pending[0].since, true
 	}
-	return g.pending[0].since.Add(g.window), true
+	return b.pending[0].since.Add(b.window), true
 }
 
 // Take removes and returns the next batch if it is due.
 //
 // A batch never has two commits on one row: the table checks all conditions
 // before it writes, so both would pass and both claims be granted.
-func (g *Batcher[Owner]) Take(now time.Time) (*Batch[Owner], bool) {
-	if at, ok := g.Due(); !ok || now.Before(at) {
+func (b *Batcher[Owner]) Take(now time.Time) (*Batch[Owner], bool) {
+	if at, ok := b.Due(); !ok || now.Before(at) {
 		return nil, false
 	}
 	var batch Batch[Owner]
 	var rest []pendingCommit[Owner]
 	taken := map[string]bool{}
-	for _, m := range g.pending {
-		if len(batch.commits) >= g.maxCommits || taken[m.commit.key] {
-			rest = append(rest, m)
+	for _, p := range b.pending {
+		if len(batch.commits) >= b.maxCommits || taken[p.commit.key] {
+			rest = append(rest, p)
 			continue
 		}
-		taken[m.commit.key] = true
-		batch.commits = append(batch.commits, m)
+		taken[p.commit.key] = true
+		batch.commits = append(batch.commits, p)
 	}
-	g.pending = rest
+	b.pending = rest
 	return &batch, true
 }
 
@@ -82,9 +82,9 @@
 // Transaction returns the combined transaction.
 func (b *Batch[Owner]) Transaction() bfstore.Transaction {
 	var tx bfstore.Transaction
-	for _, m := range b.commits {
-		tx.Conditions = append(tx.Conditions, m.commit.tx.Conditions...)
-		tx.Writes = append(tx.Writes, m.commit.tx.Writes...)
+	for _, p := range b.commits {
+		tx.Conditions = append(tx.Conditions, p.commit.tx.Conditions...)
+		tx.Writes = append(tx.Writes, p.commit.tx.Writes...)
 	}
 	return tx
 }
@@ -96,10 +96,10 @@
 }
 
 // Owner returns the owner that was passed to Batcher.Add.
-func (e CommitResult[Owner]) Owner() Owner { return e.owner }
+func (r CommitResult[Owner]) Owner() Owner { return r.owner }
 
 // Event returns the event to pass to the owner's state machine.
-func (e CommitResult[Owner]) Event() CommitEnded { return e.event }
+func (r CommitResult[Owner]) Event() CommitEnded { return r.event }
 
 // maxConflicts is the number of conflicts after which the rest of a batch is
 // committed row by row, so that it does not wait for one retry per conflict.
@@ -107,20 +107,20 @@
 
 // Complete takes the table's result for the batch, and returns the commits that ended and the batches to retry.
 func (b *Batch[Owner]) Complete(err error) (ended []CommitResult[Owner], retries []*Batch[Owner]) {
-	end, row, _ := classify(err)
-	if end != commitConflicted {
+	status, row, _ := classify(err)
+	if status != commitConflicted {
 		return b.completeAll(err), nil
 	}
 	var rest []pendingCommit[Owner]
-	for _, m := range b.commits {
-		if m.commit.key == row.Key {
-			ended = append(ended, CommitResult[Owner]{owner: m.owner, event: CommitEnded{Err: err}})
+	for _, p := range b.commits {
+		if p.commit.key == row.Key {
+			ended = append(ended, CommitResult[Owner]{owner: p.owner, event: CommitEnded{Err: err}})
 			continue
 		}
-		rest = append(rest, m)
+		rest = append(rest, p)
 	}
 	if len(ended) == 0 {
-		// A conflict on a foreign row leaves the result of the batch's rows unknown.
+		// A conflict on a row outside the batch leaves the result of the batch's rows unknown.
 		return b.completeAll(&bfstore.UnknownError{Reason: "conflict on row " + row.Key + ", which is not in the batch"}), nil
 	}
 	return ended, b.split(rest)
@@ -128,8 +128,8 @@
 
 func (b *Batch[Owner]) completeAll(err error) []CommitResult[Owner] {
 	ended := make([]CommitResult[Owner], 0, len(b.commits))
-	for _, m := range b.commits {
-		ended = append(ended, CommitResult[Owner]{owner: m.owner, event: CommitEnded{Err: err}})
+	for _, p := range b.commits {
+		ended = append(ended, CommitResult[Owner]{owner: p.owner, event: CommitEnded{Err: err}})
 	}
 	return ended
 }
@@ -142,8 +142,8 @@
 		return []*Batch[Owner]{{commits: rest, conflicts: b.conflicts + 1}}
 	}
 	batches := make([]*Batch[Owner], 0, len(rest))
-	for _, m := range rest {
-		batches = append(batches, &Batch[Owner]{commits: []pendingCommit[Owner]{m}})
+	for _, p := range rest {
+		batches = append(batches, &Batch[Owner]{commits: []pendingCommit[Owner]{p}})
 	}
 	return batches
 }
--- a/lib/bfrecord/bfclaim/group_test.go
+++ b/lib/bfrecord/bfclaim/group_test.go
@@ -19,7 +19,7 @@
 func newMemory() *bfstore.Memory { return bfstore.NewMemory() }
 
 // Guards against conflicts on some rows of a batch failing its other commits.
-func TestGroupConflicts(t *testing.T) {
+func TestBatchConflicts(t *testing.T) {
 	is := is.New(t)
 	table := newMemory()
 	batcher := NewBatcher[int](5*time.Millisecond, 100)
@@ -39,10 +39,10 @@
 	is.True(ok)
 	is.Equal(batch.Len(), 8)
 	is.Equal(batcher.Len(), 1)
-	ends, transactions := runBatches(table, batch)
+	statuses, transactions := runBatches(table, batch)
 	for i := range 8 {
-		is.Equal(ends[i] == commitConflicted, i%3 == 0)
-		is.Equal(ends[i] == commitApplied, i%3 != 0)
+		is.Equal(statuses[i] == commitConflicted, i%3 == 0)
+		is.Equal(statuses[i] == commitApplied, i%3 != 0)
 	}
 	// Two batch transactions end in conflicts; the remaining six commits go one by one.
 	is.Equal(transactions, 8)
@@ -59,18 +59,18 @@
 	statuses = map[int]commitStatus{}
 	for batches := []*Batch[int]{first}; len(batches) > 0; batches = batches[1:] {
 		transactions++
-		ended, again := batches[0].Complete(table.Commit(context.Background(), batches[0].Transaction()))
+		ended, retries := batches[0].Complete(table.Commit(context.Background(), batches[0].Transaction()))
 		for _, e := range ended {
 			statuses[e.Owner()], _, _ = classify(e.Event().Err)
 		}
-		batches = append(batches, again...)
+		batches = append(batches, retries...)
 	}
 	return statuses, transactions
 }
 
 // Guards against changes of the transaction rates that batching achieves, for claims
 // and records, by request rate, number of nodes and batching windows (Poisson arrivals).
-func TestGroupingTransactionRates(t *testing.T) {
+func TestBatchingTransactionRates(t *testing.T) {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%-34s %9s %9s %9s %9s %9s\n", "transactions a second", "none", "5ms/5ms", "20ms/20ms", "20ms/1s", "20ms/10s")
 	rows := []struct {
--- a/lib/bfrecord/bfclaim/row.go
+++ b/lib/bfrecord/bfclaim/row.go
@@ -18,7 +18,8 @@
 
 // The states of a claimed key.
 const (
-	// StateRunning is a key whose request may not have started, be running or have ended.
+	// StateRunning is a claimed key without a recorded outcome; its request may be
+	// about to start, be running or have ended.
 	StateRunning State = iota + 1
 	// StateDone is a key whose outcome is recorded.
 	StateDone
--- a/lib/bfrecord/bfclaim/settlement.go
+++ b/lib/bfrecord/bfclaim/settlement.go
@@ -102,8 +102,8 @@
 }
 
 func (s *Settlement) committed(err error) Action {
-	end, row, _ := classify(err)
-	switch end {
+	status, row, _ := classify(err)
+	switch status {
 	case commitApplied:
 		return s.end(true)
 	case commitConflicted:
--- a/lib/bfrecord/bfclaim/step.go
+++ b/lib/bfrecord/bfclaim/step.go
@@ -174,7 +174,9 @@
 	commitUnknown
 )
 
-// classify treats every unrecognized error as a write that may still take effect.
+// classify returns the effect of a commit that ended with err, the conflicting row
+// if there is one, and the table's suggested retry delay. An unrecognized error is
+// classified as commitUnknown, since the write may still take effect.
 func classify(err error) (status commitStatus, row bfstore.Row, retryAfter time.Duration) {
 	if err == nil {
 		return commitApplied, bfstore.Row{}, 0
--- a/lib/bfrecord/id.go
+++ b/lib/bfrecord/id.go
@@ -12,7 +12,7 @@
 	Incarnation uint64 `json:"incarnation" cbor:"2,keyasint"`
 }
 
-// String formats the home for logs.
+// String formats the incarnation for logs.
 func (h NodeIncarnation) String() string { return fmt.Sprintf("%s/%x", h.Instance, h.Incarnation) }
 
 // ID identifies a request and is never reused.
@@ -22,7 +22,7 @@
 // may send the request repeatedly.
 type ID struct {
 	Entry NodeIncarnation `json:"entry" cbor:"1,keyasint"`
-	// Counter increases with every ID of its entry node; it starts at the entry's clock, in microseconds since 1970.
+	// Counter increases with every ID of its entry node; it starts at the entry's clock, in microseconds since the Unix epoch.
 	Counter uint64 `json:"counter" cbor:"2,keyasint"`
 	Minted  bool   `json:"minted,omitempty" cbor:"3,keyasint,omitempty"`
 }
--- a/lib/bfrecord/message.go
+++ b/lib/bfrecord/message.go
@@ -31,7 +31,7 @@
 	Home       NodeIncarnation `json:"home" cbor:"2,keyasint"`
 	Reason     Reason          `json:"reason" cbor:"3,keyasint"`
 	RetryAfter time.Duration   `json:"retryAfter,omitempty" cbor:"4,keyasint,omitempty"`
-	// Barred reports that the home rejects every arrival of the ID, past and future, not only this one.
+	// Barred reports that no arrival of the ID has run or will run at the home, not only this one.
 	Barred bool `json:"barred,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
--- a/lib/bfrecord/sharded.go
+++ b/lib/bfrecord/sharded.go
@@ -37,7 +37,7 @@
 func (s *ShardedTracker) Home() NodeIncarnation { return s.home }
 
 func (s *ShardedTracker) shard(id ID) *shard {
-	const multiplier = 0x9e3779b97f4a7c15
+	const multiplier = 0x9e3779b97f4a7c15 // Fibonacci hashing: 2^64 divided by the golden ratio
 	hash := (xxhash.Sum64String(id.Entry.Instance) ^ id.Counter) * multiplier
 	return &s.shards[(hash>>32)%uint64(len(s.shards))]
 }
--- a/lib/bfrecord/verdict.go
+++ b/lib/bfrecord/verdict.go
@@ -59,7 +59,7 @@
 // Answer returns the result.
 func (f Finished) Answer() Answer { return f.answer }
 
-// Forgotten means that the request's record may have been dropped.
+// Forgotten means that the request's record may have been dropped, or that a limit prevented barring the request.
 type Forgotten struct{}
 
 // HomeLost means that the queried incarnation has ended and its records are lost.
