--- a/lib/bfcontrol/control.go
+++ b/lib/bfcontrol/control.go
@@ -56,14 +56,16 @@
 	Logger    *bflog.Logger
 	Metrics   *bfmetric.Registry
 	Seed      uint64
-	// Quarantine exchanges its digest with other members.
+	// Quarantine compares the node's quarantined requests with those of other members.
 	Quarantine Comparer
 	// Reincarnated is called with each new incarnation that this process takes in the membership.
 	Reincarnated func(incarnation uint64)
 }
 
-// Comparer holds data that all members should agree on; its digest is sent with membership probes.
+// Comparer detects differences between the members' copies of shared data by
+// comparing digests, which are sent with membership probes.
 type Comparer interface {
+	// Digest returns the digest of this node's copy.
 	Digest() uint64
 	// ObserveDigest records the digest received from the member with the given peer address.
 	ObserveDigest(address string, digest uint64)
