--- a/lib/bfbudget/account.go
+++ b/lib/bfbudget/account.go
@@ -56,8 +56,8 @@
 	a.bucketOf(service).refund(amount, a.options.Terms, a.options.Nodes(), a.options.Now())
 }
 
-// bucketOf returns the bucket bucketOf a service. Buckets need no eviction, since the
-// configuration bounds the number bucketOf services.
+// bucketOf returns the bucket of a service. Buckets need no eviction, since the
+// configuration bounds the number of services.
 func (a *Account) bucketOf(service string) *bucket {
 	if held := a.buckets.Load(); held != nil {
 		if b := (*held)[service]; b != nil {
--- a/lib/bfbudget/bucket.go
+++ b/lib/bfbudget/bucket.go
@@ -57,7 +57,7 @@
 	earnedAt time.Time
 }
 
-// nodeShare returns one node's nodeShare of a share of the slack.
+// nodeShare returns one node's part of a share of the slack.
 func (t Terms) nodeShare(share float64, nodes int) float64 {
 	return t.Slack * share / float64(max(nodes, 1))
 }
@@ -138,7 +138,7 @@
 	return true
 }
 
-// maxSavings returns the maxSavings repeats that the node may save.
+// maxSavings returns the maximum number of repeats that the node may save.
 func (b *bucket) maxSavings(terms Terms, nodes int, now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/lib/bfbudget/callcounts.go
+++ b/lib/bfbudget/callcounts.go
@@ -19,7 +19,7 @@
 // minCalls is the estimate below which a class counts as not calling a service.
 const minCalls = 0.05
 
-// estimate returns the recent maximum estimate calls that one run estimate the class makes, by service.
+// estimate returns the recent maximum of calls that one run of the class makes, by service.
 func (h *callCounts) estimate(class string) map[string]float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lib/bfbudget/fleet_test.go
+++ b/lib/bfbudget/fleet_test.go
@@ -279,7 +279,7 @@
 }
 
 // simulateShedding simulates a fleet whose look-ups make 1.4 calls on average to a service that
-// sheds more than a third of them for ten seconds, after a period without simulateShedding.
+// sheds more than a third of them for ten seconds, after a period without shedding.
 func simulateShedding(seed uint64) *fleet {
 	const nodes, seconds = 28, 40
 	f := newFleet(seed, nodes, seconds*int(time.Second/tick), Terms{Ratio: 0.2, Slack: 31, Window: window})
--- a/lib/bfflight/crash.go
+++ b/lib/bfflight/crash.go
@@ -73,7 +73,7 @@
 	return errors.Is(r.options.Dial(ctx, target.Address()), syscall.ECONNREFUSED)
 }
 
-// recordCrash records the recordCrash of a target against the requests in flight there.
+// recordCrash records the crash of a target against the requests in flight there.
 func (r *Tracker) recordCrash(target Target) {
 	name := target.Name()
 	r.lastCrashed.Store(&name)
--- a/lib/bfquarantine/book.go
+++ b/lib/bfquarantine/book.go
@@ -162,7 +162,7 @@
 	return all
 }
 
-// Held returns the records of the requests that may be Held, the latest crashes first.
+// Held returns the records of the requests that may be held, the latest crashes first.
 func (b *Book) Held(now time.Time) []Record {
 	held := b.Records(now)
 	held = slices.DeleteFunc(held, func(r Record) bool { return b.View().records[Content(r.Content)].most < crashLimit })
--- a/lib/bfquarantine/record.go
+++ b/lib/bfquarantine/record.go
@@ -82,7 +82,7 @@
 	return r.last.Add(maxStretch*holdTime(r.most) + retention)
 }
 
-// merged returns the record merged more marks.
+// merged returns the record merged with more marks.
 func (r record) merged(crashes, cleared []CrashMark, last time.Time) record {
 	next := record{cleared: union(r.cleared, cleared), last: r.last}
 	next.crashes = slices.DeleteFunc(union(r.crashes, crashes), func(m CrashMark) bool {
@@ -99,7 +99,7 @@
 	return next
 }
 
-// afterAnswer returns the record after a caller's request was afterAnswer.
+// afterAnswer returns the record after a caller's request was answered.
 func (r record) afterAnswer(caller Caller) record {
 	cleared := []CrashMark{{Caller: caller}}
 	for _, mark := range r.crashes {
@@ -129,7 +129,7 @@
 	return kept
 }
 
-// sameMarks reports whether two records have the sameMarks marks.
+// sameMarks reports whether two records have the same marks.
 func (r record) sameMarks(o record) bool {
 	return slices.Equal(r.crashes, o.crashes) && slices.Equal(r.cleared, o.cleared)
 }
--- a/lib/bfquarantine/verdict.go
+++ b/lib/bfquarantine/verdict.go
@@ -9,7 +9,7 @@
 // Free requests run without restrictions.
 type Free struct{}
 
-// Isolated requests don't run concurrently with another Isolated request at the same target, so
+// Isolated requests don't run concurrently with another isolated request at the same target, so
 // that a crash can be attributed to one of them.
 type Isolated struct{}
 
--- a/lib/bfquery/bfgrammar/error.go
+++ b/lib/bfquery/bfgrammar/error.go
@@ -92,7 +92,7 @@
 	return err
 }
 
-// unexpectedToken reports an unexpectedToken token with the usage of the command around it.
+// unexpectedToken reports an unexpected token with the usage of the command around it.
 func (s source) unexpectedToken(token lexer.Token) error {
 	if strings.HasPrefix(token.Value, `"`) && token.Type == tokenTypes["Unknown"] {
 		return s.errorAt(token.Pos, token.Value, `a quote at the end of the string, on the same line`, "")
--- a/lib/bfslot/queue.go
+++ b/lib/bfslot/queue.go
@@ -141,7 +141,7 @@
 	overallWindow = 30
 )
 
-// expectedHold returns how long a request of the class is expectedHold to hold a slot.
+// expectedHold returns how long a request of the class is expected to hold a slot.
 func (q *Queue) expectedHold(class string) time.Duration {
 	if mean, known := q.meanHoldByClass[class]; known {
 		return mean
